--- a/core/gateway/gateway_message.c
+++ b/core/gateway/gateway_message.c
@@ -45,12 +45,12 @@
   close->kept = read_bool (r);
   close->retention_ms = (uint32_t)read_u64 (r, UINT32_MAX);
   text_unpack (r, ctx, &close->text);
-  /* Records that older software left on a disk end here. */
+  /* Records written before sessions were added end here. */
   if (r->at == r->n_items)
     return;
   close->session = read_u64 (r, UINT64_MAX);
   close->session_tokens = (uint32_t)read_u64 (r, UINT32_MAX);
-  /* Those of software that knew no customers end here. */
+  /* Records written before customers were added end here. */
   if (r->at < r->n_items)
     read_string (r, close->customer, sizeof close->customer);
 }
@@ -307,7 +307,7 @@
   r->failed = r->failed || list.failed || report->uses == NULL;
 }
 
-/* Number of items of each kind, the kind itself included. */
+/* Returns the number of packed items of a message, its kind included. */
 static size_t
 message_n_items (enum GatewayKind kind)
 {
--- a/core/gateway/message_count.c
+++ b/core/gateway/message_count.c
@@ -8,14 +8,14 @@
   N_KINDS = GATEWAY_USES + 1
 };
 
-struct KindCell
+struct MessageCounter
 {
   _Atomic uint64_t messages, bytes;
 };
 
-static struct KindCell cells[N_MESSAGE_WAYS][N_KINDS];
+static struct MessageCounter counters[N_MESSAGE_WAYS][N_KINDS];
 
-static const char *const way_names[N_MESSAGE_WAYS] = {
+static const char *const direction_names[N_MESSAGE_WAYS] = {
   [MESSAGE_SENT] = "sent",
   [MESSAGE_RECEIVED] = "received",
 };
@@ -66,18 +66,18 @@
 }
 
 void
-message_count_add (enum MessageWay way, enum GatewayKind kind, size_t n_bytes)
+message_count_add (enum MessageWay direction, enum GatewayKind kind, size_t n_bytes)
 {
-  struct KindCell *cell = &cells[way][kind];
+  struct MessageCounter *counter = &counters[direction][kind];
 
-  atomic_fetch_add_explicit (&cell->messages, 1, memory_order_relaxed);
-  atomic_fetch_add_explicit (&cell->bytes, n_bytes, memory_order_relaxed);
+  atomic_fetch_add_explicit (&counter->messages, 1, memory_order_relaxed);
+  atomic_fetch_add_explicit (&counter->bytes, n_bytes, memory_order_relaxed);
 }
 
 uint64_t
-message_count_read (enum MessageWay way, enum GatewayKind kind)
+message_count_read (enum MessageWay direction, enum GatewayKind kind)
 {
-  return atomic_load_explicit (&cells[way][kind].messages, memory_order_relaxed);
+  return atomic_load_explicit (&counters[direction][kind].messages, memory_order_relaxed);
 }
 
 char *
@@ -85,10 +85,10 @@
 {
   char *text = talloc_strdup (ctx, "");
 
-  for (uint32_t way = 0; way < N_MESSAGE_WAYS; way++)
+  for (uint32_t direction = 0; direction < N_MESSAGE_WAYS; direction++)
     for (uint32_t kind = GATEWAY_TURN_OPEN; kind < N_KINDS; kind++)
       {
-        uint64_t n = message_count_read (way, kind);
+        uint64_t n = message_count_read (direction, kind);
 
         if (n == 0)
           continue;
@@ -96,8 +96,9 @@
             text,
             "buckthornhead_messages_%s_total{kind=\"%s\"} %" PRIu64 "\n"
             "buckthornhead_message_bytes_%s_total{kind=\"%s\"} %" PRIu64 "\n",
-            way_names[way], kind_name (kind), n, way_names[way], kind_name (kind),
-            atomic_load_explicit (&cells[way][kind].bytes, memory_order_relaxed));
+            direction_names[direction], kind_name (kind), n, direction_names[direction],
+            kind_name (kind),
+            atomic_load_explicit (&counters[direction][kind].bytes, memory_order_relaxed));
       }
   return text;
 }
--- a/core/gateway/message_internal.h
+++ b/core/gateway/message_internal.h
@@ -1,4 +1,4 @@
-/* What the files that pack gateway messages share. */
+/* Declarations shared by the files that pack and unpack gateway messages. */
 #pragma once
 
 #include <buckthornhead/gateway_message.h>
@@ -6,15 +6,17 @@
 
 enum
 {
-  MESSAGE_ITEMS_MAX = 100000 /* of one list in a message: far more than any peer sends */
+  /* Entries of one list in a message; far above what any peer sends. A longer list is malformed. */
+  MESSAGE_ITEMS_MAX = 100000
 };
 
-/* Enters a list whose entries are width items each; a list of another length fails outer. Returns
- * the number of entries. */
+/* Opens the next item of outer, a flat array with width items per entry, as inner and returns the
+ * number of entries. Marks both readers as failed when the item is no such array. */
 size_t
 message_list_enter (struct PackReader *outer, struct PackReader *inner, size_t width);
 
-/* Fields of messages; unpacking allocates from ctx and notes failures in r. */
+/* Pack and unpack the body of one message. Unpacking allocates from ctx and sets r->failed on
+ * malformed input. */
 void
 heartbeat_pack (struct PackWriter *p, const struct Heartbeat *heartbeat);
 void
--- a/core/gateway/node_status.c
+++ b/core/gateway/node_status.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  /* Bits of the one number in which the yes and no of a status travel. */
+  /* Bits of the integer that encodes the boolean fields of a status. */
   FLAG_READY = 1,
   FLAG_LEAVING = 2,
   FLAG_REACHES_ARCHIVES = 4,
--- a/core/gateway/state_message.c
+++ b/core/gateway/state_message.c
@@ -1,4 +1,4 @@
-/* Heartbeats and snapshots on the wire. */
+/* Wire format of heartbeats and snapshots. */
 #include "message_internal.h"
 
 #include <buckthornhead/deflate.h>
@@ -76,10 +76,11 @@
   r->failed = r->failed || list.failed || heartbeat->loads == NULL;
 }
 
-/* Items from this size on are deflated: a packet or two are not worth the processor. */
 enum
 {
-  DEFLATE_FROM_BYTES = 2048
+  /* Minimum size of packed items to compress. A smaller list fits into one or two packets, where
+   * the saving does not justify the processor time. */
+  DEFLATE_MIN_BYTES = 2048
 };
 
 static int32_t
@@ -99,9 +100,13 @@
   return pack_finish (p, ctx, bytes, n_bytes);
 }
 
-/* The items as they travel: a byte that says whether they are deflated, then they. */
+/* Encodes the items for the wire: one byte that is 1 if they are compressed, then the packed items.
+ */
 static int32_t
-items_wrap (TALLOC_CTX *ctx, const struct Snapshot *snapshot, uint8_t **wrapped, size_t *n_wrapped)
+items_encode (TALLOC_CTX *ctx,
+              const struct Snapshot *snapshot,
+              uint8_t **encoded,
+              size_t *n_encoded)
 {
   uint8_t *plain = NULL, *deflated = NULL, *bytes;
   size_t n_plain, n_deflated = 0;
@@ -110,19 +115,19 @@
 
   if (error != ERROR_NONE)
     return error;
-  if (n_plain >= DEFLATE_FROM_BYTES)
+  if (n_plain >= DEFLATE_MIN_BYTES)
     error = value_deflate (ctx, plain, n_plain, &deflated, &n_deflated);
   is_deflated = error == ERROR_NONE && deflated != NULL && n_deflated < n_plain;
-  *n_wrapped = 1 + (is_deflated ? n_deflated : n_plain);
-  bytes = talloc_size (ctx, *n_wrapped);
+  *n_encoded = 1 + (is_deflated ? n_deflated : n_plain);
+  bytes = talloc_size (ctx, *n_encoded);
   if (bytes != NULL)
     {
       bytes[0] = is_deflated;
-      memcpy (bytes + 1, is_deflated ? deflated : plain, *n_wrapped - 1);
+      memcpy (bytes + 1, is_deflated ? deflated : plain, *n_encoded - 1);
     }
   talloc_free (deflated);
   talloc_free (plain);
-  *wrapped = bytes;
+  *encoded = bytes;
   return bytes != NULL ? ERROR_NONE : ERROR_NO_MEMORY;
 }
 
@@ -131,14 +136,14 @@
 {
   if (snapshot->packed_items != NULL)
     return ERROR_NONE;
-  return items_wrap (snapshot, snapshot, &snapshot->packed_items, &snapshot->packed_items_bytes);
+  return items_encode (snapshot, snapshot, &snapshot->packed_items, &snapshot->packed_items_bytes);
 }
 
 void
 snapshot_pack (struct PackWriter *p, const struct Snapshot *snapshot)
 {
-  uint8_t *wrapped = NULL;
-  size_t n_wrapped = 0;
+  uint8_t *encoded = NULL;
+  size_t n_encoded = 0;
 
   pack_u64 (p, snapshot->kind);
   pack_i64 (p, snapshot->revision);
@@ -153,15 +158,15 @@
       pack_bytes (p, snapshot->packed_items, snapshot->packed_items_bytes);
       return;
     }
-  if (items_wrap (p, snapshot, &wrapped, &n_wrapped) != ERROR_NONE)
+  if (items_encode (p, snapshot, &encoded, &n_encoded) != ERROR_NONE)
     p->failed = true;
-  pack_bytes (p, wrapped, n_wrapped);
-  talloc_free (wrapped);
+  pack_bytes (p, encoded, n_encoded);
+  talloc_free (encoded);
 }
 
-/* Reads the items from what items_pack made. */
+/* Unpacks items packed by items_pack. */
 static bool
-items_read (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes, struct Snapshot *snapshot)
+items_unpack (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes, struct Snapshot *snapshot)
 {
   struct PackReader list;
   void *opened = pack_open (ctx, bytes, n_bytes, &list);
@@ -181,28 +186,28 @@
 }
 
 static bool
-items_unwrap (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes, struct Snapshot *snapshot)
+items_decode (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes, struct Snapshot *snapshot)
 {
   uint8_t *plain;
   size_t n_plain;
-  bool read;
+  bool is_valid;
 
   if (bytes == NULL || n_bytes == 0)
     return false;
   if (bytes[0] == 0)
-    return items_read (ctx, bytes + 1, n_bytes - 1, snapshot);
+    return items_unpack (ctx, bytes + 1, n_bytes - 1, snapshot);
   if (value_inflate (ctx, bytes + 1, n_bytes - 1, &plain, &n_plain) != ERROR_NONE)
     return false;
-  read = items_read (ctx, plain, n_plain, snapshot);
+  is_valid = items_unpack (ctx, plain, n_plain, snapshot);
   talloc_free (plain);
-  return read;
+  return is_valid;
 }
 
 void
 snapshot_unpack (struct PackReader *r, TALLOC_CTX *ctx, struct Snapshot *snapshot)
 {
-  const uint8_t *wrapped;
-  size_t n_wrapped;
+  const uint8_t *encoded;
+  size_t n_encoded;
 
   snapshot->kind = (enum SnapshotKind)read_u64 (r, SNAPSHOT_KIND_MAX);
   snapshot->revision = read_i64 (r);
@@ -212,9 +217,9 @@
   snapshot->after_gap = read_bool (r);
   snapshot->level = (uint32_t)read_u64 (r, UINT32_MAX);
   snapshot->unchanged = read_bool (r);
-  wrapped = read_bytes (r, ctx, &n_wrapped);
-  r->failed = r->failed || !items_unwrap (ctx, wrapped, n_wrapped, snapshot);
-  /* Passed on as it came. */
-  snapshot->packed_items = (uint8_t *)wrapped;
-  snapshot->packed_items_bytes = n_wrapped;
+  encoded = read_bytes (r, ctx, &n_encoded);
+  r->failed = r->failed || !items_decode (ctx, encoded, n_encoded, snapshot);
+  /* Kept so that a forwarded snapshot need not be packed again. */
+  snapshot->packed_items = (uint8_t *)encoded;
+  snapshot->packed_items_bytes = n_encoded;
 }
--- a/include/buckthornhead/gateway_message.h
+++ b/include/buckthornhead/gateway_message.h
@@ -1,4 +1,4 @@
-/* Messages among gateways and archives; they travel in peer messages of kind PEER_GATEWAY. */
+/* Messages among gateways and archives, carried in peer messages of kind PEER_GATEWAY. */
 #pragma once
 
 #include <buckthornhead/archive_set.h>
@@ -12,44 +12,44 @@
 {
   GATEWAY_TURN_OPEN = 1,
   GATEWAY_TURN_READ = 2,
-  GATEWAY_TURN_OPENED = 3, /* the answer to both */
+  GATEWAY_TURN_OPENED = 3, /* response to GATEWAY_TURN_OPEN and GATEWAY_TURN_READ */
   GATEWAY_TURN_CLOSE = 4,
   GATEWAY_TURN_CLOSED = 5,
   GATEWAY_HEARTBEAT = 6,
-  GATEWAY_SNAPSHOT = 7,  /* what the sender read in the platform's store */
-  GATEWAY_COPY_WANT = 8, /* an archive whose disk is new asks another for its records */
+  GATEWAY_SNAPSHOT = 7,  /* state read from the platform's store, or a list of processes */
+  GATEWAY_COPY_WANT = 8, /* an archive with a new disk requests the records of another archive */
   GATEWAY_COPY_PART = 9,
-  GATEWAY_RELAY = 10,         /* for another process, which the sender can not reach itself */
-  GATEWAY_SLOT_ASK = 11,      /* may this request be sent to a server that the receiver owns? */
-  GATEWAY_SLOT_STATE = 12,    /* the answer, and again when it has changed */
-  GATEWAY_SLOT_DONE = 13,     /* the request has ended, or will not be sent */
-  GATEWAY_ALIVE = 14,         /* the answer to a probe; no fields */
-  GATEWAY_SNAPSHOT_WANT = 15, /* the whole of a snapshot, of which the changes do not fit */
-  GATEWAY_DIGESTS = 16,       /* of the servers that the sender owns */
-  GATEWAY_PROBE = 17,         /* asks for GATEWAY_ALIVE; no fields */
-  GATEWAY_USES = 18           /* what customers used of their limits */
-};
-
-/* Requests on their way to one backend server, as one gateway counts them. */
+  GATEWAY_RELAY = 10,      /* a message to be forwarded to a process that the sender cannot reach */
+  GATEWAY_SLOT_ASK = 11,   /* requests a slot on a backend server that the receiver owns */
+  GATEWAY_SLOT_STATE = 12, /* response to GATEWAY_SLOT_ASK, sent again on each change */
+  GATEWAY_SLOT_DONE = 13,  /* the request has ended or will not be sent */
+  GATEWAY_ALIVE = 14,      /* response to GATEWAY_PROBE; no fields */
+  GATEWAY_SNAPSHOT_WANT = 15, /* requests a full snapshot, as when changes do not apply */
+  GATEWAY_DIGESTS = 16,       /* load and cache contents of the servers that the sender owns */
+  GATEWAY_PROBE = 17,         /* requests GATEWAY_ALIVE; no fields */
+  GATEWAY_USES = 18           /* customers' usage of their limits */
+};
+
+/* Number of requests in flight to one backend server, as counted by the sender. */
 struct ReplicaLoad
 {
   char replica[NAME_MAX_BYTES + 1];
   uint32_t in_flight;
 };
 
-/* A list or document that processes hold copies of. The first four are what one read of the
- * platform's store gave, for peers that then need not read it; of the backend servers only those
- * who would read next and aggregators hold all. Lists of processes: peer_table.h. */
+/* A replicated list or document. The first four are results of reading the platform's store,
+ * forwarded so that peers need not read it. Only aggregators and the processes next in line to read
+ * the store hold the full list of backend servers. For lists of processes, see peer_table.h. */
 enum SnapshotKind
 {
   SNAPSHOT_ROUTES = 1,   /* the operators' configuration */
   SNAPSHOT_SERVERS = 2,  /* the list of backend servers */
   SNAPSHOT_NODES = 3,    /* the system's own processes, and the set of archives */
-  SNAPSHOT_RETIRE = 4,   /* machines that the operators want emptied */
-  SNAPSHOT_ZONE = 5,     /* live processes of the sender's zone, which it aggregates */
-  SNAPSHOT_FLEET = 6,    /* live processes of all zones, for the members of the sender's zone */
-  SNAPSHOT_CONTACTS = 7, /* a few live processes of each zone, for one that starts */
-  SNAPSHOT_SUBSET = 8    /* backend servers that gateways of the sender's zone use */
+  SNAPSHOT_RETIRE = 4,   /* instances that operators are retiring */
+  SNAPSHOT_ZONE = 5,     /* live processes of the zone that the sender aggregates */
+  SNAPSHOT_FLEET = 6,    /* live processes of all zones, sent to the sender's own zone */
+  SNAPSHOT_CONTACTS = 7, /* a few live processes of each zone, for a starting process */
+  SNAPSHOT_SUBSET = 8    /* backend servers used by the gateways of the sender's zone */
 };
 
 enum
@@ -62,32 +62,32 @@
   char key[256];
   const uint8_t *value;
   size_t value_bytes;
-  bool gone; /* among changes only: it is not there any more */
+  bool gone; /* the item was removed; only in a snapshot of changes */
 };
 
 struct Snapshot
 {
   enum SnapshotKind kind;
-  int64_t revision; /* of the store when it was read; a lower one is never taken */
-  uint32_t age_ms;  /* since the read was sent, when this was sent on */
-  uint64_t content; /* equal for equal items */
-  uint64_t base;    /* not 0: items are what differs from the snapshot with this content */
-  bool after_gap;   /* nobody had read the store for a while before: what is gone may come back */
-  uint32_t level;   /* SUBSET only: see server_subset.h */
-  bool unchanged;   /* the items are those of the last snapshot with this content, and left out */
+  int64_t revision; /* of the store when it was read; a lower one is ignored */
+  uint32_t age_ms;  /* time from the start of the read to the sending of this message */
+  uint64_t content; /* hash of the full list of items */
+  uint64_t base;    /* items are changes against the snapshot with this content; 0: the full list */
+  bool after_gap;   /* no process had read the store for some time: removed items may reappear */
+  uint32_t level;   /* SNAPSHOT_SUBSET only; see server_subset.h */
+  bool unchanged;   /* items are omitted: same as in the previous snapshot with this content */
   struct SnapshotItem *items;
   size_t n_items;
-  uint8_t *packed_items; /* as they travel, if they were packed before; NULL: not yet */
+  uint8_t *packed_items; /* items in wire format; NULL until they are packed */
   size_t packed_items_bytes;
 };
 
-/* Which copy of one kind of state the sender holds. */
+/* The version of one kind of snapshot that the sender holds. */
 struct StateMark
 {
   enum SnapshotKind kind;
   int64_t revision;
   uint64_t content;
-  uint32_t age_ms; /* since it was current for certain */
+  uint32_t age_ms; /* time since the snapshot was last confirmed to be current */
 };
 
 enum
@@ -95,40 +95,41 @@
   STATE_MARKS_MAX = SNAPSHOT_KIND_MAX
 };
 
-/* Whose requests in flight a heartbeat counts. */
+/* The processes whose requests in flight a heartbeat counts. */
 enum LoadScope
 {
-  LOADS_OF_PROCESS = 0, /* the sender's own: it reports to an aggregator of its zone */
-  LOADS_OF_ZONE = 1,    /* from an aggregator to those of other zones */
-  LOADS_OF_FLEET = 2    /* from an aggregator to the members of its zone */
+  LOADS_OF_PROCESS = 0, /* the sender's own, reported to an aggregator of its zone */
+  LOADS_OF_ZONE = 1,    /* sum of the zone, from an aggregator to those of other zones */
+  LOADS_OF_FLEET = 2    /* sum of all zones, from an aggregator to its own zone */
 };
 
-/* One process about itself and what it holds, every few hundred milliseconds. */
+/* A process's status and the versions of the state that it holds, sent every few hundred
+ * milliseconds. */
 struct Heartbeat
 {
   struct NodeStatus status;
-  struct ArchiveSet set; /* generation 0: the receivers know it */
+  struct ArchiveSet set; /* generation 0: omitted, since the receivers have it */
   struct StateMark marks[STATE_MARKS_MAX];
   size_t n_marks;
   enum LoadScope scope;
-  uint32_t server_level;     /* of the subset of servers that the process would have */
-  struct ReplicaLoad *loads; /* of servers that have no owner */
+  uint32_t server_level;     /* level that the process requests for its subset of servers */
+  struct ReplicaLoad *loads; /* only of backend servers without an owner */
   size_t n_loads;
 };
 
 struct CopyWant
 {
   uint64_t id;
-  uint64_t cursor; /* 0: from the start */
+  uint64_t cursor; /* position in the receiver's log; 0: the start */
 };
 
 struct CopyPart
 {
   uint64_t id;
-  uint64_t next; /* cursor of the next part */
+  uint64_t next; /* cursor for requesting the next part */
   bool last;
-  bool complete;          /* the sender's own state */
-  const uint8_t *records; /* as they stand in its log */
+  bool complete;          /* the sender has every record that it ever acknowledged */
+  const uint8_t *records; /* frames copied from the sender's log */
   size_t records_bytes;
 };
 
@@ -139,20 +140,20 @@
   size_t message_bytes;
 };
 
-/* Times are what is left when the message is sent: clocks of two machines differ. */
+/* Times are relative to the sending of the message, since clocks of two instances differ. */
 struct SlotAskMessage
 {
-  uint64_t id; /* of the request, unique at the sender */
+  uint64_t id; /* of the request, unique per sender */
   char server[NAME_MAX_BYTES + 1];
-  uint32_t slots; /* of the server */
+  uint32_t slots; /* requests that the server runs at a time */
   uint64_t capacity_tokens;
   uint32_t customer_priority;
   uint32_t priority;
   bool continues;
   bool has_program_due;
-  int64_t program_left_ms; /* negative: its program is late already */
+  int64_t program_left_ms; /* until the program's deadline; negative: already missed */
   int64_t left_ms;
-  uint64_t part; /* largest shared part of the prompt; 0: none */
+  uint64_t part; /* id of the largest part of the prompt shared with other requests; 0: none */
   uint32_t part_tokens;
 };
 
@@ -199,27 +200,28 @@
   };
 };
 
-/* Packs message; the bytes belong to ctx. ERROR_NO_MEMORY. */
+/* Packs message. The bytes belong to ctx. Fails with ERROR_NO_MEMORY. */
 int32_t
 gateway_message_pack (TALLOC_CTX *ctx,
                       const struct GatewayMessage *message,
                       uint8_t **bytes,
                       size_t *n_bytes);
 
-/* Packs the items of a snapshot that is sent more than once, and keeps the bytes with it. Whole
- * lists are what a fleet that starts costs: of 3,000 servers each of 60 members of a zone gets 320
- * KB from its aggregators, whose links take 30 Mbit/s. ERROR_NO_MEMORY. */
+/* Packs the items of a snapshot that is sent to several peers and stores the bytes in it. At the
+ * start of the fleet full lists dominate the traffic: a list of 3,000 servers is 320 KB for each of
+ * the 60 members of a zone, sent by aggregators on 30 Mbit/s links. Fails with ERROR_NO_MEMORY. */
 int32_t
 snapshot_pack_items (struct Snapshot *snapshot);
 
-/* ERROR_INVALID for anything malformed. */
+/* Unpacks a message, which belongs to ctx. Fails with ERROR_INVALID when the bytes are malformed.
+ */
 int32_t
 gateway_message_unpack (TALLOC_CTX *ctx,
                         const uint8_t *bytes,
                         size_t n_bytes,
                         struct GatewayMessage **message);
 
-/* The fields of a close, which are also an archive's record on disk. */
+/* Pack and unpack the fields of TurnClose, which archives also write to their disks. */
 struct PackWriter;
 struct PackReader;
 void
--- a/include/buckthornhead/message_count.h
+++ b/include/buckthornhead/message_count.h
@@ -1,5 +1,5 @@
-/* Messages among gateways and archives, counted by kind: what each kind costs a process, at every
- * size, without a trial. */
+/* Counters of messages among gateways and archives, by kind and direction. They show what each kind
+ * costs a process in a deployment of any size. */
 #pragma once
 
 #include <buckthornhead/gateway_message.h>
@@ -11,13 +11,14 @@
   N_MESSAGE_WAYS
 };
 
-/* Wait-free. */
+/* Counts one message. Wait-free. */
 void
-message_count_add (enum MessageWay way, enum GatewayKind kind, size_t n_bytes);
+message_count_add (enum MessageWay direction, enum GatewayKind kind, size_t n_bytes);
 
 uint64_t
-message_count_read (enum MessageWay way, enum GatewayKind kind);
+message_count_read (enum MessageWay direction, enum GatewayKind kind);
 
-/* Prometheus text exposition of kinds that were seen; belongs to ctx. NULL without memory. */
+/* Returns the counters of kinds that occurred, in Prometheus text format. The text belongs to ctx;
+ * NULL without memory. */
 char *
 message_count_render (TALLOC_CTX *ctx);
--- a/include/buckthornhead/node_status.h
+++ b/include/buckthornhead/node_status.h
@@ -1,7 +1,7 @@
-/* What one process says of itself, and how it is passed on by others.
+/* The status of a process, as it reports it and as other processes forward it.
  *
- * The process numbers its own statuses, so that a status that took a longer way never replaces a
- * newer one of the same start. */
+ * The process numbers its statuses, so that one that arrives late over a longer path never replaces
+ * a newer one from the same start. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -15,32 +15,33 @@
   char zone[NAME_MAX_BYTES + 1];
   char peer_address[ADDRESS_MAX_BYTES + 1];
   char caller_address[ADDRESS_MAX_BYTES + 1]; /* "" for an archive */
-  uint64_t start;                             /* of the process, unique among its starts */
-  uint64_t version;                           /* grows with each change in one start */
-  bool ready;                                 /* takes callers */
+  uint64_t start;                             /* id of this start of the process */
+  uint64_t version;                           /* increases with each change within one start */
+  bool ready;                                 /* accepts calls */
   bool leaving;                               /* a planned stop has begun */
-  bool strained;                              /* its callers wait for its processor */
-  bool reaches_archives;                      /* enough of them for turns, by its own links */
+  bool strained;                              /* overloaded: calls are delayed by its processor */
+  bool reaches_archives;                      /* has direct links to enough archives for turns */
   bool complete;                              /* archives only: see TurnOpened */
   bool is_archive;
-  uint64_t synced;         /* archives only: generation of a change for which it has copied all */
-  uint64_t set_generation; /* of the newest set of archives that it knows */
+  uint64_t synced;         /* archives only: last generation for which its copy is complete */
+  uint64_t set_generation; /* of the newest set of archives that it has */
   uint64_t config_version; /* gateways only */
 };
 
-/* Equal but for start and version. */
+/* Returns true if the statuses differ in node, start and version at most. */
 bool
 node_status_says_the_same (const struct NodeStatus *a, const struct NodeStatus *b);
 
 struct PackWriter;
 struct PackReader;
-/* One array. */
+/* Pack and unpack a status as one array. */
 void
 node_status_pack (struct PackWriter *p, const struct NodeStatus *status);
 void
 node_status_unpack (struct PackReader *outer, struct NodeStatus *status);
 
-/* The same as bytes, which belong to ctx. ERROR_NO_MEMORY; ERROR_INVALID for anything malformed. */
+/* Encode and decode a status as bytes, which belong to ctx. Fail with ERROR_NO_MEMORY, or with
+ * ERROR_INVALID when the bytes are malformed. */
 int32_t
 node_status_encode (TALLOC_CTX *ctx,
                     const struct NodeStatus *status,
--- a/tests/test_gateway_message.c
+++ b/tests/test_gateway_message.c
@@ -6,33 +6,33 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Packs and unpacks; the result belongs to ctx. */
+/* Packs and unpacks message, and checks that truncated bytes are rejected. The result belongs to
+ * ctx. */
 static struct GatewayMessage *
-travel (TALLOC_CTX *ctx, const struct GatewayMessage *message)
+round_trip (TALLOC_CTX *ctx, const struct GatewayMessage *message)
 {
-  struct GatewayMessage *back = NULL;
+  struct GatewayMessage *unpacked = NULL;
   uint8_t *bytes;
   size_t n_bytes;
 
   CU_ASSERT_EQUAL_FATAL (gateway_message_pack (ctx, message, &bytes, &n_bytes), ERROR_NONE);
-  CU_ASSERT_EQUAL_FATAL (gateway_message_unpack (ctx, bytes, n_bytes, &back), ERROR_NONE);
-  CU_ASSERT_EQUAL (back->kind, message->kind);
-  /* A frame that was cut anywhere is refused, not half understood. */
-  for (size_t cut = 0; cut < n_bytes; cut++)
+  CU_ASSERT_EQUAL_FATAL (gateway_message_unpack (ctx, bytes, n_bytes, &unpacked), ERROR_NONE);
+  CU_ASSERT_EQUAL (unpacked->kind, message->kind);
+  for (size_t length = 0; length < n_bytes; length++)
     {
       struct GatewayMessage *none;
 
-      CU_ASSERT_EQUAL (gateway_message_unpack (ctx, bytes, cut, &none), ERROR_INVALID);
+      CU_ASSERT_EQUAL (gateway_message_unpack (ctx, bytes, length, &none), ERROR_INVALID);
     }
-  return back;
+  return unpacked;
 }
 
 static void
-test_questions_on_turns_travel (void)
+test_turn_requests_round_trip (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewayMessage message = { .kind = GATEWAY_TURN_OPEN };
-  struct GatewayMessage *back;
+  struct GatewayMessage *unpacked;
 
   message.open = (struct TurnOpen){ .id = 7,
                                     .generation = 3,
@@ -42,30 +42,30 @@
                                     .previous = "t1",
                                     .reserve_tokens = 589,
                                     .want_history = true };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->open.id, 7);
-  CU_ASSERT_EQUAL (back->open.generation, 3);
-  CU_ASSERT_STRING_EQUAL (back->open.customer, "alma");
-  CU_ASSERT_STRING_EQUAL (back->open.previous, "t1");
-  CU_ASSERT_EQUAL (back->open.reserve_tokens, 589);
-  CU_ASSERT_TRUE (back->open.want_history);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->open.id, 7);
+  CU_ASSERT_EQUAL (unpacked->open.generation, 3);
+  CU_ASSERT_STRING_EQUAL (unpacked->open.customer, "alma");
+  CU_ASSERT_STRING_EQUAL (unpacked->open.previous, "t1");
+  CU_ASSERT_EQUAL (unpacked->open.reserve_tokens, 589);
+  CU_ASSERT_TRUE (unpacked->open.want_history);
   message.kind = GATEWAY_TURN_READ;
   message.read = (struct TurnRead){ .id = 8, .customer = "alma", .turn = "t1" };
-  back = travel (ctx, &message);
-  CU_ASSERT_STRING_EQUAL (back->read.customer, "alma");
-  CU_ASSERT_STRING_EQUAL (back->read.turn, "t1");
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_STRING_EQUAL (unpacked->read.customer, "alma");
+  CU_ASSERT_STRING_EQUAL (unpacked->read.turn, "t1");
   talloc_free (ctx);
 }
 
 static void
-test_asking_for_a_slot_travels (void)
+test_slot_messages_round_trip (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct SlotDigest digest = {
     .server = "i-3", .total = 4, .failed_permille = 20, .parts = { 7, 8 }, .n_parts = 2
   };
   struct GatewayMessage message = { .kind = GATEWAY_SLOT_ASK };
-  struct GatewayMessage *back;
+  struct GatewayMessage *unpacked;
 
   message.slot_ask = (struct SlotAskMessage){ .id = 5,
                                               .server = "i-1",
@@ -76,57 +76,57 @@
                                               .has_program_due = true,
                                               .program_left_ms = -40,
                                               .left_ms = 2900 };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->slot_ask.id, 5);
-  CU_ASSERT_STRING_EQUAL (back->slot_ask.server, "i-1");
-  CU_ASSERT_EQUAL (back->slot_ask.slots, 12);
-  CU_ASSERT_EQUAL (back->slot_ask.customer_priority, 2);
-  CU_ASSERT_EQUAL (back->slot_ask.priority, 1);
-  CU_ASSERT_TRUE (back->slot_ask.continues);
-  CU_ASSERT_TRUE (back->slot_ask.has_program_due);
-  CU_ASSERT_EQUAL (back->slot_ask.program_left_ms, -40);
-  CU_ASSERT_EQUAL (back->slot_ask.left_ms, 2900);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->slot_ask.id, 5);
+  CU_ASSERT_STRING_EQUAL (unpacked->slot_ask.server, "i-1");
+  CU_ASSERT_EQUAL (unpacked->slot_ask.slots, 12);
+  CU_ASSERT_EQUAL (unpacked->slot_ask.customer_priority, 2);
+  CU_ASSERT_EQUAL (unpacked->slot_ask.priority, 1);
+  CU_ASSERT_TRUE (unpacked->slot_ask.continues);
+  CU_ASSERT_TRUE (unpacked->slot_ask.has_program_due);
+  CU_ASSERT_EQUAL (unpacked->slot_ask.program_left_ms, -40);
+  CU_ASSERT_EQUAL (unpacked->slot_ask.left_ms, 2900);
   message.kind = GATEWAY_SLOT_STATE;
   message.slot_state = (struct SlotStateMessage){
     .id = 6, .state = { .granted = true, .total = 14, .ahead = 2, .wait_ms = 90 }
   };
-  back = travel (ctx, &message);
-  CU_ASSERT_TRUE (back->slot_state.state.granted);
-  CU_ASSERT_EQUAL (back->slot_state.state.total, 14);
-  CU_ASSERT_EQUAL (back->slot_state.state.ahead, 2);
-  CU_ASSERT_EQUAL (back->slot_state.state.wait_ms, 90);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_TRUE (unpacked->slot_state.state.granted);
+  CU_ASSERT_EQUAL (unpacked->slot_state.state.total, 14);
+  CU_ASSERT_EQUAL (unpacked->slot_state.state.ahead, 2);
+  CU_ASSERT_EQUAL (unpacked->slot_state.state.wait_ms, 90);
   message.kind = GATEWAY_SLOT_DONE;
   message.slot_done = (struct SlotDoneMessage){ .id = 7, .server = "i-2", .outcome = SLOT_FAILED };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->slot_done.id, 7);
-  CU_ASSERT_STRING_EQUAL (back->slot_done.server, "i-2");
-  CU_ASSERT_EQUAL (back->slot_done.outcome, SLOT_FAILED);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->slot_done.id, 7);
+  CU_ASSERT_STRING_EQUAL (unpacked->slot_done.server, "i-2");
+  CU_ASSERT_EQUAL (unpacked->slot_done.outcome, SLOT_FAILED);
   message.kind = GATEWAY_ALIVE;
-  travel (ctx, &message);
+  round_trip (ctx, &message);
   message.kind = GATEWAY_DIGESTS;
   message.digests = (struct Digests){ &digest, 1 };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL_FATAL (back->digests.n_items, 1);
-  CU_ASSERT_STRING_EQUAL (back->digests.items[0].server, "i-3");
-  CU_ASSERT_EQUAL (back->digests.items[0].failed_permille, 20);
-  CU_ASSERT_EQUAL (back->digests.items[0].n_parts, 2);
-  CU_ASSERT_EQUAL (back->digests.items[0].parts[1], 8);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL_FATAL (unpacked->digests.n_items, 1);
+  CU_ASSERT_STRING_EQUAL (unpacked->digests.items[0].server, "i-3");
+  CU_ASSERT_EQUAL (unpacked->digests.items[0].failed_permille, 20);
+  CU_ASSERT_EQUAL (unpacked->digests.items[0].n_parts, 2);
+  CU_ASSERT_EQUAL (unpacked->digests.items[0].parts[1], 8);
   message.kind = GATEWAY_SNAPSHOT_WANT;
   message.snapshot_want = SNAPSHOT_SERVERS;
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->snapshot_want, SNAPSHOT_SERVERS);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->snapshot_want, SNAPSHOT_SERVERS);
   talloc_free (ctx);
 }
 
 static void
-test_answers_on_turns_travel (void)
+test_turn_responses_round_trip (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewayMessage message = { .kind = GATEWAY_TURN_OPENED };
   struct TurnText history[2] = { { .turn = "t2", .previous = "t1", .server = "i-1" },
                                  { .turn = "t1" } };
   struct TurnCharge charges[1] = { { .turn = "t1", .tokens = 38, .settled = true } };
-  struct GatewayMessage *back;
+  struct GatewayMessage *unpacked;
 
   history[0].input = (const uint8_t *)"in\0x";
   history[0].input_bytes = 4;
@@ -138,25 +138,25 @@
                                         .charges = charges,
                                         .n_charges = 1,
                                         .place = { 7, 1400, "i-2" } };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->opened.n_history, 2);
-  CU_ASSERT_EQUAL (back->opened.history[0].input_bytes, 4);
-  CU_ASSERT_EQUAL (memcmp (back->opened.history[0].input, "in\0x", 4), 0);
-  CU_ASSERT_STRING_EQUAL (back->opened.history[0].server, "i-1");
-  CU_ASSERT_EQUAL (back->opened.charges[0].tokens, 38);
-  CU_ASSERT_TRUE (back->opened.charges[0].settled);
-  CU_ASSERT_EQUAL (back->opened.place.session, 7);
-  CU_ASSERT_EQUAL (back->opened.place.tokens, 1400);
-  CU_ASSERT_STRING_EQUAL (back->opened.place.server, "i-2");
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->opened.n_history, 2);
+  CU_ASSERT_EQUAL (unpacked->opened.history[0].input_bytes, 4);
+  CU_ASSERT_EQUAL (memcmp (unpacked->opened.history[0].input, "in\0x", 4), 0);
+  CU_ASSERT_STRING_EQUAL (unpacked->opened.history[0].server, "i-1");
+  CU_ASSERT_EQUAL (unpacked->opened.charges[0].tokens, 38);
+  CU_ASSERT_TRUE (unpacked->opened.charges[0].settled);
+  CU_ASSERT_EQUAL (unpacked->opened.place.session, 7);
+  CU_ASSERT_EQUAL (unpacked->opened.place.tokens, 1400);
+  CU_ASSERT_STRING_EQUAL (unpacked->opened.place.server, "i-2");
   talloc_free (ctx);
 }
 
 static void
-test_closes_travel (void)
+test_turn_closes_round_trip (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewayMessage message = { .kind = GATEWAY_TURN_CLOSE };
-  struct GatewayMessage *back;
+  struct GatewayMessage *unpacked;
 
   message.close = (struct TurnClose){ .id = 1,
                                       .generation = 4,
@@ -169,27 +169,27 @@
   snprintf (message.close.text.turn, sizeof message.close.text.turn, "t3");
   message.close.text.output = (const uint8_t *)"a\n";
   message.close.text.output_bytes = 2;
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->close.charge_tokens, 76);
-  CU_ASSERT_EQUAL (back->close.text.output_bytes, 2);
-  CU_ASSERT_TRUE (back->close.kept);
-  CU_ASSERT_EQUAL (back->close.session, 7);
-  CU_ASSERT_EQUAL (back->close.session_tokens, 1400);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->close.charge_tokens, 76);
+  CU_ASSERT_EQUAL (unpacked->close.text.output_bytes, 2);
+  CU_ASSERT_TRUE (unpacked->close.kept);
+  CU_ASSERT_EQUAL (unpacked->close.session, 7);
+  CU_ASSERT_EQUAL (unpacked->close.session_tokens, 1400);
   message.kind = GATEWAY_TURN_CLOSED;
   message.closed = (struct TurnClosed){ .id = 1, .error = ERROR_FENCED };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->closed.error, ERROR_FENCED);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->closed.error, ERROR_FENCED);
   talloc_free (ctx);
 }
 
 static void
-test_heartbeats_travel (void)
+test_heartbeats_round_trip (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewayMessage message = { .kind = GATEWAY_HEARTBEAT };
   struct Heartbeat *heartbeat = &message.heartbeat;
   struct ReplicaLoad loads[1] = { { .replica = "i-1", .in_flight = 5 } };
-  struct GatewayMessage *back;
+  struct GatewayMessage *unpacked;
 
   heartbeat->status = (struct NodeStatus){ .node = "front-1",
                                            .zone = "a",
@@ -208,66 +208,66 @@
   heartbeat->set = archive_set_first (&heartbeat->set, "storage-1");
   heartbeat->marks[0] = (struct StateMark){ SNAPSHOT_ZONE, 4, 1ULL << 63, 0 };
   heartbeat->n_marks = 1;
-  back = travel (ctx, &message);
-  CU_ASSERT_STRING_EQUAL (back->heartbeat.status.node, "front-1");
-  CU_ASSERT_EQUAL (back->heartbeat.status.start, 9);
-  CU_ASSERT_EQUAL (back->heartbeat.status.version, 3);
-  CU_ASSERT_TRUE (node_status_says_the_same (&back->heartbeat.status, &heartbeat->status));
-  CU_ASSERT_EQUAL (back->heartbeat.loads[0].in_flight, 5);
-  CU_ASSERT_EQUAL (back->heartbeat.scope, LOADS_OF_ZONE);
-  CU_ASSERT_TRUE (archive_set_has (&back->heartbeat.set, "storage-1"));
-  CU_ASSERT_EQUAL_FATAL (back->heartbeat.n_marks, 1);
-  CU_ASSERT_EQUAL (back->heartbeat.marks[0].content, 1ULL << 63);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_STRING_EQUAL (unpacked->heartbeat.status.node, "front-1");
+  CU_ASSERT_EQUAL (unpacked->heartbeat.status.start, 9);
+  CU_ASSERT_EQUAL (unpacked->heartbeat.status.version, 3);
+  CU_ASSERT_TRUE (node_status_says_the_same (&unpacked->heartbeat.status, &heartbeat->status));
+  CU_ASSERT_EQUAL (unpacked->heartbeat.loads[0].in_flight, 5);
+  CU_ASSERT_EQUAL (unpacked->heartbeat.scope, LOADS_OF_ZONE);
+  CU_ASSERT_TRUE (archive_set_has (&unpacked->heartbeat.set, "storage-1"));
+  CU_ASSERT_EQUAL_FATAL (unpacked->heartbeat.n_marks, 1);
+  CU_ASSERT_EQUAL (unpacked->heartbeat.marks[0].content, 1ULL << 63);
   message.kind = GATEWAY_PROBE;
-  travel (ctx, &message);
+  round_trip (ctx, &message);
   talloc_free (ctx);
 }
 
 static void
-test_the_other_kinds_travel (void)
+test_other_kinds_round_trip (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct SnapshotItem items[1] = {
     { .key = "servers/i-1", .value = (const uint8_t *)"{}", .value_bytes = 2 }
   };
   struct GatewayMessage message = { .kind = GATEWAY_SNAPSHOT };
-  struct GatewayMessage *back;
+  struct GatewayMessage *unpacked;
 
   message.snapshot = (struct Snapshot){
     .kind = SNAPSHOT_SERVERS, .revision = 530, .age_ms = 12, .items = items, .n_items = 1
   };
-  back = travel (ctx, &message);
-  CU_ASSERT_STRING_EQUAL (back->snapshot.items[0].key, "servers/i-1");
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_STRING_EQUAL (unpacked->snapshot.items[0].key, "servers/i-1");
   message.kind = GATEWAY_COPY_PART;
   message.copy_part =
       (struct CopyPart){ .id = 2, .next = 1ULL << 33, .last = true, .complete = true };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->copy_part.next, 1ULL << 33);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->copy_part.next, 1ULL << 33);
   message.kind = GATEWAY_COPY_WANT;
   message.copy_want = (struct CopyWant){ .id = 2, .cursor = 5 };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->copy_want.cursor, 5);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->copy_want.cursor, 5);
   message.kind = GATEWAY_RELAY;
   message.relay = (struct Relay){
     .to = "storage-1", .from = "front-1", .message = (const uint8_t *)"x", .message_bytes = 1
   };
-  back = travel (ctx, &message);
-  CU_ASSERT_STRING_EQUAL (back->relay.from, "front-1");
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_STRING_EQUAL (unpacked->relay.from, "front-1");
   talloc_free (ctx);
 }
 
-/* Three hundred machines start together: each of 60 members of a zone gets the list of 3,000
- * servers from an aggregator behind 30 Mbit/s. Whole, that took five seconds, and the configuration
- * waited behind it; a third of the bytes at most, and packed once. */
+/* When 300 instances start together, each of 60 members of a zone receives the list of 3,000
+ * servers from an aggregator on a 30 Mbit/s link. Uncompressed, that took five seconds and delayed
+ * the configuration behind it. The list must be packed once and shrink to less than a third. */
 static void
-test_long_lists_travel_deflated (void)
+test_long_lists_are_compressed (void)
 {
   enum
   {
     N_SERVERS = 3000
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
-  struct GatewayMessage message = { .kind = GATEWAY_SNAPSHOT }, *back;
+  struct GatewayMessage message = { .kind = GATEWAY_SNAPSHOT }, *unpacked;
   struct Snapshot *list = talloc_zero (ctx, struct Snapshot);
   size_t n_plain = 0, n_bytes;
   uint8_t *bytes;
@@ -291,17 +291,18 @@
   message.snapshot = *list;
   CU_ASSERT_EQUAL_FATAL (gateway_message_pack (ctx, &message, &bytes, &n_bytes), ERROR_NONE);
   CU_ASSERT (n_bytes < n_plain / 3);
-  CU_ASSERT_EQUAL_FATAL (gateway_message_unpack (ctx, bytes, n_bytes, &back), ERROR_NONE);
-  CU_ASSERT_EQUAL_FATAL (back->snapshot.n_items, N_SERVERS);
-  CU_ASSERT_STRING_EQUAL (back->snapshot.items[2999].key, list->items[2999].key);
+  CU_ASSERT_EQUAL_FATAL (gateway_message_unpack (ctx, bytes, n_bytes, &unpacked), ERROR_NONE);
+  CU_ASSERT_EQUAL_FATAL (unpacked->snapshot.n_items, N_SERVERS);
+  CU_ASSERT_STRING_EQUAL (unpacked->snapshot.items[2999].key, list->items[2999].key);
   CU_ASSERT_EQUAL (
-      memcmp (back->snapshot.items[7].value, list->items[7].value, list->items[7].value_bytes), 0);
+      memcmp (unpacked->snapshot.items[7].value, list->items[7].value, list->items[7].value_bytes),
+      0);
   talloc_free (ctx);
 }
 
-/* A process of a newer version sends a kind that this one does not know. */
+/* A process of a newer version may send a kind that this version does not have. */
 static void
-test_an_unknown_kind_is_refused (void)
+test_unknown_kind_is_rejected (void)
 {
   const uint8_t bytes[] = { 0x92, 0x7f, 0x01 };
   struct GatewayMessage *message;
@@ -310,11 +311,10 @@
   CU_ASSERT_PTR_NULL (message);
 }
 
-/* What a gateway tells of customers' use, with as many as one sees in five seconds; prints its
- * size.
- */
+/* Reports the usage of as many customers as a gateway serves in five seconds, and prints the size
+ * of the message. */
 static void
-test_use_of_customers_travels (void)
+test_customer_usage_round_trips (void)
 {
   enum
   {
@@ -323,7 +323,7 @@
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct CustomerUse uses[N] = { 0 };
   struct GatewayMessage message = { .kind = GATEWAY_USES };
-  struct GatewayMessage *back;
+  struct GatewayMessage *unpacked;
   uint8_t *bytes;
   size_t n_bytes;
 
@@ -335,27 +335,25 @@
       uses[i].wanted = 200 * i;
     }
   message.uses = (struct UseReport){ .scope = USE_OF_ZONE, .zone = "z", .uses = uses, .n_uses = N };
-  back = travel (ctx, &message);
-  CU_ASSERT_EQUAL (back->uses.scope, USE_OF_ZONE);
-  CU_ASSERT_STRING_EQUAL (back->uses.zone, "z");
-  CU_ASSERT_EQUAL_FATAL (back->uses.n_uses, N);
+  unpacked = round_trip (ctx, &message);
+  CU_ASSERT_EQUAL (unpacked->uses.scope, USE_OF_ZONE);
+  CU_ASSERT_STRING_EQUAL (unpacked->uses.zone, "z");
+  CU_ASSERT_EQUAL_FATAL (unpacked->uses.n_uses, N);
   for (uint32_t i = 0; i < N; i++)
     {
-      CU_ASSERT_STRING_EQUAL (back->uses.uses[i].customer, uses[i].customer);
-      CU_ASSERT_EQUAL (back->uses.uses[i].taken, uses[i].taken);
-      CU_ASSERT_EQUAL (back->uses.uses[i].begun, uses[i].begun);
-      CU_ASSERT_EQUAL (back->uses.uses[i].wanted, uses[i].wanted);
+      CU_ASSERT_STRING_EQUAL (unpacked->uses.uses[i].customer, uses[i].customer);
+      CU_ASSERT_EQUAL (unpacked->uses.uses[i].taken, uses[i].taken);
+      CU_ASSERT_EQUAL (unpacked->uses.uses[i].begun, uses[i].begun);
+      CU_ASSERT_EQUAL (unpacked->uses.uses[i].wanted, uses[i].wanted);
     }
   CU_ASSERT_EQUAL (gateway_message_pack (ctx, &message, &bytes, &n_bytes), ERROR_NONE);
   printf ("%d customers in %zu bytes ", N, n_bytes);
   talloc_free (ctx);
 }
 
-/* The software before knew no customers: what it left on a disk ends earlier, and belongs to
- * nobody.
- */
+/* Records written before customers were added lack the last field and belong to no customer. */
 static void
-test_a_close_without_a_customer_is_read (void)
+test_close_without_customer_unpacks (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PackWriter *p = pack_writer_new (ctx, false);
@@ -390,15 +388,15 @@
 
 const char test_suite_name[] = "gateway_message";
 const struct TestCase test_cases[] = {
-  { "questions on turns travel", test_questions_on_turns_travel },
-  { "asking for a slot travels", test_asking_for_a_slot_travels },
-  { "answers on turns travel", test_answers_on_turns_travel },
-  { "closes travel", test_closes_travel },
-  { "long lists travel deflated", test_long_lists_travel_deflated },
-  { "heartbeats travel", test_heartbeats_travel },
-  { "the other kinds travel", test_the_other_kinds_travel },
-  { "an unknown kind is refused", test_an_unknown_kind_is_refused },
-  { "use of customers travels", test_use_of_customers_travels },
-  { "a close without a customer is read", test_a_close_without_a_customer_is_read },
+  { "turn requests round trip", test_turn_requests_round_trip },
+  { "slot messages round trip", test_slot_messages_round_trip },
+  { "turn responses round trip", test_turn_responses_round_trip },
+  { "turn closes round trip", test_turn_closes_round_trip },
+  { "long lists are compressed", test_long_lists_are_compressed },
+  { "heartbeats round trip", test_heartbeats_round_trip },
+  { "other kinds round trip", test_other_kinds_round_trip },
+  { "an unknown kind is rejected", test_unknown_kind_is_rejected },
+  { "customer usage round trips", test_customer_usage_round_trips },
+  { "a close without a customer unpacks", test_close_without_customer_unpacks },
   { NULL, NULL },
 };
