--- a/core/gateway/deflate.c
+++ b/core/gateway/deflate.c
@@ -5,7 +5,7 @@
 
 enum
 {
-  LENGTH_BYTES = 4 /* the inflated length, high byte first, stands before the stream */
+  LENGTH_BYTES = 4 /* big-endian inflated length, in front of the zlib stream */
 };
 
 int32_t
@@ -25,7 +25,8 @@
     return ERROR_NO_MEMORY;
   for (int i = 0; i < LENGTH_BYTES; i++)
     bytes[i] = (uint8_t)(value_bytes >> 8 * (LENGTH_BYTES - 1 - i));
-  /* The fastest level: a small machine's processor is dear, and routes repeat themselves. */
+  /* The fastest level: a small instance has little processor time to spare, and routes are
+   * repetitive enough to compress well. */
   if (compress2 (bytes + LENGTH_BYTES, &n, value, value_bytes, Z_BEST_SPEED) != Z_OK)
     {
       talloc_free (bytes);
--- a/core/gateway/event_stream.c
+++ b/core/gateway/event_stream.c
@@ -6,11 +6,11 @@
 
 enum
 {
-  ID_DIGITS_MAX = 20 /* of what fits into 64 bits */
+  ID_DIGITS_MAX = 20 /* exclusive: 19 digits always fit into 64 bits */
 };
 
 static void
-event_note_id (struct EventStream *stream)
+event_record_id (struct EventStream *stream)
 {
   if (stream->is_resumed && stream->has_id && stream->has_last_id && stream->id <= stream->last_id)
     stream->goes_back = true;
@@ -19,7 +19,7 @@
   stream->has_id = false;
 }
 
-/* A blank line ends the event. */
+/* Completes the event on a blank line. */
 static int32_t
 event_end (TALLOC_CTX *ctx, struct EventStream *stream)
 {
@@ -35,12 +35,12 @@
   byte_queue_drop (&stream->event, byte_queue_length (&stream->event));
   stream->has_data = false;
   stream->n_events++;
-  event_note_id (stream);
+  event_record_id (stream);
   return error;
 }
 
 static int32_t
-line_take_data (TALLOC_CTX *ctx, struct EventStream *stream, const uint8_t *text, size_t n)
+line_add_data (TALLOC_CTX *ctx, struct EventStream *stream, const uint8_t *text, size_t n)
 {
   int32_t error = ERROR_NONE;
 
@@ -52,9 +52,9 @@
   return error;
 }
 
-/* Ids are whole numbers; one that is none can not be resumed after. */
+/* Parses an event id. A stream cannot be resumed after an id that is not a whole number. */
 static void
-line_take_id (struct EventStream *stream, const uint8_t *text, size_t n)
+line_parse_id (struct EventStream *stream, const uint8_t *text, size_t n)
 {
   uint64_t id = 0;
 
@@ -67,7 +67,7 @@
   stream->id = id;
 }
 
-/* What follows the field's name, or NULL when the line has another field. */
+/* Returns the value of the named field, or NULL if the line has another field. */
 static const uint8_t *
 line_value (const uint8_t *line, size_t n, const char *name, size_t *n_value)
 {
@@ -98,9 +98,9 @@
       stream->open_bytes = 0;
     }
   else if ((value = line_value (line, n, "data:", &n_value)) != NULL)
-    error = line_take_data (ctx, stream, value, n_value);
+    error = line_add_data (ctx, stream, value, n_value);
   else if ((value = line_value (line, n, "id:", &n_value)) != NULL)
-    line_take_id (stream, value, n_value);
+    line_parse_id (stream, value, n_value);
   byte_queue_drop (&stream->line, byte_queue_length (&stream->line));
   return error;
 }
@@ -115,16 +115,16 @@
 
   while (at < n_bytes)
     {
-      const uint8_t *feed = memchr (bytes + at, '\n', n_bytes - at);
-      size_t n = feed != NULL ? (size_t)(feed - bytes) - at : n_bytes - at;
+      const uint8_t *line_feed = memchr (bytes + at, '\n', n_bytes - at);
+      size_t n = line_feed != NULL ? (size_t)(line_feed - bytes) - at : n_bytes - at;
       int32_t error = byte_queue_add (ctx, &stream->line, bytes + at, n);
 
-      stream->open_bytes += n + (feed != NULL);
-      if (error == ERROR_NONE && feed != NULL)
+      stream->open_bytes += n + (line_feed != NULL);
+      if (error == ERROR_NONE && line_feed != NULL)
         error = line_end (ctx, stream);
       if (error != ERROR_NONE)
         return error;
-      at += n + (feed != NULL);
+      at += n + (line_feed != NULL);
     }
   return ERROR_NONE;
 }
--- a/include/buckthornhead/copy_progress.h
+++ b/include/buckthornhead/copy_progress.h
@@ -1,33 +1,34 @@
-/* What an archive has copied from others and not yet got onto its own disk.
+/* Tracks records that an archive has copied from others but not yet written durably to its disk.
  *
- * Guards against an archive that says it lacks nothing while the last records of its copy still
- * wait for a sync: a loss of power at that moment would leave it without them, and answering
- * questions as if it had them. Pure. */
+ * Keeps an archive from reporting itself complete while the last records of its copy still wait for
+ * a sync. A power failure at that moment would lose them, and the archive would then respond to
+ * queries as if it had them. Does no I/O. */
 #pragma once
 
 #include <stdint.h>
 
 struct CopyProgress
 {
-  uint64_t n_writing; /* records on their way to the disk */
-  uint64_t n_failed;  /* since the last reset */
+  uint64_t n_writing; /* records being written */
+  uint64_t n_failed;  /* records whose write failed since the last reset */
 };
 
 enum CopyState
 {
-  COPY_WRITING, /* not all of it is durable yet */
-  COPY_DURABLE, /* everything that was copied is on the disk */
-  COPY_FAILED   /* some of it never got there: copy again */
+  COPY_WRITING, /* some records are not durable yet */
+  COPY_DURABLE, /* all copied records are durable */
+  COPY_FAILED   /* some records could not be written; the copy must be repeated */
 };
 
+/* Begins the write of one record. */
 void
 copy_progress_begin (struct CopyProgress *progress);
 
-/* A record that was begun is on the disk, or error says why not. */
+/* Ends the write of one record: error is ERROR_NONE once it is durable. */
 void
 copy_progress_end (struct CopyProgress *progress, int32_t error);
 
-/* Before copying again. Records still on their way count on. */
+/* Clears the failures before the copy is repeated. Writes in progress remain counted. */
 void
 copy_progress_reset (struct CopyProgress *progress);
 
--- a/include/buckthornhead/deflate.h
+++ b/include/buckthornhead/deflate.h
@@ -1,6 +1,9 @@
-/* Values that travel and are kept compressed: a configuration of 1,500 routes is some 400 KB of
- * text, and an aggregator on a link of 30 Mbit/s has 40 members to send it to, four seconds in
- * which no list of servers passes either. */
+/* Compression of values that are sent and stored compressed.
+ *
+ * A configuration of 1,500 routes is about 400 KB of text. Uncompressed, sending it to 40 members
+ * occupies the 30 Mbit/s link of an aggregator for four seconds, which also delays lists of
+ * servers.
+ */
 #pragma once
 
 #include <buckthornhead/error.h>
@@ -12,11 +15,12 @@
 
 enum
 {
-  /* Of what a value may be once it is inflated: ten times the largest that the store takes. */
+  /* Size of an inflated value: ten times the largest value that the store accepts. */
   INFLATED_MAX_BYTES = 10 * 1024 * 1024
 };
 
-/* The bytes belong to ctx. ERROR_NO_MEMORY. */
+/* Compresses value. The bytes belong to ctx. Fails with ERROR_INVALID for more than
+ * INFLATED_MAX_BYTES, or with ERROR_NO_MEMORY. */
 int32_t
 value_deflate (TALLOC_CTX *ctx,
                const uint8_t *value,
@@ -24,8 +28,8 @@
                uint8_t **deflated,
                size_t *deflated_bytes);
 
-/* The bytes belong to ctx. ERROR_INVALID for anything that value_deflate did not make, and for more
- * than INFLATED_MAX_BYTES; ERROR_NO_MEMORY. */
+/* Decompresses the output of value_deflate. The bytes belong to ctx. Fails with ERROR_INVALID for
+ * any other input and for more than INFLATED_MAX_BYTES, or with ERROR_NO_MEMORY. */
 int32_t
 value_inflate (TALLOC_CTX *ctx,
                const uint8_t *deflated,
--- a/include/buckthornhead/event_stream.h
+++ b/include/buckthornhead/event_stream.h
@@ -1,32 +1,32 @@
-/* Server-sent events in a stream's bytes, as they pass by. Pure. */
+/* Incremental parser of server-sent events in a response that is being streamed. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/byte_queue.h>
 
-/* Zeroed it is at the start of a stream. */
+/* At the start of a stream when zeroed. */
 struct EventStream
 {
-  bool keeps_data;        /* set by the owner: data of ended events is collected */
-  struct ByteQueue line;  /* the line that has not ended yet */
-  struct ByteQueue event; /* data of the event that has not ended yet */
-  struct ByteQueue data;  /* of all ended events, a line feed after each; see keeps_data */
-  size_t open_bytes;      /* taken since the last event ended: of one that may never end */
-  bool has_data, has_id;  /* of the event that has not ended yet */
+  bool keeps_data;        /* set by the user: collect the data of completed events */
+  struct ByteQueue line;  /* the incomplete line */
+  struct ByteQueue event; /* data of the incomplete event */
+  struct ByteQueue data; /* of all completed events, each followed by a line feed; see keeps_data */
+  size_t open_bytes;     /* since the last completed event; the next may never complete */
+  bool has_data, has_id; /* of the incomplete event, as is id */
   uint64_t id;
-  uint32_t n_events; /* that ended, with data */
-  bool has_last_id;  /* of the last event that ended with data */
+  uint32_t n_events; /* completed events with data */
+  bool has_last_id;  /* of the last completed event with data, as is last_id */
   uint64_t last_id;
-  bool is_resumed, goes_back; /* events of the later run must be newer than those before it */
+  bool is_resumed, goes_back; /* goes_back: an id after resumption was not above last_id */
 };
 
-/* Takes the next bytes; memory belongs to ctx. ERROR_NO_MEMORY. */
+/* Parses the next bytes. Memory belongs to ctx. Fails with ERROR_NO_MEMORY. */
 int32_t
 event_stream_take (TALLOC_CTX *ctx,
                    struct EventStream *stream,
                    const uint8_t *bytes,
                    size_t n_bytes);
 
-/* The stream broke off and goes on with another run, after last_id: what had not ended is dropped.
- * goes_back is set when the later run repeats an event. */
+/* Continues with the stream of another server, to be resumed after last_id. Drops the incomplete
+ * event. goes_back is set when the new stream repeats an event. */
 void
 event_stream_resume (struct EventStream *stream);
--- a/include/buckthornhead/recent_hashes.h
+++ b/include/buckthornhead/recent_hashes.h
@@ -1,4 +1,4 @@
-/* The last few of many things, by their hashes: what was seen lately is not new. Pure. */
+/* A fixed-size set of the most recently added hashes, for suppressing duplicates. */
 #pragma once
 
 #include <stdbool.h>
@@ -9,13 +9,13 @@
   RECENT_HASHES_MAX = 64
 };
 
-/* Zeroed it is empty. */
+/* Empty when zeroed. */
 struct RecentHashes
 {
   uint64_t items[RECENT_HASHES_MAX];
-  uint32_t n, next;
+  uint32_t n, next; /* next: index of the next item to write */
 };
 
-/* True when hash is new; the oldest makes room. */
+/* Adds hash, replacing the oldest one when full. Returns false if it is already in the set. */
 bool
 recent_hashes_add (struct RecentHashes *recent, uint64_t hash);
--- a/tests/test_copy_progress.c
+++ b/tests/test_copy_progress.c
@@ -3,11 +3,10 @@
 #include <buckthornhead/copy_progress.h>
 #include <buckthornhead/error.h>
 
-/* An archive with a new disk gets the last record of the last source. All sources have given all
- * that they hold, but the record still waits for its sync when the power goes. Had the archive been
- * marked whole by then, it would answer without that record. */
+/* Guards against marking an archive complete while records of its copy are still waiting for a
+ * sync. After a power failure it would respond to queries without those records. */
 static void
-test_a_copy_is_whole_once_its_last_record_is_durable (void)
+test_copy_is_durable_after_last_write (void)
 {
   struct CopyProgress progress = { 0 };
 
@@ -21,10 +20,10 @@
   CU_ASSERT_EQUAL (copy_progress_state (&progress), COPY_DURABLE);
 }
 
-/* One record of many does not get to the disk, which is full for a moment. The others do. The copy
- * is not whole, and is made again. */
+/* One record of a copy cannot be written, for instance because the disk is full for a moment. The
+ * copy is incomplete, although all later writes succeed, and must be repeated. */
 static void
-test_a_copy_with_a_failed_record_is_made_again (void)
+test_failed_write_requires_new_copy (void)
 {
   struct CopyProgress progress = { 0 };
 
@@ -40,8 +39,7 @@
 
 const char test_suite_name[] = "copy_progress";
 const struct TestCase test_cases[] = {
-  { "a copy is whole once its last record is durable",
-    test_a_copy_is_whole_once_its_last_record_is_durable },
-  { "a copy with a failed record is made again", test_a_copy_with_a_failed_record_is_made_again },
+  { "copy is durable after its last write", test_copy_is_durable_after_last_write },
+  { "a failed write requires a new copy", test_failed_write_requires_new_copy },
   { NULL, NULL },
 };
--- a/tests/test_event_stream.c
+++ b/tests/test_event_stream.c
@@ -15,18 +15,19 @@
   CU_ASSERT_EQUAL (memcmp (byte_queue_head (&stream->data), expected, strlen (expected)), 0);
 }
 
-/* Bytes arrive cut anywhere; what is kept of the stream must not depend on where. */
+/* The result must not depend on how the stream is split into chunks. */
 static void
-test_events_are_the_same_however_they_are_cut (void)
+test_events_do_not_depend_on_chunks (void)
 {
-  for (size_t cut = 1; cut <= sizeof two_events - 1; cut++)
+  for (size_t chunk_bytes = 1; chunk_bytes <= sizeof two_events - 1; chunk_bytes++)
     {
       TALLOC_CTX *ctx = talloc_new (NULL);
       struct EventStream stream = { .keeps_data = true };
 
-      for (size_t at = 0; at < sizeof two_events - 1; at += cut)
+      for (size_t at = 0; at < sizeof two_events - 1; at += chunk_bytes)
         {
-          size_t n = sizeof two_events - 1 - at < cut ? sizeof two_events - 1 - at : cut;
+          size_t n =
+              sizeof two_events - 1 - at < chunk_bytes ? sizeof two_events - 1 - at : chunk_bytes;
 
           CU_ASSERT_EQUAL (event_stream_take (ctx, &stream, (const uint8_t *)two_events + at, n),
                            ERROR_NONE);
@@ -37,9 +38,9 @@
     }
 }
 
-/* A server dies in the middle of an event: half an event was not handed over and is not charged. */
+/* A server crashes within an event. The partial event was not forwarded and must not be charged. */
 static void
-test_an_event_counts_once_it_has_ended (void)
+test_event_counts_once_complete (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct EventStream stream = { .keeps_data = true };
@@ -51,7 +52,7 @@
 }
 
 static void
-test_several_data_lines_are_one_event (void)
+test_data_lines_form_one_event (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct EventStream stream = { .keeps_data = true };
@@ -62,10 +63,10 @@
   talloc_free (ctx);
 }
 
-/* A server dies in the middle of its third event. Two have ended: the caller has these whole, the
- * bytes of the third are not handed out, and another server goes on after the second. */
+/* A server crashes within its third event. The caller has received the first two, the bytes of the
+ * third are dropped, and another server resumes after the second. */
 static void
-test_a_broken_event_is_known (void)
+test_incomplete_event_is_dropped_on_resume (void)
 {
   static const char bytes[] = "id: 1\ndata: a\n\nid: 7\ndata: b\n\nid: 8\nda";
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -84,9 +85,9 @@
   talloc_free (ctx);
 }
 
-/* The server that should go on starts from the first event: the caller would get it twice. */
+/* The resuming server restarts at the first event, which the caller would receive twice. */
 static void
-test_a_run_that_starts_again_is_seen (void)
+test_repeated_events_are_detected (void)
 {
   static const char run[] = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -99,9 +100,9 @@
   talloc_free (ctx);
 }
 
-/* Ids that are no whole numbers say nothing about where to go on. */
+/* A stream cannot be resumed after an id that is not a whole number. */
 static void
-test_an_id_of_another_kind_is_none (void)
+test_non_numeric_id_is_ignored (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct EventStream stream = { 0 };
@@ -113,11 +114,11 @@
 
 const char test_suite_name[] = "event_stream";
 const struct TestCase test_cases[] = {
-  { "events are the same however they are cut", test_events_are_the_same_however_they_are_cut },
-  { "an event counts once it has ended", test_an_event_counts_once_it_has_ended },
-  { "several data lines are one event", test_several_data_lines_are_one_event },
-  { "a broken event is known", test_a_broken_event_is_known },
-  { "a run that starts again is seen", test_a_run_that_starts_again_is_seen },
-  { "an id of another kind is none", test_an_id_of_another_kind_is_none },
+  { "events do not depend on chunks", test_events_do_not_depend_on_chunks },
+  { "an event counts once complete", test_event_counts_once_complete },
+  { "several data lines form one event", test_data_lines_form_one_event },
+  { "an incomplete event is dropped on resume", test_incomplete_event_is_dropped_on_resume },
+  { "repeated events are detected", test_repeated_events_are_detected },
+  { "a non-numeric id is ignored", test_non_numeric_id_is_ignored },
   { NULL, NULL },
 };
