--- a/core/gateway/gateway_settings.c
+++ b/core/gateway/gateway_settings.c
@@ -49,7 +49,7 @@
   NUMBER ("seed_port", CONFIG_VALUE_NUMBER, seed_port, "0", UNIT_NONE, 0, UINT16_MAX),
 };
 
-static const struct ConfigChoice yes_no[] = {
+static const struct ConfigChoice true_false[] = {
   { "true", 1 },
   { "false", 0 },
   { NULL, 0 },
@@ -57,7 +57,7 @@
 
 static const struct ConfigKey archive_keys[] = {
   { "first_start", CONFIG_VALUE_CHOICE, CONFIG_FIELD (struct GatewaySettings, first_start), "false",
-    UNIT_NONE, 0, 0, yes_no },
+    UNIT_NONE, 0, 0, true_false },
   NUMBER ("tolerated", CONFIG_VALUE_NUMBER, tolerated, "1", UNIT_NONE, 0, 16),
 };
 
@@ -73,7 +73,7 @@
   NUMBER ("connections", CONFIG_VALUE_NUMBER, connections_max, "2000", UNIT_NONE, 8, 100000),
 };
 
-static const struct ConfigChoice sharings[] = {
+static const struct ConfigChoice quota_sharings[] = {
   { "counts", QUOTA_BY_COUNTS },
   { "equal_parts", QUOTA_BY_EQUAL_PARTS },
   { NULL, 0 },
@@ -83,7 +83,7 @@
   NUMBER ("window", CONFIG_VALUE_NUMBER, quota_window_ms, "5s", UNIT_TIME, 1000, 60 * MINUTE_MS),
   NUMBER ("slack", CONFIG_VALUE_NUMBER, quota_slack, "20", UNIT_NONE, 0, 1000000),
   { "sharing", CONFIG_VALUE_CHOICE, CONFIG_FIELD (struct GatewaySettings, quota_sharing), "counts",
-    UNIT_NONE, 0, 0, sharings },
+    UNIT_NONE, 0, 0, quota_sharings },
 };
 
 #define SWITCH(name)                                                                               \
@@ -125,7 +125,8 @@
   return data;
 }
 
-/* A gateway serves callers, an archive has a disk: a process is one or the other. */
+/* Checks that the process is either a gateway, which listens for callers, or an archive, which has
+ * a data folder. */
 static void
 check_role (struct ConfigReader *reader, const struct GatewaySettings *settings)
 {
--- a/core/gateway/route.c
+++ b/core/gateway/route.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  KEY_MAX_BYTES = 2048 /* of a host and a prefix; longer paths have no longer prefixes */
+  KEY_MAX_BYTES = 2048 /* host and path; a longer path is truncated for the lookup */
 };
 
 bool
@@ -26,24 +26,22 @@
   return false;
 }
 
-/* Index. */
-
-struct RouteIndexRow
+struct RouteIndexEntry
 {
-  const char *key; /* host in lower case, then the prefix */
+  const char *key; /* lower-case host followed by the prefix */
   const struct Route *route;
   UT_hash_handle hh;
 };
 
 struct RouteIndex
 {
-  struct RouteIndexRow *rows;
+  struct RouteIndexEntry *entries;
 };
 
 static int
 index_free (struct RouteIndex *index)
 {
-  HASH_CLEAR (hh, index->rows);
+  HASH_CLEAR (hh, index->entries);
   return 0;
 }
 
@@ -57,21 +55,21 @@
 static int32_t
 index_add (struct RouteIndex *index, const struct Route *route)
 {
-  struct RouteIndexRow *row, *before = NULL;
+  struct RouteIndexEntry *entry, *existing = NULL;
   char *key = talloc_asprintf (index, "%s%s", route->host, route->prefix);
 
   if (key == NULL)
     return ERROR_NO_MEMORY;
   lower_case (key, strlen (route->host));
-  HASH_FIND_STR (index->rows, key, before);
-  if (before != NULL)
-    return ERROR_NONE; /* of two with one prefix the first counts */
-  row = talloc_zero (index, struct RouteIndexRow);
-  if (row == NULL)
+  HASH_FIND_STR (index->entries, key, existing);
+  if (existing != NULL)
+    return ERROR_NONE; /* of duplicate prefixes the first wins */
+  entry = talloc_zero (index, struct RouteIndexEntry);
+  if (entry == NULL)
     return ERROR_NO_MEMORY;
-  row->key = key;
-  row->route = route;
-  HASH_ADD_KEYPTR (hh, index->rows, row->key, strlen (row->key), row);
+  entry->key = key;
+  entry->route = route;
+  HASH_ADD_KEYPTR (hh, index->entries, entry->key, strlen (entry->key), entry);
   return ERROR_NONE;
 }
 
@@ -89,8 +87,8 @@
   return error;
 }
 
-/* Prefixes begin and end with a slash: of a path only what ends with one is looked up, the longest
- * first. Answers the load of configurations with thousands of routes. */
+/* Looks up each part of the path that ends with a slash, longest first, since prefixes end with
+ * one. The cost of a lookup does not grow with the number of routes, which may be thousands. */
 const struct Route *
 route_table_find (const struct RouteTable *table, const char *host, const char *path)
 {
@@ -106,13 +104,13 @@
   memcpy (key + host_bytes, path, path_bytes);
   for (size_t n = path_bytes; n > 0; n--)
     {
-      struct RouteIndexRow *row = NULL;
+      struct RouteIndexEntry *entry = NULL;
 
       if (path[n - 1] != '/')
         continue;
-      HASH_FIND (hh, table->index->rows, key, host_bytes + n, row);
-      if (row != NULL)
-        return row->route;
+      HASH_FIND (hh, table->index->entries, key, host_bytes + n, entry);
+      if (entry != NULL)
+        return entry->route;
     }
   return NULL;
 }
--- a/include/buckthornhead/decisions.h
+++ b/include/buckthornhead/decisions.h
@@ -1,7 +1,7 @@
-/* Mechanisms that decide where requests go, when, and how often, each with a switch.
+/* Switches for the mechanisms that decide where, when and how often requests are sent.
  *
- * All are on; operators switch one off to see what it is worth where they are, or when they suspect
- * it. What must hold does not depend on any of them. */
+ * All are on by default. Operators switch one off to measure its effect in their deployment, or
+ * when they suspect it of a fault. No guarantee of the system depends on any of them. */
 #pragma once
 
 #include <stdint.h>
@@ -9,14 +9,14 @@
 /* 1: on. */
 struct Decisions
 {
-  int32_t sessions;  /* a session's turns go where its last turn ran */
-  int32_t parts;     /* shared parts of prompts draw requests to servers that read them */
-  int32_t objects;   /* requests that concern one object meet on one server */
-  int32_t zones;     /* servers of the gateway's own availability zone go first */
-  int32_t failures;  /* servers that fail what they are sent get less */
-  int32_t owners;    /* an engine's owner says when a turn may be sent there */
-  int32_t order;     /* owners order by program; off: in order of arrival */
-  int32_t patience;  /* a silent server's repeatable request goes to another one */
-  int32_t resume;    /* a stream that broke off goes on at another server */
-  int32_t under_way; /* a customer's limit is spent on programs under way before others */
+  int32_t sessions;  /* a session's turns are sent to the server of its last turn */
+  int32_t parts;     /* servers that have processed a shared part of the prompt are preferred */
+  int32_t objects;   /* requests for the same object are sent to the same server */
+  int32_t zones;     /* servers of the gateway's own availability zone are preferred */
+  int32_t failures;  /* servers with many failed requests are sent fewer */
+  int32_t owners;    /* an engine's owner decides when a turn may be sent to it */
+  int32_t order;     /* owners order turns by program; off: in order of arrival */
+  int32_t patience;  /* a repeatable request is sent to another server when the first is silent */
+  int32_t resume;    /* an interrupted stream is resumed on another server */
+  int32_t under_way; /* a customer's limit serves running programs before new ones */
 };
--- a/tests/test_gateway_settings.c
+++ b/tests/test_gateway_settings.c
@@ -15,28 +15,28 @@
                                    "[archives]\nfirst_start = true\ntolerated = 2\n";
 
 static int32_t
-parse (TALLOC_CTX *ctx, const char *text, struct GatewaySettings **settings, char **words)
+parse (TALLOC_CTX *ctx, const char *text, struct GatewaySettings **settings, char **messages)
 {
   struct ConfigFaults *faults = talloc_zero (ctx, struct ConfigFaults);
   int32_t error = gateway_settings_parse (ctx, "x.ini", text, settings, faults);
 
-  *words = config_faults_render (ctx, faults);
+  *messages = config_faults_render (ctx, faults);
   return error;
 }
 
 static void
-test_both_kinds_of_process_are_read (void)
+test_gateway_and_archive_settings_parse (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewaySettings *s;
-  char *words;
+  char *messages;
 
-  CU_ASSERT_EQUAL (parse (ctx, gateway_text, &s, &words), ERROR_NONE);
+  CU_ASSERT_EQUAL (parse (ctx, gateway_text, &s, &messages), ERROR_NONE);
   CU_ASSERT_STRING_EQUAL (s->caller_listen, "127.0.0.1:8149");
   CU_ASSERT_EQUAL (s->grace_ms, 8000);
   CU_ASSERT_EQUAL (s->tolerated, 1);
   CU_ASSERT_STRING_EQUAL (s->prefix, "buckthornhead/");
-  CU_ASSERT_EQUAL (parse (ctx, archive_text, &s, &words), ERROR_NONE);
+  CU_ASSERT_EQUAL (parse (ctx, archive_text, &s, &messages), ERROR_NONE);
   CU_ASSERT_EQUAL (s->first_start, 1);
   CU_ASSERT_EQUAL (s->tolerated, 2);
   CU_ASSERT_STRING_EQUAL (s->data_folder, "/data/x");
@@ -44,74 +44,74 @@
 }
 
 static void
-test_faults_are_all_shown_with_a_remedy (void)
+test_all_faults_are_reported (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewaySettings *s;
-  char *words;
+  char *messages;
 
   CU_ASSERT_EQUAL (
-      parse (ctx, "[instance]\nname = a b\n[listen]\npeer = nowhere\nwhat = 1\n", &s, &words),
+      parse (ctx, "[instance]\nname = a b\n[listen]\npeer = nowhere\nwhat = 1\n", &s, &messages),
       ERROR_INVALID);
   CU_ASSERT_PTR_NULL (s);
-  CU_ASSERT_PTR_NOT_NULL (strstr (words, "x.ini:2:"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (words, "x.ini:4:"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (words, "x.ini:5:"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (words, "zone"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (words, "store"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (messages, "x.ini:2:"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (messages, "x.ini:4:"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (messages, "x.ini:5:"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (messages, "zone"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (messages, "store"));
   talloc_free (ctx);
 }
 
 static void
-test_a_process_is_a_gateway_or_an_archive (void)
+test_process_is_gateway_or_archive (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewaySettings *s;
-  char *words, *both = talloc_asprintf (ctx, "%s[instance]\ndata_folder = /data/x\n", gateway_text);
+  char *messages,
+      *both = talloc_asprintf (ctx, "%s[instance]\ndata_folder = /data/x\n", gateway_text);
 
   CU_ASSERT_EQUAL (parse (ctx,
                           "[instance]\nname = a\nzone = b\n[listen]\npeer = 127.0.0.1:1\n"
                           "[platform]\nstore = http://127.0.0.1:2\n",
-                          &s, &words),
+                          &s, &messages),
                    ERROR_INVALID);
-  CU_ASSERT_PTR_NOT_NULL (strstr (words, "neither a gateway nor an archive"));
-  CU_ASSERT_EQUAL (parse (ctx, both, &s, &words), ERROR_INVALID);
+  CU_ASSERT_PTR_NOT_NULL (strstr (messages, "neither a gateway nor an archive"));
+  CU_ASSERT_EQUAL (parse (ctx, both, &s, &messages), ERROR_INVALID);
   talloc_free (ctx);
 }
 
-/* Operators switch one mechanism off to see what it is worth; a word that is none is told, not
- * taken for off. */
+/* Operators can switch off a single mechanism. An invalid value is reported, not read as off. */
 static void
 test_each_decision_has_a_switch (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewaySettings *s;
-  char *words;
+  char *messages;
 
-  CU_ASSERT_EQUAL (parse (ctx, gateway_text, &s, &words), ERROR_NONE);
+  CU_ASSERT_EQUAL (parse (ctx, gateway_text, &s, &messages), ERROR_NONE);
   CU_ASSERT_EQUAL (s->decisions.sessions, 1);
   CU_ASSERT_EQUAL (s->decisions.resume, 1);
   CU_ASSERT_EQUAL (
       parse (ctx,
              talloc_asprintf (ctx, "%s[decisions]\nsessions = off\nowners = on\n", gateway_text),
-             &s, &words),
+             &s, &messages),
       ERROR_NONE);
   CU_ASSERT_EQUAL (s->decisions.sessions, 0);
   CU_ASSERT_EQUAL (s->decisions.owners, 1);
   CU_ASSERT_EQUAL (s->decisions.order, 1);
   CU_ASSERT_EQUAL (parse (ctx,
                           talloc_asprintf (ctx, "%s[decisions]\norder = maybe\n", gateway_text), &s,
-                          &words),
+                          &messages),
                    ERROR_INVALID);
-  CU_ASSERT_PTR_NOT_NULL (strstr (words, "order"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (messages, "order"));
   talloc_free (ctx);
 }
 
 const char test_suite_name[] = "gateway_settings";
 const struct TestCase test_cases[] = {
-  { "both kinds of process are read", test_both_kinds_of_process_are_read },
-  { "faults are all shown with a remedy", test_faults_are_all_shown_with_a_remedy },
-  { "a process is a gateway or an archive", test_a_process_is_a_gateway_or_an_archive },
+  { "gateway and archive settings parse", test_gateway_and_archive_settings_parse },
+  { "all faults are reported", test_all_faults_are_reported },
+  { "a process is a gateway or an archive", test_process_is_gateway_or_archive },
   { "each decision has a switch", test_each_decision_has_a_switch },
   { NULL, NULL },
 };
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -28,7 +28,7 @@
 static struct RouteTable table = { .version = 7, .routes = routes, .n_routes = 4 };
 
 static const char *
-found (const char *host, const char *path)
+find_name (const char *host, const char *path)
 {
   const struct Route *route;
 
@@ -40,25 +40,25 @@
 }
 
 static void
-test_the_longest_prefix_of_the_host_wins (void)
+test_longest_prefix_of_host_wins (void)
 {
-  CU_ASSERT_STRING_EQUAL (found ("a.example", "/shop/cart/1"), "cart");
-  CU_ASSERT_STRING_EQUAL (found ("a.example", "/shop/1?x=/cart/"), "shop");
-  CU_ASSERT_STRING_EQUAL (found ("a.example", "/shopping"), "all");
-  CU_ASSERT_STRING_EQUAL (found ("b.example", "/shop/1"), "other");
-  CU_ASSERT_STRING_EQUAL (found ("b.example", "/"), "none");
-  CU_ASSERT_STRING_EQUAL (found ("c.example", "/shop/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_name ("a.example", "/shop/cart/1"), "cart");
+  CU_ASSERT_STRING_EQUAL (find_name ("a.example", "/shop/1?x=/cart/"), "shop");
+  CU_ASSERT_STRING_EQUAL (find_name ("a.example", "/shopping"), "all");
+  CU_ASSERT_STRING_EQUAL (find_name ("b.example", "/shop/1"), "other");
+  CU_ASSERT_STRING_EQUAL (find_name ("b.example", "/"), "none");
+  CU_ASSERT_STRING_EQUAL (find_name ("c.example", "/shop/"), "none");
 }
 
 static void
-test_a_host_may_have_a_port_and_any_case (void)
+test_host_may_have_port_and_any_case (void)
 {
-  CU_ASSERT_STRING_EQUAL (found ("A.Example:8080", "/shop/1"), "shop");
-  CU_ASSERT_STRING_EQUAL (found ("a.example.", "/shop/1"), "none");
+  CU_ASSERT_STRING_EQUAL (find_name ("A.Example:8080", "/shop/1"), "shop");
+  CU_ASSERT_STRING_EQUAL (find_name ("a.example.", "/shop/1"), "none");
 }
 
 static void
-test_weights_share_the_draws (void)
+test_services_are_chosen_by_weight (void)
 {
   uint32_t n_next = 0;
 
@@ -68,8 +68,8 @@
   CU_ASSERT_STRING_EQUAL (route_choose_service (&routes[0], 12345), "api");
 }
 
-/* Thousands of routes of many hosts, some of them each other's beginnings: each path takes the
- * longest, and an absurd path none. */
+/* Among thousands of routes of two hosts, with some prefixes nested, each path matches the longest
+ * prefix. A path longer than the lookup limit still matches; an overlong host matches none. */
 static void
 test_thousands_of_routes (void)
 {
@@ -104,9 +104,9 @@
   talloc_free (many);
 }
 
-/* All weights at nothing: an operator drains a split by mistake. Callers are still served. */
+/* An operator sets all weights to 0 by mistake. Calls must still be served. */
 static void
-test_no_weight_at_all_takes_the_first (void)
+test_zero_weights_choose_first_service (void)
 {
   struct RouteTarget none[] = { { "x", 0 }, { "y", 0 } };
   struct Route route = { .targets = none, .n_targets = 2 };
@@ -116,10 +116,10 @@
 
 const char test_suite_name[] = "route";
 const struct TestCase test_cases[] = {
-  { "the longest prefix of the host wins", test_the_longest_prefix_of_the_host_wins },
-  { "a host may have a port and any case", test_a_host_may_have_a_port_and_any_case },
-  { "weights share the draws", test_weights_share_the_draws },
-  { "no weight at all takes the first", test_no_weight_at_all_takes_the_first },
+  { "the longest prefix of the host wins", test_longest_prefix_of_host_wins },
+  { "a host may have a port and any case", test_host_may_have_port_and_any_case },
+  { "services are chosen by weight", test_services_are_chosen_by_weight },
+  { "zero weights choose the first service", test_zero_weights_choose_first_service },
   { "thousands of routes", test_thousands_of_routes },
   { NULL, NULL },
 };
