--- a/core/gateway/snapshot_changes.c
+++ b/core/gateway/snapshot_changes.c
@@ -65,8 +65,8 @@
   return strcmp (a->key, b->key) == 0 && value_is_equal (a, b);
 }
 
-/* How the next items of two ascending lists stand: below 0, a's key comes first; a list that has
- * ended comes last. */
+/* Compares the next items of two sorted lists by key: negative if that of a comes first. A list at
+ * its end comes last. */
 static int
 items_order (const struct Snapshot *a, size_t at_a, const struct Snapshot *b, size_t at_b)
 {
@@ -77,12 +77,12 @@
   return strcmp (a->items[at_a].key, b->items[at_b].key);
 }
 
-/* An empty snapshot with room for all items of both. */
+/* Returns an empty snapshot with the fields of like and space for all items of a and b. */
 static struct Snapshot *
-snapshot_room (TALLOC_CTX *ctx,
-               const struct Snapshot *like,
-               const struct Snapshot *a,
-               const struct Snapshot *b)
+snapshot_new_empty (TALLOC_CTX *ctx,
+                    const struct Snapshot *like,
+                    const struct Snapshot *a,
+                    const struct Snapshot *b)
 {
   struct Snapshot *snapshot = talloc_memdup (ctx, like, sizeof *like);
 
@@ -99,12 +99,12 @@
 struct Snapshot *
 snapshot_changes (TALLOC_CTX *ctx, const struct Snapshot *before, const struct Snapshot *after)
 {
-  struct Snapshot *changes = snapshot_room (ctx, after, before, after);
+  struct Snapshot *changes = snapshot_new_empty (ctx, after, before, after);
   size_t at_before = 0, at_after = 0;
 
   if (changes == NULL)
     return NULL;
-  /* A base of 0 would say that they are the whole. */
+  /* A base of 0 denotes a full list. */
   if (before->content == 0)
     {
       talloc_free (changes);
@@ -140,27 +140,27 @@
 struct Snapshot *
 snapshot_merge (TALLOC_CTX *ctx, const struct Snapshot *before, const struct Snapshot *changes)
 {
-  struct Snapshot *whole = snapshot_room (ctx, changes, before, changes);
+  struct Snapshot *merged = snapshot_new_empty (ctx, changes, before, changes);
   size_t at_before = 0, at_changes = 0;
 
-  if (whole == NULL)
+  if (merged == NULL)
     return NULL;
-  whole->base = 0;
+  merged->base = 0;
   while (at_before < before->n_items || at_changes < changes->n_items)
     {
       int order = items_order (before, at_before, changes, at_changes);
 
       if (order < 0)
         {
-          whole->items[whole->n_items++] = before->items[at_before++];
+          merged->items[merged->n_items++] = before->items[at_before++];
           continue;
         }
       if (!changes->items[at_changes].gone)
-        whole->items[whole->n_items++] = changes->items[at_changes];
+        merged->items[merged->n_items++] = changes->items[at_changes];
       at_before += order == 0;
       at_changes++;
     }
-  return whole;
+  return merged;
 }
 
 struct Snapshot *
@@ -168,9 +168,9 @@
                        const struct Snapshot *before,
                        const struct Snapshot *changes)
 {
-  struct Snapshot *whole = snapshot_merge (ctx, before, changes);
+  struct Snapshot *merged = snapshot_merge (ctx, before, changes);
 
-  if (whole != NULL && snapshot_content (whole->items, whole->n_items) != changes->content)
-    TALLOC_FREE (whole);
-  return whole;
+  if (merged != NULL && snapshot_content (merged->items, merged->n_items) != changes->content)
+    TALLOC_FREE (merged);
+  return merged;
 }
--- a/core/gateway/turn_index.c
+++ b/core/gateway/turn_index.c
@@ -6,17 +6,18 @@
 
 enum
 {
-  /* A program's charges are kept for this long after its last turn opened or closed. Longer than a
-   * turn runs and is retained, twice, on the sheets. */
+  /* Retention of a program's charges after its last turn opened or closed. More than twice the time
+   * for which a turn runs and is retained in the deployments. */
   PROGRAM_KEEP_MS = 180 * 1000,
-  /* A turn outlives its retention by this much: clocks of two machines differ, and the caller's
-   * time starts at the end of its answer. */
+  /* Added to a turn's retention, since clocks of two instances differ and the caller counts from
+   * the end of its response. */
   RETENTION_SLACK_MS = 15 * 1000,
-  CHAIN_MAX = 100000 /* against a loop in damaged records */
+  CHAIN_MAX = 100000 /* turns in a chain; guards against a loop in corrupt records */
 };
 
-/* A customer's name, a line feed, an id; without a customer the id alone. Neither holds a line
- * feed: one can not be spelled like another's. */
+/* An id that is unique across customers: the customer's name, a line feed and the id, or the id
+ * alone without a customer. Neither contains a line feed, so that two customers' ids cannot
+ * collide. */
 struct ScopedId
 {
   char text[2 * NAME_MAX_BYTES + 2];
@@ -102,7 +103,7 @@
 }
 
 static struct IndexedProgram *
-index_need_program (struct TurnIndex *index, const char *customer, const char *id)
+index_ensure_program (struct TurnIndex *index, const char *customer, const char *id)
 {
   struct IndexedProgram *program = index_program (index, customer, id);
 
@@ -131,7 +132,7 @@
 }
 
 static struct IndexedCharge *
-program_need_charge (struct IndexedProgram *program, const char *turn)
+program_ensure_charge (struct IndexedProgram *program, const char *turn)
 {
   struct IndexedCharge *charge = program_charge (program, turn);
   struct IndexedCharge *grown;
@@ -154,8 +155,9 @@
 int32_t
 turn_index_reserve (struct TurnIndex *index, const struct TurnOpen *open, int64_t unix_ms)
 {
-  struct IndexedProgram *program = index_need_program (index, open->customer, open->program);
-  struct IndexedCharge *charge = program != NULL ? program_need_charge (program, open->turn) : NULL;
+  struct IndexedProgram *program = index_ensure_program (index, open->customer, open->program);
+  struct IndexedCharge *charge =
+      program != NULL ? program_ensure_charge (program, open->turn) : NULL;
 
   if (charge == NULL)
     return ERROR_NO_MEMORY;
@@ -165,7 +167,8 @@
   return ERROR_NONE;
 }
 
-/* A turn is kept together with its chain: whoever continues the last needs all. */
+/* Extends the retention of a turn and those before it. Continuing the last turn of a chain needs
+ * all of them. */
 static void
 index_extend_chain (struct TurnIndex *index,
                     const char *customer,
@@ -217,9 +220,9 @@
                   const struct DiskPlace *place,
                   int64_t unix_ms)
 {
-  struct IndexedProgram *program = index_need_program (index, close->customer, close->program);
+  struct IndexedProgram *program = index_ensure_program (index, close->customer, close->program);
   struct IndexedCharge *charge =
-      program != NULL ? program_need_charge (program, close->text.turn) : NULL;
+      program != NULL ? program_ensure_charge (program, close->text.turn) : NULL;
 
   if (charge == NULL)
     return ERROR_NO_MEMORY;
--- a/core/gateway/turn_quorum.c
+++ b/core/gateway/turn_quorum.c
@@ -46,12 +46,12 @@
   *charges = all;
   for (size_t i = 0; i < n_more; i++)
     {
-      struct TurnCharge *known = charge_find (all, *n, more[i].turn);
+      struct TurnCharge *existing = charge_find (all, *n, more[i].turn);
 
-      if (known == NULL)
+      if (existing == NULL)
         all[(*n)++] = more[i];
-      else if (more[i].settled && !known->settled)
-        *known = more[i];
+      else if (more[i].settled && !existing->settled)
+        *existing = more[i];
     }
   return ERROR_NONE;
 }
--- a/include/buckthornhead/snapshot_changes.h
+++ b/include/buckthornhead/snapshot_changes.h
@@ -1,40 +1,42 @@
-/* What differs between two snapshots of the platform's store.
+/* Differences between two snapshots of the platform's store.
  *
- * A list of thousands of servers changes by a few each time it is read. Sent as a whole to hundreds
- * of peers it took more memory than a gateway of 110 MB has: 3,000 servers are 300 KB, times 300
- * peers. Snapshots that are told in changes have their items in ascending order of their keys.
- * Pure. */
+ * Between two reads only a few entries change in a list of thousands of servers. Sending the full
+ * list to all peers exceeded the memory of a gateway with 110 MB: 3,000 servers are 300 KB for each
+ * of 300 peers. The items of snapshots that are sent as changes are in ascending order of their
+ * keys. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/gateway_message.h>
 
-/* A copy of snapshot and its items; belongs to ctx. NULL without memory. */
+/* Returns a copy of snapshot and its items, which belongs to ctx. NULL without memory. */
 struct Snapshot *
 snapshot_copy (TALLOC_CTX *ctx, const struct Snapshot *snapshot);
 
-/* Equal for equal items. */
+/* Returns a hash of the items. */
 uint64_t
 snapshot_content (const struct SnapshotItem *items, size_t n_items);
 
-/* Ascending by key. */
+/* Sorts the items in ascending order of their keys. */
 void
 snapshot_sort_items (struct SnapshotItem *items, size_t n_items);
 
-/* The same key and value. */
+/* Returns true if key and value are equal. */
 bool
 snapshot_item_is_equal (const struct SnapshotItem *a, const struct SnapshotItem *b);
 
-/* What after has and before has not, and what is gone, with .base; belongs to ctx. Values are
- * after's. NULL without memory, or when all of after is no longer. */
+/* Returns the items that are new, changed or removed in after, with .base set to the content of
+ * before; belongs to ctx. Values point into after. NULL without memory, when before has content 0,
+ * or when there are no fewer changes than items in after. */
 struct Snapshot *
 snapshot_changes (TALLOC_CTX *ctx, const struct Snapshot *before, const struct Snapshot *after);
 
-/* The items of before with changes made to them, which are in ascending order of their keys too;
- * belongs to ctx, values are those of both. NULL without memory. */
+/* Returns the items of before with changes applied, whose items are also in ascending order of
+ * their keys; belongs to ctx. Values point into both. NULL without memory. */
 struct Snapshot *
 snapshot_merge (TALLOC_CTX *ctx, const struct Snapshot *before, const struct Snapshot *changes);
 
-/* The same where changes come from snapshot_changes. NULL also when they are not from before. */
+/* Like snapshot_merge, for the result of snapshot_changes. Returns NULL also when the changes do
+ * not lead from before to the content that they announce. */
 struct Snapshot *
 snapshot_with_changes (TALLOC_CTX *ctx,
                        const struct Snapshot *before,
--- a/include/buckthornhead/turn.h
+++ b/include/buckthornhead/turn.h
@@ -1,10 +1,10 @@
-/* Turns of agent programs as the archive keeps them.
+/* Turns of agent programs as stored by the archives.
  *
- * A turn is written once, under an id that nobody else has, to the disks of several archives; it
- * never changes, so that any copy is as good as another and no archive has to lead. What is agreed
- * on is only the budget, and that by a sum over sets that meet: see turn_quorum.h.
+ * A turn is written once, under a unique id, to the disks of several archives. It is immutable, so
+ * that all copies are equivalent and no archive has to act as leader. Agreement is needed only on a
+ * program's budget, which is summed over intersecting quorums; see turn_quorum.h.
  *
- * Turns and programs belong to a customer: under another one's name their ids are unknown. */
+ * Turns and programs belong to a customer. Their ids are unknown to other customers. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -16,51 +16,51 @@
 {
   char turn[NAME_MAX_BYTES + 1];
   char previous[NAME_MAX_BYTES + 1]; /* "" for the first of a chain */
-  char server[NAME_MAX_BYTES + 1];   /* id of the backend server that ran it */
+  char server[NAME_MAX_BYTES + 1];   /* backend server that ran it */
   const uint8_t *input;
   size_t input_bytes;
   const uint8_t *output;
   size_t output_bytes;
 };
 
-/* What one turn takes of its program's budget. */
+/* The charge of one turn to its program's budget. */
 struct TurnCharge
 {
   char turn[NAME_MAX_BYTES + 1];
   uint32_t tokens;
-  bool settled; /* false: reserved, the most that it may come to */
+  bool settled; /* false: reserved, an upper bound of the charge */
 };
 
 enum
 {
-  /* Of a prompt, from its last part back: the session's own, and that of the session in which a
-   * sub-agent was started. */
+  /* Sessions of a prompt, from its last part backwards: the turn's own session, and the one that
+   * started it as a sub-agent. */
   TURN_SESSIONS_MAX = 2
 };
 
-/* The server whose cache holds a session, as far as its last turn says. */
+/* The server whose cache holds a session, as recorded by the session's last turn. */
 struct SessionPlace
 {
-  uint64_t session; /* id of the session's part of the prompt; 0: not known */
-  uint32_t tokens;  /* of it, when that turn was sent */
+  uint64_t session; /* id of the session's part of the prompt; 0: unknown */
+  uint32_t tokens;  /* length of that part when the turn was sent */
   char server[NAME_MAX_BYTES + 1];
 };
 
-/* Asks an archive to reserve tokens for a turn and to say what it knows. */
+/* Requests an archive to reserve tokens for a turn and to return its records of the program. */
 struct TurnOpen
 {
-  uint64_t id;                       /* of the question, repeated in the answer */
-  uint64_t generation;               /* of the set of archives that the asker knows */
-  char customer[NAME_MAX_BYTES + 1]; /* "" where there are none */
+  uint64_t id;                       /* of the request, repeated in the response */
+  uint64_t generation;               /* of the set of archives that the requester has */
+  char customer[NAME_MAX_BYTES + 1]; /* "" without a customer */
   char turn[NAME_MAX_BYTES + 1];
   char program[NAME_MAX_BYTES + 1];
   char previous[NAME_MAX_BYTES + 1];
   uint32_t reserve_tokens;
   bool want_history;
-  uint64_t sessions[TURN_SESSIONS_MAX]; /* whose places are asked for, 0: none */
+  uint64_t sessions[TURN_SESSIONS_MAX]; /* sessions to return the place of; 0: none */
 };
 
-/* Asks for a turn and those before it, as far as the archive has them. */
+/* Requests a turn and the turns before it in its chain. */
 struct TurnRead
 {
   uint64_t id;
@@ -71,18 +71,19 @@
 struct TurnOpened
 {
   uint64_t id;
-  int32_t error; /* ERROR_NONE; ERROR_IO: not reserved, the disk failed; ERROR_FENCED: not
-            reserved, the set of archives is older than the archive's */
-  bool complete; /* the archive has everything that it ever acknowledged */
-  bool has_turn; /* the turn that was asked for, or the previous one, is kept here */
-  struct TurnText *history; /* newest first, ending at the first of the chain or at a gap */
+  /* ERROR_NONE; ERROR_IO: not reserved, the disk failed; ERROR_FENCED: not reserved, the
+   * requester's set of archives is older than the archive's. */
+  int32_t error;
+  bool complete;            /* the archive has every record that it ever acknowledged */
+  bool has_turn;            /* the turn of TurnRead, or previous of TurnOpen, is stored here */
+  struct TurnText *history; /* newest first, up to the chain's start, a gap or the size limit */
   size_t n_history;
-  struct TurnCharge *charges; /* of the program, the new turn's left out */
+  struct TurnCharge *charges; /* of the program, without the new turn */
   size_t n_charges;
-  struct SessionPlace place; /* of the first session that was asked for and is known */
+  struct SessionPlace place; /* of the first requested session that is known */
 };
 
-/* A turn has ended: what it took of the budget, and its text if it may be continued. */
+/* Reports that a turn has ended, its charge, and its text if it may be continued. */
 struct TurnClose
 {
   uint64_t id;
@@ -92,12 +93,12 @@
   uint32_t charge_tokens;
   bool kept;
   uint32_t retention_ms;
-  uint64_t session; /* that text.server holds now; 0: none */
+  uint64_t session; /* now in the cache of text.server; 0: none */
   uint32_t session_tokens;
   struct TurnText text;
 };
 
-/* The turn that closes is durable on this archive's disk; or error says why not. */
+/* Response to TurnClose: error is ERROR_NONE once the record is durable on the archive's disk. */
 struct TurnClosed
 {
   uint64_t id;
--- a/include/buckthornhead/turn_index.h
+++ b/include/buckthornhead/turn_index.h
@@ -1,7 +1,7 @@
-/* What an archive knows of turns and budgets without reading its disk.
+/* In-memory index of the turns and budgets on an archive's disk.
  *
- * Pure: times are given, in milliseconds of the wall clock, since they are compared with what a
- * process before this one wrote. */
+ * Does no I/O. The caller passes times in milliseconds of the wall clock, since they are compared
+ * with times written by earlier processes. */
 #pragma once
 
 #include <buckthornhead/disk_log.h>
@@ -19,35 +19,35 @@
 struct TurnIndex *
 turn_index_new (TALLOC_CTX *ctx);
 
-/* A reservation for a turn that has not closed. One that has closed already stays as it is: a
- * resend that arrives late must not open it again. ERROR_NO_MEMORY. */
+/* Reserves tokens for a turn. A turn that has closed is left unchanged, since a late resend must
+ * not open it again. Fails with ERROR_NO_MEMORY. */
 int32_t
 turn_index_reserve (struct TurnIndex *index, const struct TurnOpen *open, int64_t unix_ms);
 
-/* A turn has closed; its record lies at place. Keeps its chain for as long as it is kept itself.
- * ERROR_NO_MEMORY. */
+/* Records that a turn has closed, with its record at place. Extends the retention of its chain to
+ * its own. Fails with ERROR_NO_MEMORY. */
 int32_t
 turn_index_close (struct TurnIndex *index,
                   const struct TurnClose *close,
                   const struct DiskPlace *place,
                   int64_t unix_ms);
 
-/* False when the turn is not kept here, or is another customer's. */
+/* Returns false if the turn is not in the index or belongs to another customer. */
 bool
 turn_index_find (const struct TurnIndex *index,
                  const char *customer,
                  const char *turn,
                  struct TurnPlace *place);
 
-/* True when the turn's close was taken, whether the turn is kept or not. */
+/* Returns true if the turn has closed, whether it is kept or not. */
 bool
 turn_index_is_closed (const struct TurnIndex *index,
                       const char *customer,
                       const char *program,
                       const char *turn);
 
-/* What the turns of open's program took, except the opened one; the array belongs to ctx.
- * ERROR_NO_MEMORY. */
+/* Returns the charges of the turns of open's program, except the opened one. The array belongs to
+ * ctx. Fails with ERROR_NO_MEMORY. */
 int32_t
 turn_index_charges (const struct TurnIndex *index,
                     TALLOC_CTX *ctx,
@@ -55,15 +55,15 @@
                     struct TurnCharge **charges,
                     size_t *n_charges);
 
-/* The server that holds the first of open's sessions that its program's turns have told of. */
+/* Returns the place of the first of open's sessions that the program's turns recorded. */
 struct SessionPlace
 turn_index_place (const struct TurnIndex *index, const struct TurnOpen *open);
 
-/* When the turn's text may go; 0 when it is not kept. */
+/* Returns the time at which the turn expires; 0 if it is not in the index. */
 int64_t
 turn_index_expires (const struct TurnIndex *index, const char *customer, const char *turn);
 
-/* Forgets turns and programs that have expired. */
+/* Removes expired turns and programs. */
 void
 turn_index_expire (struct TurnIndex *index, int64_t unix_ms);
 
--- a/include/buckthornhead/turn_quorum.h
+++ b/include/buckthornhead/turn_quorum.h
@@ -1,9 +1,9 @@
-/* How many archives must answer, and what their answers mean together.
+/* Read and write quorums of archives, and the merging of their responses.
  *
- * A turn and a reservation count once they are durable on "write" archives; a question counts once
- * "read" archives have answered that lack nothing of what they ever acknowledged. Any such two
- * groups meet, so that what was acknowledged is seen, without a leader and without an election.
- * Pure. */
+ * A turn or a reservation is acknowledged once it is durable on "write" archives. A query is
+ * complete once "read" archives have responded that have every record they ever acknowledged. Any
+ * write quorum intersects any read quorum, so that a query sees all acknowledged records without a
+ * leader or an election. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/turn.h>
@@ -13,13 +13,13 @@
   uint32_t write, read;
 };
 
-/* For n_archives of which tolerated may lose their disks at once. With too few archives for both,
- * all must answer. */
+/* Returns the quorums of n_archives, of which tolerated may lose their disks at once. All archives
+ * must respond if there are no more than tolerated. */
 struct ArchiveQuorum
 archive_quorum (uint32_t n_archives, uint32_t tolerated);
 
-/* Adds more to charges (a talloc array of *n, of ctx), each turn once; a settled charge replaces a
- * reservation. ERROR_NO_MEMORY. */
+/* Merges more into charges, a talloc array of *n items that belongs to ctx, with one item per turn.
+ * A settled charge replaces a reservation. Fails with ERROR_NO_MEMORY. */
 int32_t
 turn_charges_merge (TALLOC_CTX *ctx,
                     struct TurnCharge **charges,
@@ -27,12 +27,13 @@
                     const struct TurnCharge *more,
                     size_t n_more);
 
-/* Whether any turn has taken something, or may: attempts that were sent back have taken nothing. */
+/* Returns true if any turn was charged or has a reservation. Rejected attempts are settled with a
+ * charge of 0. */
 bool
 turn_charges_any (const struct TurnCharge *charges, size_t n);
 
-/* Whether a turn that may make max_tokens fits into what is left of budget_tokens. Reservations
- * count in full: their turns may hand out that much. */
+/* Returns true if a turn of up to max_tokens fits into the rest of budget_tokens. Reservations
+ * count in full, since their turns may produce that many tokens. */
 bool
 turn_budget_allows (const struct TurnCharge *charges,
                     size_t n,
--- a/tests/test_snapshot_changes.c
+++ b/tests/test_snapshot_changes.c
@@ -12,9 +12,9 @@
   N_ROUNDS = 300
 };
 
-/* A snapshot with the keys whose bit is drawn, and values that change now and then. */
+/* Returns a snapshot with about four fifths of the keys, chosen at random, and random values. */
 static struct Snapshot *
-drawn (TALLOC_CTX *ctx, unsigned *state)
+random_snapshot (TALLOC_CTX *ctx, unsigned *state)
 {
   struct Snapshot *s = talloc_zero (ctx, struct Snapshot);
 
@@ -35,39 +35,41 @@
   return s;
 }
 
-/* Whatever two lists in a row are, a peer that holds the first gets the second from the changes. */
+/* For any two consecutive lists, applying the changes to the first yields the second. */
 static void
-test_changes_lead_from_one_to_the_other (void)
+test_changes_yield_the_next_list (void)
 {
   unsigned state = 7;
 
   for (int round = 0; round < N_ROUNDS; round++)
     {
       TALLOC_CTX *ctx = talloc_new (NULL);
-      struct Snapshot *before = drawn (ctx, &state), *after = drawn (ctx, &state), *whole;
+      struct Snapshot *before = random_snapshot (ctx, &state),
+                      *after = random_snapshot (ctx, &state), *merged;
       struct Snapshot *changes = snapshot_changes (ctx, before, after);
 
       if (changes != NULL)
         {
           CU_ASSERT_EQUAL (changes->base, before->content);
-          whole = snapshot_with_changes (ctx, before, changes);
-          CU_ASSERT_PTR_NOT_NULL_FATAL (whole);
-          if (whole == NULL)
+          merged = snapshot_with_changes (ctx, before, changes);
+          CU_ASSERT_PTR_NOT_NULL_FATAL (merged);
+          if (merged == NULL)
             return;
-          CU_ASSERT_EQUAL (whole->base, 0);
-          CU_ASSERT_EQUAL (whole->content, after->content);
-          CU_ASSERT_EQUAL_FATAL (whole->n_items, after->n_items);
+          CU_ASSERT_EQUAL (merged->base, 0);
+          CU_ASSERT_EQUAL (merged->content, after->content);
+          CU_ASSERT_EQUAL_FATAL (merged->n_items, after->n_items);
           for (size_t i = 0; i < after->n_items; i++)
-            CU_ASSERT_STRING_EQUAL (whole->items[i].key, after->items[i].key);
+            CU_ASSERT_STRING_EQUAL (merged->items[i].key, after->items[i].key);
         }
       talloc_free (ctx);
     }
 }
 
-/* A peer missed one list. The changes from it to the next do not fit what it holds: taken for the
- * list, a server that has left would stay for ever. It is told, and asks for the whole. */
+/* A peer that missed a list receives changes that do not apply to the list it holds. If it applied
+ * them, a removed server would stay listed forever. The mismatch is detected, so that the peer can
+ * request the full list. */
 static void
-test_changes_of_another_state_are_refused (void)
+test_changes_to_another_state_are_rejected (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   unsigned state = 11;
@@ -75,39 +77,41 @@
 
   for (int round = 0; round < N_ROUNDS; round++)
     {
-      struct Snapshot *held = drawn (ctx, &state), *missed = drawn (ctx, &state);
-      struct Snapshot *after = drawn (ctx, &state);
-      struct Snapshot *changes = snapshot_changes (ctx, missed, after), *whole;
+      struct Snapshot *held = random_snapshot (ctx, &state),
+                      *missed = random_snapshot (ctx, &state);
+      struct Snapshot *after = random_snapshot (ctx, &state);
+      struct Snapshot *changes = snapshot_changes (ctx, missed, after), *merged;
 
       if (changes == NULL || held->content == missed->content)
         continue;
       n_tried++;
-      whole = snapshot_with_changes (ctx, held, changes);
-      /* By chance the state that is held may lead there, too; never to anything else. */
-      n_refused += whole == NULL;
-      CU_ASSERT (whole == NULL || whole->content == after->content);
+      merged = snapshot_with_changes (ctx, held, changes);
+      /* The held state may lead to the same list by chance, but never to any other. */
+      n_refused += merged == NULL;
+      CU_ASSERT (merged == NULL || merged->content == after->content);
     }
   CU_ASSERT (n_tried > 50 && n_refused > n_tried / 2);
   talloc_free (ctx);
 }
 
 static void
-test_few_changes_are_few_items (void)
+test_only_changed_items_are_included (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   unsigned state = 3;
-  struct Snapshot *before = drawn (ctx, &state), *after = snapshot_copy (ctx, before), *changes;
+  struct Snapshot *before = random_snapshot (ctx, &state), *after = snapshot_copy (ctx, before),
+                  *changes;
 
   after->items[4].value = (const uint8_t *)"leaving.";
   after->content = snapshot_content (after->items, after->n_items);
   changes = snapshot_changes (ctx, before, after);
   CU_ASSERT_PTR_NOT_NULL_FATAL (changes);
-  if (changes == NULL) /* the analyser does not know that the line above ends the test */
+  if (changes == NULL) /* for the static analyser, which does not see that the line above returns */
     return;
   CU_ASSERT_EQUAL (changes->n_items, 1);
   CU_ASSERT_STRING_EQUAL (changes->items[0].key, before->items[4].key);
   CU_ASSERT_FALSE (changes->items[0].gone);
-  /* A list that is all new is sent as it is. */
+  /* No changes are returned when all items are new; the full list is sent. */
   before->n_items = 0;
   CU_ASSERT_PTR_NULL (snapshot_changes (ctx, before, after));
   talloc_free (ctx);
@@ -115,8 +119,8 @@
 
 const char test_suite_name[] = "snapshot_changes";
 const struct TestCase test_cases[] = {
-  { "changes lead from one to the other", test_changes_lead_from_one_to_the_other },
-  { "changes of another state are refused", test_changes_of_another_state_are_refused },
-  { "few changes are few items", test_few_changes_are_few_items },
+  { "changes yield the next list", test_changes_yield_the_next_list },
+  { "changes to another state are rejected", test_changes_to_another_state_are_rejected },
+  { "only changed items are included", test_only_changed_items_are_included },
   { NULL, NULL },
 };
--- a/tests/test_turn_index.c
+++ b/tests/test_turn_index.c
@@ -11,7 +11,7 @@
 };
 
 static struct TurnOpen
-opening (const char *turn, uint32_t tokens)
+turn_open (const char *turn, uint32_t tokens)
 {
   struct TurnOpen open = { .reserve_tokens = tokens };
 
@@ -21,7 +21,7 @@
 }
 
 static struct TurnClose
-closing (const char *turn, const char *previous, uint32_t tokens, bool kept)
+turn_close (const char *turn, const char *previous, uint32_t tokens, bool kept)
 {
   struct TurnClose close = { .charge_tokens = tokens, .kept = kept, .retention_ms = RETENTION_MS };
 
@@ -34,18 +34,18 @@
 static void
 close_turn (struct TurnIndex *index, const char *turn, const char *previous, int64_t unix_ms)
 {
-  const struct TurnClose close = closing (turn, previous, 19, true);
+  const struct TurnClose close = turn_close (turn, previous, 19, true);
   const struct DiskPlace place = { 1, 100, 10 };
 
   CU_ASSERT_EQUAL (turn_index_close (index, &close, &place, unix_ms), ERROR_NONE);
 }
 
 static uint32_t
-tokens_of (struct TurnIndex *index, const char *except, bool *settled)
+charged_tokens (struct TurnIndex *index, const char *except, bool *settled)
 {
   struct TurnCharge *charges;
   uint32_t tokens = 0;
-  const struct TurnOpen open = opening (except, 0);
+  const struct TurnOpen open = turn_open (except, 0);
   size_t n;
 
   *settled = true;
@@ -60,45 +60,45 @@
 }
 
 static void
-test_a_reservation_becomes_a_charge (void)
+test_reservation_becomes_charge (void)
 {
   struct TurnIndex *index = turn_index_new (NULL);
-  const struct TurnOpen open = opening ("t1", 500);
-  const struct TurnClose close = closing ("t1", "", 38, false);
+  const struct TurnOpen open = turn_open ("t1", 500);
+  const struct TurnClose close = turn_close ("t1", "", 38, false);
   bool settled;
 
   turn_index_reserve (index, &open, 0);
-  CU_ASSERT_EQUAL (tokens_of (index, "t2", &settled), 500);
+  CU_ASSERT_EQUAL (charged_tokens (index, "t2", &settled), 500);
   CU_ASSERT_FALSE (settled);
-  CU_ASSERT_EQUAL (tokens_of (index, "t1", &settled), 0);
+  CU_ASSERT_EQUAL (charged_tokens (index, "t1", &settled), 0);
   turn_index_close (index, &close, NULL, 10);
-  CU_ASSERT_EQUAL (tokens_of (index, "t2", &settled), 38);
+  CU_ASSERT_EQUAL (charged_tokens (index, "t2", &settled), 38);
   CU_ASSERT_TRUE (settled);
   talloc_free (index);
 }
 
-/* A question that was asked again, another way, arrives after the turn has closed. Taken for a new
- * reservation it would hold the program's budget for ever. */
+/* A request resent over another path arrives after the turn has closed. Treated as a new
+ * reservation it would occupy the program's budget forever. */
 static void
-test_a_late_question_opens_nothing_again (void)
+test_late_resend_does_not_reopen_turn (void)
 {
   struct TurnIndex *index = turn_index_new (NULL);
-  const struct TurnOpen open = opening ("t1", 500);
+  const struct TurnOpen open = turn_open ("t1", 500);
   bool settled;
 
   turn_index_reserve (index, &open, 0);
   close_turn (index, "t1", "", 10);
   turn_index_reserve (index, &open, 20);
-  CU_ASSERT_EQUAL (tokens_of (index, "", &settled), 19);
+  CU_ASSERT_EQUAL (charged_tokens (index, "", &settled), 19);
   CU_ASSERT_TRUE (settled);
   CU_ASSERT_TRUE (turn_index_is_closed (index, "", "p", "t1"));
   talloc_free (index);
 }
 
-/* A dietitian's review goes on for longer than a turn is kept. Its first turn must stay as long as
- * its last one: whoever continues needs the whole chain. */
+/* A conversation lasts longer than the retention of a turn. Its first turn must be kept as long as
+ * its last, since continuing it needs the whole chain. */
 static void
-test_a_turn_keeps_its_whole_chain (void)
+test_turn_keeps_its_whole_chain (void)
 {
   struct TurnIndex *index = turn_index_new (NULL);
   struct TurnPlace place;
@@ -116,9 +116,9 @@
   talloc_free (index);
 }
 
-/* Never forgotten before its time, whatever the archive's clock does within some seconds. */
+/* Clocks of instances may differ by some seconds. No turn may expire before its retention. */
 static void
-test_a_turn_outlives_its_retention (void)
+test_turn_is_kept_past_its_retention (void)
 {
   struct TurnIndex *index = turn_index_new (NULL);
   struct TurnPlace place;
@@ -130,31 +130,32 @@
 }
 
 static void
-test_a_turn_that_broke_off_is_charged_and_not_kept (void)
+test_interrupted_turn_is_charged_not_kept (void)
 {
   struct TurnIndex *index = turn_index_new (NULL);
-  const struct TurnClose close = closing ("t1", "", 57, false);
+  const struct TurnClose close = turn_close ("t1", "", 57, false);
   struct TurnPlace place;
   bool settled;
 
   turn_index_close (index, &close, NULL, 0);
   CU_ASSERT_FALSE (turn_index_find (index, "", "t1", &place));
-  CU_ASSERT_EQUAL (tokens_of (index, "", &settled), 57);
+  CU_ASSERT_EQUAL (charged_tokens (index, "", &settled), 57);
   talloc_free (index);
 }
 
-/* Turns of one session come through several gateways, and none of them keeps what was said. The
- * archives tell which server ran the turn before, so that it is not read again elsewhere: of the
- * session itself, or, for a sub-agent that has not had a turn, of the session that started it. */
+/* Turns of one session arrive through several gateways, none of which keeps the conversation. The
+ * archives return the server that ran the previous turn, so that no other server processes the same
+ * prompt again: that of the session itself or, for a sub-agent's first turn, of the session that
+ * started it. */
 static void
-test_a_programs_sessions_are_found (void)
+test_places_of_sessions_are_found (void)
 {
   const struct TurnOpen own = { .program = "p", .sessions = { 5, 0 } };
   const struct TurnOpen child = { .program = "p", .sessions = { 6, 5 } };
   const struct TurnOpen other = { .program = "p", .sessions = { 9, 8 } };
   const struct TurnOpen elsewhere = { .program = "q", .sessions = { 5, 0 } };
   struct TurnIndex *index = turn_index_new (NULL);
-  struct TurnClose close = closing ("t1", "", 19, false);
+  struct TurnClose close = turn_close ("t1", "", 19, false);
   const struct DiskPlace place = { 1, 100, 10 };
 
   CU_ASSERT_EQUAL (turn_index_place (index, &own).session, 0);
@@ -166,7 +167,7 @@
   CU_ASSERT_STRING_EQUAL (turn_index_place (index, &child).server, "e1");
   CU_ASSERT_EQUAL (turn_index_place (index, &other).session, 0);
   CU_ASSERT_EQUAL (turn_index_place (index, &elsewhere).session, 0);
-  close = closing ("t2", "", 19, false);
+  close = turn_close ("t2", "", 19, false);
   close.session = 6;
   close.session_tokens = 200;
   snprintf (close.text.server, sizeof close.text.server, "e2");
@@ -176,15 +177,14 @@
   talloc_free (index);
 }
 
-/* A customer names a turn of another one's program as the turn that it continues, or uses that
- * program's id for its own. It reads nothing of the other's, finds no trace that it exists, and
- * spends no token of its budget. */
+/* A customer continues a turn of another customer's program, or uses that program's id for its own.
+ * It must not read the other's data, detect that it exists, or spend its budget. */
 static void
-test_what_is_anothers_does_not_exist (void)
+test_other_customers_data_is_hidden (void)
 {
   struct TurnIndex *index = turn_index_new (NULL);
-  struct TurnClose close = closing ("t1", "", 19, true);
-  struct TurnOpen open = opening ("t2", 500);
+  struct TurnClose close = turn_close ("t1", "", 19, true);
+  struct TurnOpen open = turn_open ("t2", 500);
   const struct DiskPlace first = { 1, 100, 10 }, second = { 2, 200, 10 };
   struct TurnPlace place;
   struct TurnCharge *charges;
@@ -206,7 +206,7 @@
   snprintf (open.turn, sizeof open.turn, "t9");
   turn_index_charges (index, index, &open, &charges, &n);
   CU_ASSERT_EQUAL (n, 1);
-  /* The same id under another name is another turn. */
+  /* The same id of another customer is another turn. */
   snprintf (close.customer, sizeof close.customer, "bela");
   turn_index_close (index, &close, &second, 0);
   CU_ASSERT_TRUE (turn_index_find (index, "alma", "t1", &place));
@@ -218,12 +218,12 @@
 
 const char test_suite_name[] = "turn_index";
 const struct TestCase test_cases[] = {
-  { "a reservation becomes a charge", test_a_reservation_becomes_a_charge },
-  { "a late question opens nothing again", test_a_late_question_opens_nothing_again },
-  { "a turn keeps its whole chain", test_a_turn_keeps_its_whole_chain },
-  { "a turn outlives its retention", test_a_turn_outlives_its_retention },
-  { "a broken turn is charged and not kept", test_a_turn_that_broke_off_is_charged_and_not_kept },
-  { "a program's sessions are found", test_a_programs_sessions_are_found },
-  { "what is another customer's does not exist", test_what_is_anothers_does_not_exist },
+  { "a reservation becomes a charge", test_reservation_becomes_charge },
+  { "a late resend does not reopen a turn", test_late_resend_does_not_reopen_turn },
+  { "a turn keeps its whole chain", test_turn_keeps_its_whole_chain },
+  { "a turn is kept past its retention", test_turn_is_kept_past_its_retention },
+  { "an interrupted turn is charged, not kept", test_interrupted_turn_is_charged_not_kept },
+  { "places of a program's sessions are found", test_places_of_sessions_are_found },
+  { "another customer's data is hidden", test_other_customers_data_is_hidden },
   { NULL, NULL },
 };
--- a/tests/test_turn_quorum.c
+++ b/tests/test_turn_quorum.c
@@ -14,9 +14,10 @@
   return c;
 }
 
-/* Any archives that were written to and any that are asked share one that keeps its disk. */
+/* Any write quorum and any read quorum share an archive, and a write quorum is larger than the
+ * number of archives that may lose their disks. */
 static void
-test_what_is_written_meets_what_is_read (void)
+test_write_and_read_quorums_intersect (void)
 {
   for (uint32_t tolerated = 0; tolerated <= 2; tolerated++)
     for (uint32_t n = tolerated + 1; n <= 9; n++)
@@ -29,9 +30,9 @@
       }
 }
 
-/* Two archives each missed one close of the program: only together they know what it spent. */
+/* Two archives each missed one close of the program. Only their merged charges are complete. */
 static void
-test_a_settled_charge_replaces_a_reservation (void)
+test_settled_charge_replaces_reservation (void)
 {
   const struct TurnCharge first[] = { charge ("t1", 500, false), charge ("t2", 40, true) };
   const struct TurnCharge second[] = { charge ("t1", 19, true), charge ("t2", 500, false),
@@ -47,8 +48,8 @@
   talloc_free (all);
 }
 
-/* Sub-agents start at the same moment through different gateways: each sees the other's
- * reservation, so that together they can not hand out more than the budget. */
+/* Sub-agents start at the same time through different gateways. Each sees the other's reservation,
+ * so that together they cannot exceed the budget. */
 static void
 test_reservations_count_in_full (void)
 {
@@ -59,10 +60,10 @@
   CU_ASSERT_TRUE (turn_budget_allows (NULL, 0, 600, 600));
 }
 
-/* A program's first turn was sent back, not run, and comes again. It has had nothing: taken for one
- * under way it would go before programs that have. */
+/* A program's first turn was rejected without being run and is retried. Treated as a running
+ * program it would take precedence over programs that have run. */
 static void
-test_attempts_that_were_sent_back_are_nothing (void)
+test_rejected_attempts_are_not_charged (void)
 {
   struct TurnCharge charges[2] = { { .turn = "a", .settled = true }, { .turn = "b" } };
 
@@ -77,9 +78,9 @@
 
 const char test_suite_name[] = "turn_quorum";
 const struct TestCase test_cases[] = {
-  { "what is written meets what is read", test_what_is_written_meets_what_is_read },
-  { "a settled charge replaces a reservation", test_a_settled_charge_replaces_a_reservation },
+  { "write and read quorums intersect", test_write_and_read_quorums_intersect },
+  { "a settled charge replaces a reservation", test_settled_charge_replaces_reservation },
   { "reservations count in full", test_reservations_count_in_full },
-  { "attempts that were sent back are nothing", test_attempts_that_were_sent_back_are_nothing },
+  { "rejected attempts are not charged", test_rejected_attempts_are_not_charged },
   { NULL, NULL },
 };
