--- a/core/gateway/archive_order.c
+++ b/core/gateway/archive_order.c
@@ -10,11 +10,10 @@
   return XXH64 (candidate->name, strlen (candidate->name), program_hash);
 }
 
-/* Whether a goes before b. */
 static bool
-candidate_before (const struct ArchiveCandidate *a,
-                  const struct ArchiveCandidate *b,
-                  uint64_t program_hash)
+candidate_precedes (const struct ArchiveCandidate *a,
+                    const struct ArchiveCandidate *b,
+                    uint64_t program_hash)
 {
   if (a->answers != b->answers)
     return a->answers;
@@ -28,15 +27,15 @@
 {
   uint64_t program_hash = XXH64 (program, strlen (program), 0);
 
-  /* A set has few archives: inserting is as quick as anything. */
+  /* Insertion sort: a set has at most ARCHIVE_SET_MAX archives. */
   for (size_t i = 1; i < n; i++)
     for (size_t at = i;
-         at > 0 && candidate_before (&candidates[at], &candidates[at - 1], program_hash); at--)
+         at > 0 && candidate_precedes (&candidates[at], &candidates[at - 1], program_hash); at--)
       {
-        struct ArchiveCandidate swapped = candidates[at];
+        struct ArchiveCandidate tmp = candidates[at];
 
         candidates[at] = candidates[at - 1];
-        candidates[at - 1] = swapped;
+        candidates[at - 1] = tmp;
       }
 }
 
@@ -54,7 +53,7 @@
 }
 
 static bool
-zone_is_among (const char *zone, const char *const *zones, size_t n_zones)
+zone_is_listed (const char *zone, const char *const *zones, size_t n_zones)
 {
   for (size_t i = 0; i < n_zones; i++)
     if (strcmp (zones[i], zone) == 0)
@@ -68,8 +67,8 @@
                       const char *const *zones,
                       size_t n_zones)
 {
-  bool a_taken = zone_is_among (a->zone, zones, n_zones);
-  bool b_taken = zone_is_among (b->zone, zones, n_zones);
+  bool a_covered = zone_is_listed (a->zone, zones, n_zones);
+  bool b_covered = zone_is_listed (b->zone, zones, n_zones);
 
-  return a_taken != b_taken ? b_taken : a->rank < b->rank;
+  return a_covered != b_covered ? b_covered : a->rank < b->rank;
 }
--- a/core/gateway/archive_set.c
+++ b/core/gateway/archive_set.c
@@ -37,7 +37,7 @@
 }
 
 static uint32_t
-names_shared (const struct ArchiveNames *a, const struct ArchiveNames *b)
+names_count_shared (const struct ArchiveNames *a, const struct ArchiveNames *b)
 {
   uint32_t n = 0;
 
@@ -55,24 +55,28 @@
 struct ArchiveNames
 archive_set_asked (const struct ArchiveSet *set)
 {
-  struct ArchiveNames asked = set->members;
+  struct ArchiveNames queried = set->members;
 
   if (set->stage != ARCHIVE_STAGE_STABLE)
     for (uint32_t i = 0; i < set->former.n; i++)
-      archive_names_add (&asked, set->former.names[i]);
-  return asked;
+      archive_names_add (&queried, set->former.names[i]);
+  return queried;
 }
 
 static bool
-names_write (const struct ArchiveNames *set, uint32_t tolerated, const struct ArchiveNames *names)
+names_meet_write_quorum (const struct ArchiveNames *set,
+                         uint32_t tolerated,
+                         const struct ArchiveNames *names)
 {
-  return names_shared (set, names) >= archive_quorum (set->n, tolerated).write;
+  return names_count_shared (set, names) >= archive_quorum (set->n, tolerated).write;
 }
 
 static bool
-names_read (const struct ArchiveNames *set, uint32_t tolerated, const struct ArchiveNames *names)
+names_meet_read_quorum (const struct ArchiveNames *set,
+                        uint32_t tolerated,
+                        const struct ArchiveNames *names)
 {
-  return names_shared (set, names) >= archive_quorum (set->n, tolerated).read;
+  return names_count_shared (set, names) >= archive_quorum (set->n, tolerated).read;
 }
 
 bool
@@ -83,11 +87,11 @@
   switch (set->stage)
     {
     case ARCHIVE_STAGE_STABLE:
-      return set->generation > 0 && names_write (&set->members, tolerated, names);
+      return set->generation > 0 && names_meet_write_quorum (&set->members, tolerated, names);
     case ARCHIVE_STAGE_STARTING:
     case ARCHIVE_STAGE_ENDING:
-      return names_write (&set->members, tolerated, names)
-             && names_write (&set->former, tolerated, names);
+      return names_meet_write_quorum (&set->members, tolerated, names)
+             && names_meet_write_quorum (&set->former, tolerated, names);
     }
   return false;
 }
@@ -100,12 +104,12 @@
   switch (set->stage)
     {
     case ARCHIVE_STAGE_STABLE:
-      return set->generation > 0 && names_read (&set->members, tolerated, names);
+      return set->generation > 0 && names_meet_read_quorum (&set->members, tolerated, names);
     case ARCHIVE_STAGE_STARTING:
-      return names_read (&set->former, tolerated, names);
+      return names_meet_read_quorum (&set->former, tolerated, names);
     case ARCHIVE_STAGE_ENDING:
-      return names_read (&set->members, tolerated, names)
-             && names_read (&set->former, tolerated, names);
+      return names_meet_read_quorum (&set->members, tolerated, names)
+             && names_meet_read_quorum (&set->former, tolerated, names);
     }
   return false;
 }
@@ -118,7 +122,7 @@
   const struct ArchiveNames *from =
       set->stage == ARCHIVE_STAGE_STABLE ? &set->members : &set->former;
 
-  return set->generation > 0 && names_read (from, tolerated, names);
+  return set->generation > 0 && names_meet_read_quorum (from, tolerated, names);
 }
 
 uint64_t
@@ -128,7 +132,8 @@
                                                                    : set->generation;
 }
 
-/* As many must answer a question as must sync a write: any tolerated ones may be away for both. */
+/* With 2t + 1 members both quorums are t + 1: any t members may be unavailable for reads and
+ * writes alike. */
 uint32_t
 archive_set_wanted (uint32_t tolerated)
 {
@@ -197,28 +202,28 @@
 }
 
 bool
-archive_set_step (const struct ArchiveSet *held,
+archive_set_step (const struct ArchiveSet *stored,
                   const struct ArchiveStep *step,
                   uint32_t tolerated,
                   struct ArchiveSet *next)
 {
-  bool is_decided_on = held->generation == step->generation;
+  bool is_current = stored->generation == step->generation;
 
   switch (step->kind)
     {
     case ARCHIVE_STEP_FIRST:
-      *next = archive_set_first (held, step->joining);
-      return held->stage == ARCHIVE_STAGE_STABLE && !archive_set_has (held, step->joining)
-             && held->members.n < archive_set_wanted (tolerated);
+      *next = archive_set_first (stored, step->joining);
+      return stored->stage == ARCHIVE_STAGE_STABLE && !archive_set_has (stored, step->joining)
+             && stored->members.n < archive_set_wanted (tolerated);
     case ARCHIVE_STEP_CHANGE:
-      *next = archive_set_change (held, step->joining, step->leaving);
-      return is_decided_on && held->stage == ARCHIVE_STAGE_STABLE;
+      *next = archive_set_change (stored, step->joining, step->leaving);
+      return is_current && stored->stage == ARCHIVE_STAGE_STABLE;
     case ARCHIVE_STEP_REJOIN:
-      *next = archive_set_rejoin (held, step->joining);
-      return is_decided_on && held->stage == ARCHIVE_STAGE_STARTING;
+      *next = archive_set_rejoin (stored, step->joining);
+      return is_current && stored->stage == ARCHIVE_STAGE_STARTING;
     case ARCHIVE_STEP_ADVANCE:
-      *next = archive_set_advance (held);
-      return is_decided_on && held->stage != ARCHIVE_STAGE_STABLE;
+      *next = archive_set_advance (stored);
+      return is_current && stored->stage != ARCHIVE_STAGE_STABLE;
     }
   return false;
 }
--- a/include/buckthornhead/archive_order.h
+++ b/include/buckthornhead/archive_order.h
@@ -1,8 +1,9 @@
-/* In which order a gateway turns to the archives of a set with a program's turns.
+/* The order in which a gateway prefers the archives of a set for a program's turns.
  *
- * A turn's texts are large and bytes between availability zones are paid for, so that they go to no
- * more archives than must have them, the nearest first; and all gateways of a zone keep to one
- * order for a program, so that the archive that is asked for its history has it. Pure. */
+ * Turn texts are large and traffic between availability zones is billed, so texts are sent to no
+ * more archives than the write quorum requires, those in the gateway's zone first. All gateways of
+ * a zone use the same order for a program, so that the archive that is queried first for its
+ * history stores it. Pure. */
 #pragma once
 
 #include <buckthornhead/archive_set.h>
@@ -10,32 +11,35 @@
 struct ArchiveCandidate
 {
   char name[NAME_MAX_BYTES + 1];
-  bool answers; /* its link has answered lately */
+  bool answers; /* responded recently over its link */
   bool near;    /* in the gateway's availability zone */
 };
 
-/* Sorts: those that answer first, of them the near ones, then by a hash of program and archive. */
+/* Sorts by responsive before unresponsive, then same zone before other zones, then by a hash of
+ * program and archive. */
 void
 archive_order_sort (struct ArchiveCandidate *candidates, size_t n, const char *program);
 
-/* The first of sorted candidates that are enough for a write to set; all when none would be. */
+/* Returns the shortest prefix of the sorted candidates that is a write quorum of set, or all of
+ * them if they are not one. */
 struct ArchiveNames
 archive_order_write (const struct ArchiveSet *set,
                      uint32_t tolerated,
                      const struct ArchiveCandidate *sorted,
                      size_t n);
 
-/* An archive that may become one of the first set's members. */
+/* An archive that may become a member of the first set. */
 struct ArchiveFirst
 {
   char zone[NAME_MAX_BYTES + 1];
-  uint64_t rank; /* hash of its name */
+  uint64_t rank; /* hash of the archive's name */
 };
 
-/* Whether a joins the first set before b, whose members so far stand in the zones: those of zones
- * without one go first, so that each zone has an archive near its gateways and the loss of a zone
- * takes few; then by their hash. When all 24 archives of a fleet tried at the same moment they made
- * 240 calls to the store for a set of five. */
+/* Returns whether a joins the first set before b. zones are those of the set's present members:
+ * archives of zones without a member come first, so that each zone has an archive close to its
+ * gateways and the loss of a zone affects few members; then the lower rank. The order exists
+ * because joining all at once is expensive: the 24 archives of a fleet that tried at the same
+ * moment made 240 calls to the store for a set of five. */
 bool
 archive_first_before (const struct ArchiveFirst *a,
                       const struct ArchiveFirst *b,
--- a/include/buckthornhead/archive_set.h
+++ b/include/buckthornhead/archive_set.h
@@ -1,12 +1,13 @@
-/* Which archives hold the turns, and how a set of them gives way to the next.
+/* The set of archives that store the turns, and how it is replaced by the next set.
  *
- * The platform's store holds the set, changed by compare-and-swap, with a generation that grows
- * with each change. A change passes two stages. While it is STARTING, what is written goes to
- * enough archives of both the former and the new set, and what is read comes from the former one;
- * the new archives copy from as many of the former as any question needs, each of which already
- * refuses questions from before the change. While it is ENDING, both sets are asked for everything.
- * Then the new set stands alone. Two neighbouring stages may be in use side by side: what one
- * writes, the other reads. Archives refuse older ones. Nothing here rests on a clock. Pure. */
+ * The platform's store holds the set, which changes by compare-and-swap and whose generation
+ * increases with each change. A change has two stages. While it is STARTING, writes need a write
+ * quorum of both the former and the new set, and reads need a read quorum of the former set; the
+ * new archives copy from a read quorum of the former ones, each of which already rejects requests
+ * of generations before the change. While it is ENDING, both reads and writes need a quorum of both
+ * sets. After that the new set is used alone. Processes in two adjacent stages may run at the same
+ * time: each reads what the other has written. Archives reject requests of older stages. Nothing
+ * here depends on a clock. Pure. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -33,104 +34,110 @@
 
 struct ArchiveSet
 {
-  uint64_t generation; /* 0: there is none yet */
+  uint64_t generation; /* 0: no set exists yet */
   enum ArchiveStage stage;
   struct ArchiveNames members;
-  struct ArchiveNames former; /* as long as it is not stable */
+  struct ArchiveNames former; /* previous members; empty while the set is stable */
 };
 
 bool
 archive_names_have (const struct ArchiveNames *names, const char *name);
 
-/* Leaves out what is there already, and what does not fit. */
+/* Ignores an empty name, a duplicate, and any name beyond ARCHIVE_SET_MAX. */
 void
 archive_names_add (struct ArchiveNames *names, const char *name);
 
-/* Among the members. */
+/* Returns whether name is a member; former members are not. */
 bool
 archive_set_has (const struct ArchiveSet *set, const char *name);
 
-/* Among those that are asked: members, and the former ones during a change. */
+/* Returns the archives to which requests are sent: the members, and during a change the former
+ * members as well. */
 struct ArchiveNames
 archive_set_asked (const struct ArchiveSet *set);
 
-/* Whether what these archives acknowledged is kept though any tolerated disks are lost. */
+/* Returns whether names are a write quorum: a record that all of them acknowledged survives the
+ * loss of any `tolerated` disks. */
 bool
 archive_set_is_written (const struct ArchiveSet *set,
                         uint32_t tolerated,
                         const struct ArchiveNames *names);
 
-/* Whether these archives, that lack nothing of what they acknowledged, asked together know
- * everything that was ever acknowledged. */
+/* Returns whether names are a read quorum: provided that each still has every record that it
+ * acknowledged, together they have every record that was ever acknowledged. */
 bool
 archive_set_is_read (const struct ArchiveSet *set,
                      uint32_t tolerated,
                      const struct ArchiveNames *names);
 
-/* Whether these archives together hold all that there was before the change started; when there is
- * none, all that there is. */
+/* Returns whether names together have all records from before the change in progress, or, if the
+ * set is stable, all records. */
 bool
 archive_set_is_copied (const struct ArchiveSet *set,
                        uint32_t tolerated,
                        const struct ArchiveNames *names);
 
-/* The oldest generation whose questions an archive that knows set may answer. */
+/* Returns the oldest generation whose requests an archive at set's generation may serve. */
 uint64_t
 archive_set_oldest (const struct ArchiveSet *set);
 
-/* Archives that a set should have: with more, any question would need more of them to answer. */
+/* Returns the target number of members: with more of them, each read quorum would be larger. */
 uint32_t
 archive_set_wanted (uint32_t tolerated);
 
-/* The next generation, with name added while the whole system starts for the first time. */
+/* Returns the next generation with name added, while the first set is formed. */
 struct ArchiveSet
 archive_set_first (const struct ArchiveSet *set, const char *name);
 
-/* The next generation, in which a change starts: joining comes, leaving goes; either may be "". */
+/* Returns the next generation, in which a change starts that adds joining and removes leaving;
+ * either may be "". */
 struct ArchiveSet
 archive_set_change (const struct ArchiveSet *set, const char *joining, const char *leaving);
 
-/* Who comes with the change that is under way; "" when it only takes one away, or there is none. */
+/* Returns the archive that the change in progress adds; "" if it only removes one or the set is
+ * stable. */
 const char *
 archive_set_joining (const struct ArchiveSet *set);
 
-/* The next generation of a change that is starting, in which joining comes in place of the archive
- * that should have come and died. Nothing was read from that one yet, so that the former set
- * still knows everything. */
+/* Returns the next generation of a change that is starting, in which joining replaces an archive
+ * that failed while it joined. Nothing has been read from the failed one yet, so the former set
+ * still has all records. */
 struct ArchiveSet
 archive_set_rejoin (const struct ArchiveSet *set, const char *joining);
 
-/* The next generation: a change that was starting is ending, one that was ending is done. */
+/* Returns the next generation: STARTING becomes ENDING, and ENDING becomes STABLE. */
 struct ArchiveSet
 archive_set_advance (const struct ArchiveSet *set);
 
-/* A step that an archive has decided on. */
+/* A transition of the set that an archive proposes. */
 enum ArchiveStepKind
 {
-  ARCHIVE_STEP_FIRST,  /* joining is among the first */
-  ARCHIVE_STEP_CHANGE, /* joining comes, leaving goes */
-  ARCHIVE_STEP_REJOIN, /* joining comes in place of one that should have come */
-  ARCHIVE_STEP_ADVANCE /* the change's next stage */
+  ARCHIVE_STEP_FIRST,  /* adds joining to the first set */
+  ARCHIVE_STEP_CHANGE, /* starts a change that adds joining and removes leaving */
+  ARCHIVE_STEP_REJOIN, /* replaces the archive that joins by joining */
+  ARCHIVE_STEP_ADVANCE /* moves the change to its next stage */
 };
 
 struct ArchiveStep
 {
   enum ArchiveStepKind kind;
-  uint64_t generation; /* of the set on which it was decided */
+  uint64_t generation; /* of the set for which the step was proposed */
   const char *joining, *leaving;
 };
 
-/* The set after step, given the one that the store holds; false when the step was decided on
- * another one. Guards against a step that is taken twice: decided again before the archive has
- * heard that its first one was taken, a change would end without anyone having looked whether
- * enough archives know of it. First ones are decided on no set in particular. */
+/* Computes the set that follows when step is applied to the stored one; false if the step does not
+ * apply, in particular if it was proposed for another generation. This prevents applying a step
+ * twice: an archive that proposes it again before it receives the result of the first attempt would
+ * end a change without a check that enough archives have received it. ARCHIVE_STEP_FIRST applies to
+ * any generation. */
 bool
-archive_set_step (const struct ArchiveSet *held,
+archive_set_step (const struct ArchiveSet *stored,
                   const struct ArchiveStep *step,
                   uint32_t tolerated,
                   struct ArchiveSet *next);
 
-/* As the store holds it. ERROR_NO_MEMORY; ERROR_INVALID for anything malformed. */
+/* Convert between a set and its value in the store. Encoding returns ERROR_NO_MEMORY on failure,
+ * decoding ERROR_INVALID for malformed input. */
 int32_t
 archive_set_encode (TALLOC_CTX *ctx,
                     const struct ArchiveSet *set,
@@ -141,7 +148,7 @@
 
 struct PackWriter;
 struct PackReader;
-/* One array. */
+/* Write and read a set as one array within a larger message. */
 void
 archive_set_pack (struct PackWriter *p, const struct ArchiveSet *set);
 void
--- a/tests/test_archive_order.c
+++ b/tests/test_archive_order.c
@@ -25,10 +25,10 @@
     }
 }
 
-/* Of five archives three must have a turn. One in the gateway's own zone is always among them, and
- * the texts are not sent to the others. */
+/* Of five archives three must store a turn. An archive in the gateway's own zone must always be
+ * among them, and the texts must not be sent to the others. */
 static void
-test_texts_go_to_no_more_than_must_have_them (void)
+test_texts_are_sent_to_a_write_quorum_only (void)
 {
   struct ArchiveCandidate candidates[N];
   struct ArchiveSet set;
@@ -40,7 +40,7 @@
   names = archive_order_write (&set, TOLERATED, candidates, N);
   CU_ASSERT_EQUAL (names.n, 3);
   CU_ASSERT_TRUE (archive_set_is_written (&set, TOLERATED, &names));
-  /* During a change, enough of both sets. */
+  /* During a change a write needs a quorum of both sets. */
   set.stage = ARCHIVE_STAGE_STARTING;
   set.former.n = 0;
   for (int i = 0; i < N; i++)
@@ -54,9 +54,9 @@
   CU_ASSERT_EQUAL (names.n, N);
 }
 
-/* An archive is suspended. It is the nearest one, but a turn must not wait for it. */
+/* The only archive in the gateway's zone is suspended: turns must not wait for it. */
 static void
-test_those_that_answer_go_first (void)
+test_responsive_archives_come_first (void)
 {
   struct ArchiveCandidate candidates[N];
   struct ArchiveSet set;
@@ -67,10 +67,11 @@
   CU_ASSERT_STRING_EQUAL (candidates[N - 1].name, "a3");
 }
 
-/* Two gateways of a zone without an archive serve the turns of one program. What one stores, the
- * other asks for at the same archive; other programs go to others, so that all carry the same. */
+/* Two gateways of a zone without an archive serve the turns of one program: they must order the
+ * archives the same way, so that one queries the archive to which the other has written. Programs
+ * must be spread evenly over the archives. */
 static void
-test_one_program_has_one_order (void)
+test_order_of_a_program_is_the_same_everywhere (void)
 {
   struct ArchiveCandidate first[N], second[N];
   struct ArchiveSet set;
@@ -97,9 +98,9 @@
     CU_ASSERT (n_first[i] > 60 && n_first[i] < 140);
 }
 
-/* A fleet starts with five archives in each of two zones and a set of three to be found. All that
- * tried at once wrote over each other, and the three could all stand in one zone: each turn's text
- * then crossed to it, and its loss was the loss of all. */
+/* A fleet starts with five archives in each of two zones and forms a set of three. When all of them
+ * tried to join at once, their writes conflicted, and all three members could be in one zone: turn
+ * texts of the other zone crossed zones, and the loss of that zone lost all members. */
 static void
 test_the_first_set_spreads_over_zones (void)
 {
@@ -116,9 +117,9 @@
 
 const char test_suite_name[] = "archive_order";
 const struct TestCase test_cases[] = {
-  { "texts go to no more than must have them", test_texts_go_to_no_more_than_must_have_them },
-  { "those that answer go first", test_those_that_answer_go_first },
-  { "one program has one order", test_one_program_has_one_order },
+  { "texts are sent to a write quorum only", test_texts_are_sent_to_a_write_quorum_only },
+  { "responsive archives come first", test_responsive_archives_come_first },
+  { "order of a program is the same everywhere", test_order_of_a_program_is_the_same_everywhere },
   { "the first set spreads over zones", test_the_first_set_spreads_over_zones },
   { NULL, NULL },
 };
--- a/tests/test_archive_set.c
+++ b/tests/test_archive_set.c
@@ -23,7 +23,7 @@
   return set;
 }
 
-/* Bit i of mask: archive i is among them. */
+/* Bit i of mask includes archive i. */
 static struct ArchiveNames
 names_of (uint32_t mask)
 {
@@ -36,7 +36,7 @@
 }
 
 static void
-test_the_first_archives_make_the_set (void)
+test_first_archives_form_the_set (void)
 {
   struct ArchiveSet set = set_of (3);
   struct ArchiveNames two = names_of (3), one = names_of (1);
@@ -48,42 +48,43 @@
   CU_ASSERT_FALSE (archive_set_is_read (&set, TOLERATED, &one));
 }
 
-/* Eleven machines have disks and two may be lost at once: five hold the turns, so that any three
- * can answer; the others stand by. */
+/* Of eleven archives, with two tolerated losses, five must store the turns so that any three can
+ * serve a read; the others are spares. */
 static void
-test_a_set_is_no_larger_than_it_need_be (void)
+test_target_size_depends_on_tolerated_losses (void)
 {
   CU_ASSERT_EQUAL (archive_set_wanted (1), 3);
   CU_ASSERT_EQUAL (archive_set_wanted (2), 5);
   CU_ASSERT_EQUAL (archive_set_wanted (0), 1);
 }
 
-/* Before any set is known nothing is certain: an empty answer must not read as "no such turn". */
+/* While no set exists, responses without a turn must not be taken for "no such turn". */
 static void
-test_no_set_is_never_enough (void)
+test_no_set_has_no_quorum (void)
 {
   struct ArchiveSet set = { 0 };
-  struct ArchiveNames everyone = names_of (31);
+  struct ArchiveNames all_names = names_of (31);
 
-  CU_ASSERT_FALSE (archive_set_is_written (&set, TOLERATED, &everyone));
-  CU_ASSERT_FALSE (archive_set_is_read (&set, TOLERATED, &everyone));
-  CU_ASSERT_FALSE (archive_set_is_copied (&set, TOLERATED, &everyone));
+  CU_ASSERT_FALSE (archive_set_is_written (&set, TOLERATED, &all_names));
+  CU_ASSERT_FALSE (archive_set_is_read (&set, TOLERATED, &all_names));
+  CU_ASSERT_FALSE (archive_set_is_copied (&set, TOLERATED, &all_names));
 }
 
-/* Gateways learn of a change at different moments. Whatever one of them got acknowledged under a
- * stage, another one that is in the same stage or the next one, either way round, must meet: by an
- * archive that was written to and is asked, the new one standing for all it has copied. */
+/* Gateways receive a change at different times. A write that was acknowledged in writer's stage
+ * must be seen by a read in reader's: every write quorum must share an archive with every read
+ * quorum.
+ */
 static void
 check_stages_meet (const struct ArchiveSet *writer, const struct ArchiveSet *reader)
 {
   for (uint32_t w = 0; w < 1u << N_ARCHIVES; w++)
     for (uint32_t r = 0; r < 1u << N_ARCHIVES; r++)
       {
-        struct ArchiveNames wrote = names_of (w), asked = names_of (r);
+        struct ArchiveNames wrote = names_of (w), queried = names_of (r);
 
         if (archive_set_is_written (writer, TOLERATED, &wrote)
-            && archive_set_is_read (reader, TOLERATED, &asked) && (w & r) == 0)
-          CU_FAIL ("what was acknowledged is not seen");
+            && archive_set_is_read (reader, TOLERATED, &queried) && (w & r) == 0)
+          CU_FAIL ("a read quorum misses an acknowledged write");
       }
 }
 
@@ -109,7 +110,7 @@
 }
 
 static void
-test_neighbouring_stages_see_each_other (void)
+test_adjacent_stages_have_overlapping_quorums (void)
 {
   struct ArchiveSet three = set_of (3), two = set_of (2), four = set_of (4);
 
@@ -119,11 +120,11 @@
   check_change (&four, "e", "b");
 }
 
-/* An archive takes a dead one's place, and dies for good before it has copied everything. Another
- * one takes its place in turn: what was acknowledged while the first was to come is seen by whoever
- * asks under the new stages, and by the copy of the second. */
+/* An archive that replaces a failed one fails itself before it has copied everything, and another
+ * replaces it. Writes acknowledged while the first was joining must be seen by reads in the new
+ * stages and by the copy of the second. */
 static void
-test_another_may_come_in_place_of_one_that_died (void)
+test_a_failed_joining_archive_is_replaced (void)
 {
   struct ArchiveSet before = set_of (3);
   struct ArchiveSet starting = archive_set_change (&before, "d", "a");
@@ -137,7 +138,7 @@
   CU_ASSERT_EQUAL (again.stage, ARCHIVE_STAGE_STARTING);
   CU_ASSERT_EQUAL (again.members.n, 3);
   CU_ASSERT_FALSE (archive_set_has (&again, "d"));
-  /* Archives that know of it refuse the stage before. */
+  /* Archives that have received it reject requests of the previous stage. */
   CU_ASSERT (archive_set_oldest (&again) > starting.generation);
   check_stages_meet (&starting, &again);
   check_stages_meet (&again, &starting);
@@ -155,10 +156,11 @@
       }
 }
 
-/* A gateway that missed the start of a change still asks the former set. Were it answered, a turn
- * could be stored where the new set never looks; so archives that know of the change refuse it. */
+/* A gateway that has not received the start of a change still uses the former set. If its requests
+ * were served, a turn could be stored where the new set never reads it, so archives that have
+ * received the change reject them. */
 static void
-test_questions_from_before_a_change_are_refused (void)
+test_requests_from_before_a_change_are_rejected (void)
 {
   struct ArchiveSet before = set_of (3);
   struct ArchiveSet starting = archive_set_change (&before, "d", "a");
@@ -171,10 +173,10 @@
   CU_ASSERT (archive_set_oldest (&after) <= ending.generation);
 }
 
-/* What the former set acknowledged is on enough of it; who copied from as many of them as any
- * question needs has met each such record. */
+/* Every record that the former set acknowledged is on a write quorum of it, so a copy from a read
+ * quorum of it must include that record. */
 static void
-test_a_copy_meets_all_that_was_written_before (void)
+test_a_copy_includes_all_earlier_writes (void)
 {
   struct ArchiveSet before = set_of (3);
   struct ArchiveSet starting = archive_set_change (&before, "d", "a");
@@ -191,21 +193,21 @@
 }
 
 static void
-test_during_a_change_both_sets_are_asked (void)
+test_both_sets_are_queried_during_a_change (void)
 {
   struct ArchiveSet before = set_of (3);
   struct ArchiveSet starting = archive_set_change (&before, "d", "a");
-  struct ArchiveNames asked = archive_set_asked (&starting);
+  struct ArchiveNames queried = archive_set_asked (&starting);
 
-  CU_ASSERT_EQUAL (asked.n, 4);
-  CU_ASSERT_TRUE (archive_names_have (&asked, "a"));
-  CU_ASSERT_TRUE (archive_names_have (&asked, "d"));
-  asked = archive_set_asked (&before);
-  CU_ASSERT_EQUAL (asked.n, 3);
+  CU_ASSERT_EQUAL (queried.n, 4);
+  CU_ASSERT_TRUE (archive_names_have (&queried, "a"));
+  CU_ASSERT_TRUE (archive_names_have (&queried, "d"));
+  queried = archive_set_asked (&before);
+  CU_ASSERT_EQUAL (queried.n, 3);
 }
 
 static void
-test_the_store_gives_back_what_it_got (void)
+test_encoded_set_decodes_to_itself (void)
 {
   struct ArchiveSet before = set_of (3), read;
   struct ArchiveSet starting = archive_set_change (&before, "d", "a");
@@ -223,25 +225,25 @@
   talloc_free (bytes);
 }
 
-/* An archive takes a dead one's place: it has copied everything, and asks the store to let the
- * change end. The answer is late; it decides the same once more, on the set that it knows. The
- * store now holds a change that is ending, of which nobody has looked yet whether enough archives
- * know: a second step would leave turns on disks that are asked no more. */
+/* An archive that has copied everything advances the change in the store. The response is late, so
+ * it proposes the same step again for the set that it has. By now the stored change is ENDING, and
+ * no archive has checked yet that enough archives have received it: applying the step a second time
+ * would leave turns on disks that are no longer queried. */
 static void
-test_a_step_is_not_taken_twice (void)
+test_a_step_is_not_applied_twice (void)
 {
-  struct ArchiveSet set = { .generation = 3 }, held, joined, ending, next;
+  struct ArchiveSet set = { .generation = 3 }, stored, joined, ending, next;
   struct ArchiveStep advance = { .kind = ARCHIVE_STEP_ADVANCE };
   struct ArchiveStep rejoin = { .kind = ARCHIVE_STEP_REJOIN, .joining = "e" };
 
   archive_names_add (&set.members, "a");
   archive_names_add (&set.members, "b");
   archive_names_add (&set.members, "c");
-  held = archive_set_change (&set, "d", "a");
-  advance.generation = rejoin.generation = held.generation;
-  CU_ASSERT_TRUE (archive_set_step (&held, &rejoin, 1, &joined));
+  stored = archive_set_change (&set, "d", "a");
+  advance.generation = rejoin.generation = stored.generation;
+  CU_ASSERT_TRUE (archive_set_step (&stored, &rejoin, 1, &joined));
   CU_ASSERT_FALSE (archive_set_step (&joined, &rejoin, 1, &next));
-  CU_ASSERT_TRUE (archive_set_step (&held, &advance, 1, &ending));
+  CU_ASSERT_TRUE (archive_set_step (&stored, &advance, 1, &ending));
   CU_ASSERT_EQUAL (ending.stage, ARCHIVE_STAGE_ENDING);
   CU_ASSERT_FALSE (archive_set_step (&ending, &advance, 1, &next));
   advance.generation = ending.generation;
@@ -251,15 +253,15 @@
 
 const char test_suite_name[] = "archive_set";
 const struct TestCase test_cases[] = {
-  { "the first archives make the set", test_the_first_archives_make_the_set },
-  { "a set is no larger than it need be", test_a_set_is_no_larger_than_it_need_be },
-  { "no set is never enough", test_no_set_is_never_enough },
-  { "neighbouring stages see each other", test_neighbouring_stages_see_each_other },
-  { "another may come in place of one that died", test_another_may_come_in_place_of_one_that_died },
-  { "questions from before a change are refused", test_questions_from_before_a_change_are_refused },
-  { "a copy meets all that was written before", test_a_copy_meets_all_that_was_written_before },
-  { "during a change both sets are asked", test_during_a_change_both_sets_are_asked },
-  { "the store gives back what it got", test_the_store_gives_back_what_it_got },
-  { "a step is not taken twice", test_a_step_is_not_taken_twice },
+  { "first archives form the set", test_first_archives_form_the_set },
+  { "target size depends on tolerated losses", test_target_size_depends_on_tolerated_losses },
+  { "no set has no quorum", test_no_set_has_no_quorum },
+  { "adjacent stages have overlapping quorums", test_adjacent_stages_have_overlapping_quorums },
+  { "a failed joining archive is replaced", test_a_failed_joining_archive_is_replaced },
+  { "requests from before a change are rejected", test_requests_from_before_a_change_are_rejected },
+  { "a copy includes all earlier writes", test_a_copy_includes_all_earlier_writes },
+  { "both sets are queried during a change", test_both_sets_are_queried_during_a_change },
+  { "encoded set decodes to itself", test_encoded_set_decodes_to_itself },
+  { "a step is not applied twice", test_a_step_is_not_applied_twice },
   { NULL, NULL },
 };
