--- a/gateway/archive.c
+++ b/gateway/archive.c
@@ -15,10 +15,11 @@
 enum
 {
   EXPIRE_PERIOD_MS = 2000,
-  /* Files outlive their records by this much: expiry is by the wall clock, which may step. */
-  FILE_SLACK_MS = 30 * 1000,
-  RESERVATION_KEEP_MS = 180 * 1000,   /* as long as the index keeps a program */
-  HISTORY_MAX_BYTES = 8 * 1024 * 1024 /* of one answer; the rest is asked for again */
+  /* Files are deleted this long after their last record expires: expiry uses the wall clock, which
+   * may step. */
+  FILE_EXPIRY_MARGIN_MS = 30 * 1000,
+  RESERVATION_RETENTION_MS = 180 * 1000, /* the index's retention of a program */
+  HISTORY_MAX_BYTES = 8 * 1024 * 1024    /* in one response; the gateway requests the rest */
 };
 
 struct Archive
@@ -27,20 +28,20 @@
   struct DiskLog *log;
   struct TurnIndex *index;
   struct ArchiveMember *member;
-  struct CopyProgress copying; /* of records that come from other archives */
+  struct CopyProgress copy_progress; /* of records copied from other archives */
 };
 
-/* A question that is answered once its record is durable. */
+/* A request that gets its response once its record is durable. */
 struct ArchiveWrite
 {
   struct Archive *archive;
-  uint64_t link; /* where the question came; PEER_LINK_NONE: copied from another archive */
+  uint64_t link; /* on which the request arrived; PEER_LINK_NONE: copied from another archive */
   enum ArchiveRecordKind kind;
   struct TurnOpen open;
-  struct TurnClose close; /* without its texts */
+  struct TurnClose close; /* without the turn's texts */
 };
 
-/* Records on disk: [kind, wall clock, fields]. */
+/* Records on disk: [kind, wall clock in ms, fields]. */
 
 static int32_t
 record_pack (TALLOC_CTX *ctx, const struct ArchiveRecord *record, uint8_t **bytes, size_t *n_bytes)
@@ -83,7 +84,7 @@
       read_string (&r, record->open.turn, sizeof record->open.turn);
       read_string (&r, record->open.program, sizeof record->open.program);
       record->open.reserve_tokens = (uint32_t)read_u64 (&r, UINT32_MAX);
-      /* Records of software that knew no customers end here. */
+      /* Records of versions without customers end here. */
       if (r.at < r.n_items)
         read_string (&r, record->open.customer, sizeof record->open.customer);
     }
@@ -93,11 +94,13 @@
   return read_end (&r);
 }
 
-/* A close keeps its chain, and with it the files in which that lies. */
+/* A stored turn extends the retention of its whole chain, so the files of the earlier turns must
+ * not expire before it. */
 static void
 archive_extend_files (struct Archive *archive, const char *customer, const char *turn)
 {
-  int64_t expires_unix_ms = turn_index_expires (archive->index, customer, turn) + FILE_SLACK_MS;
+  int64_t expires_unix_ms =
+      turn_index_expires (archive->index, customer, turn) + FILE_EXPIRY_MARGIN_MS;
   struct TurnPlace place;
 
   while (turn[0] != '\0' && turn_index_find (archive->index, customer, turn, &place))
@@ -114,15 +117,16 @@
                      int64_t unix_ms)
 {
   if (turn_index_close (archive->index, close, place, unix_ms) != ERROR_NONE)
-    log_event (LOG_LEVEL_ERROR, "archive_no_memory", close->program, "give the process more memory",
-               "turn %s is on disk but not in the index", close->text.turn);
+    log_event (LOG_LEVEL_ERROR, "archive_no_memory", close->program,
+               "give the instance more memory",
+               "turn %s is on disk but could not be added to the index", close->text.turn);
   else if (close->kept)
     archive_extend_files (archive, close->customer, close->text.turn);
 }
 
-/* At the start: one record that was durable. */
+/* Adds one record of the disk log to the index, at the start. */
 static void
-archive_on_replayed (void *data, const struct DiskPlace *place, const uint8_t *bytes, size_t n)
+archive_on_replay (void *data, const struct DiskPlace *place, const uint8_t *bytes, size_t n)
 {
   struct Archive *archive = data;
   TALLOC_CTX *ctx = talloc_new (archive);
@@ -130,25 +134,27 @@
 
   if (archive_record_unpack (ctx, bytes, n, &record) != ERROR_NONE)
     log_event (LOG_LEVEL_ERROR, "archive_record_malformed", NULL,
-               "bring the processes to one version", "log-%u at %u", place->file, place->offset);
+               "run the same version on all instances", "log-%u at offset %u", place->file,
+               place->offset);
   else if (record.kind == ARCHIVE_RECORD_OPEN)
     turn_index_reserve (archive->index, &record.open, record.unix_ms);
   else
     archive_index_close (archive, &record.close, place, record.unix_ms);
-  disk_log_extend (archive->log, place->file, record.unix_ms + RESERVATION_KEEP_MS + FILE_SLACK_MS);
+  disk_log_extend (archive->log, place->file,
+                   record.unix_ms + RESERVATION_RETENTION_MS + FILE_EXPIRY_MARGIN_MS);
   talloc_free (ctx);
 }
 
 /* History. */
 
-/* The turn and those before it, newest first, until the chain ends, has a gap or grows too long
- * for one message. */
+/* Appends the turn and its predecessors, newest first, until the chain ends, a turn is missing, or
+ * the message reaches HISTORY_MAX_BYTES. */
 static void
-history_fill (struct Archive *archive,
-              TALLOC_CTX *ctx,
-              const char *customer,
-              const char *turn,
-              struct TurnOpened *opened)
+history_collect (struct Archive *archive,
+                 TALLOC_CTX *ctx,
+                 const char *customer,
+                 const char *turn,
+                 struct TurnOpened *opened)
 {
   struct TurnPlace place;
   size_t total_bytes = 0;
@@ -177,39 +183,39 @@
 }
 
 static void
-archive_answer_opened (struct Archive *archive,
-                       uint64_t link,
-                       const struct TurnOpen *open,
-                       int32_t error)
+archive_send_opened (struct Archive *archive,
+                     uint64_t link,
+                     const struct TurnOpen *open,
+                     int32_t error)
 {
   TALLOC_CTX *ctx = talloc_new (archive);
-  struct GatewayMessage answer = { .kind = GATEWAY_TURN_OPENED };
+  struct GatewayMessage response = { .kind = GATEWAY_TURN_OPENED };
   struct TurnPlace place;
 
-  answer.opened.id = open->id;
-  answer.opened.error = error;
-  answer.opened.complete = disk_log_is_complete (archive->log);
-  answer.opened.has_turn =
+  response.opened.id = open->id;
+  response.opened.error = error;
+  response.opened.complete = disk_log_is_complete (archive->log);
+  response.opened.has_turn =
       open->previous[0] != '\0'
       && turn_index_find (archive->index, open->customer, open->previous, &place);
   if (error == ERROR_NONE)
-    answer.opened.error = turn_index_charges (archive->index, ctx, open, &answer.opened.charges,
-                                              &answer.opened.n_charges);
-  answer.opened.place = turn_index_place (archive->index, open);
+    response.opened.error = turn_index_charges (archive->index, ctx, open, &response.opened.charges,
+                                                &response.opened.n_charges);
+  response.opened.place = turn_index_place (archive->index, open);
   if (open->want_history)
-    history_fill (archive, ctx, open->customer, open->previous, &answer.opened);
-  node_answer (archive->node, link, &answer);
+    history_collect (archive, ctx, open->customer, open->previous, &response.opened);
+  node_answer (archive->node, link, &response);
   talloc_free (ctx);
 }
 
 static void
-archive_answer_closed (struct Archive *archive, uint64_t link, uint64_t id, int32_t error)
+archive_send_closed (struct Archive *archive, uint64_t link, uint64_t id, int32_t error)
 {
-  struct GatewayMessage answer = { .kind = GATEWAY_TURN_CLOSED };
+  struct GatewayMessage response = { .kind = GATEWAY_TURN_CLOSED };
 
-  answer.closed.id = id;
-  answer.closed.error = error;
-  node_answer (archive->node, link, &answer);
+  response.closed.id = id;
+  response.closed.error = error;
+  node_answer (archive->node, link, &response);
 }
 
 /* Writing. */
@@ -221,25 +227,25 @@
   struct Archive *archive = write->archive;
 
   if (error != ERROR_NONE)
-    log_event (LOG_LEVEL_ERROR, "archive_write_failed", write->close.program, "look at the disk",
-               "%s", error_name (error));
+    log_event (LOG_LEVEL_ERROR, "archive_write_failed", write->close.program, "check the disk",
+               "record not written: %s", error_name (error));
   else
     counter_add (COUNTER_ARCHIVE_RECORDS, 1);
   if (error == ERROR_NONE && write->kind == ARCHIVE_RECORD_CLOSE)
     archive_index_close (archive, &write->close, place, clock_unix_ms ());
   if (write->link == PEER_LINK_NONE)
-    copy_progress_end (&archive->copying, error);
+    copy_progress_end (&archive->copy_progress, error);
   else if (write->kind == ARCHIVE_RECORD_OPEN)
-    archive_answer_opened (archive, write->link, &write->open, error);
+    archive_send_opened (archive, write->link, &write->open, error);
   else
-    archive_answer_closed (archive, write->link, write->close.id, error);
+    archive_send_closed (archive, write->link, write->close.id, error);
   talloc_free (write);
 }
 
 static int32_t
 archive_append (struct Archive *archive,
                 const struct ArchiveRecord *record,
-                int64_t keep_ms,
+                int64_t retention_ms,
                 struct ArchiveWrite *write)
 {
   uint8_t *bytes;
@@ -248,7 +254,8 @@
 
   if (error != ERROR_NONE)
     return error;
-  error = disk_log_append (archive->log, bytes, n_bytes, record->unix_ms + keep_ms + FILE_SLACK_MS,
+  error = disk_log_append (archive->log, bytes, n_bytes,
+                           record->unix_ms + retention_ms + FILE_EXPIRY_MARGIN_MS,
                            archive_on_durable, write);
   talloc_free (bytes);
   return error;
@@ -267,7 +274,8 @@
   return write;
 }
 
-/* A question of a set that this archive knows to be past might pass by the disks that count. */
+/* Returns whether a request of this generation must be rejected: a quorum of an older set might not
+ * overlap those of the present set. */
 static bool
 archive_is_fenced (const struct Archive *archive, uint64_t generation)
 {
@@ -290,10 +298,10 @@
       error = turn_index_reserve (archive->index, open, record.unix_ms);
     }
   if (error == ERROR_NONE)
-    error = archive_append (archive, &record, RESERVATION_KEEP_MS, write);
+    error = archive_append (archive, &record, RESERVATION_RETENTION_MS, write);
   if (error == ERROR_NONE)
     return;
-  archive_answer_opened (archive, link, open, error);
+  archive_send_opened (archive, link, open, error);
   talloc_free (write);
 }
 
@@ -302,7 +310,7 @@
 {
   struct ArchiveRecord record = { .kind = ARCHIVE_RECORD_CLOSE, .close = *close };
   struct ArchiveWrite *write = archive_write_new (archive, link, ARCHIVE_RECORD_CLOSE);
-  int64_t keep_ms = close->kept ? close->retention_ms : RESERVATION_KEEP_MS;
+  int64_t retention_ms = close->kept ? close->retention_ms : RESERVATION_RETENTION_MS;
   int32_t error = ERROR_NO_MEMORY;
 
   record.unix_ms = clock_unix_ms ();
@@ -313,27 +321,27 @@
       write->close = *close;
       write->close.text.input = NULL;
       write->close.text.output = NULL;
-      error = archive_append (archive, &record, keep_ms, write);
+      error = archive_append (archive, &record, retention_ms, write);
     }
   if (error == ERROR_NONE)
     return;
-  archive_answer_closed (archive, link, close->id, error);
+  archive_send_closed (archive, link, close->id, error);
   talloc_free (write);
 }
 
 struct CopyProgress *
 archive_copy_progress (struct Archive *archive)
 {
-  return &archive->copying;
+  return &archive->copy_progress;
 }
 
-/* ERROR_NO_MEMORY: the record is not on its way. */
+/* Returns ERROR_NO_MEMORY if the record was not queued. */
 static int32_t
 archive_append_copy (struct Archive *archive, const struct ArchiveRecord *record)
 {
   struct ArchiveWrite *write = archive_write_new (archive, PEER_LINK_NONE, record->kind);
-  int64_t keep_ms =
-      record->kind == ARCHIVE_RECORD_CLOSE ? record->close.retention_ms : RESERVATION_KEEP_MS;
+  int64_t retention_ms =
+      record->kind == ARCHIVE_RECORD_CLOSE ? record->close.retention_ms : RESERVATION_RETENTION_MS;
   int32_t error;
 
   if (write == NULL)
@@ -342,14 +350,14 @@
   write->close = record->close;
   write->close.text.input = NULL;
   write->close.text.output = NULL;
-  error = archive_append (archive, record, keep_ms, write);
+  error = archive_append (archive, record, retention_ms, write);
   if (error != ERROR_NONE)
     talloc_free (write);
   return error;
 }
 
 void
-archive_take_copy (struct Archive *archive, const struct ArchiveRecord *record)
+archive_store_copied (struct Archive *archive, const struct ArchiveRecord *record)
 {
   int32_t error;
 
@@ -363,10 +371,10 @@
   else if (turn_index_is_closed (archive->index, record->close.customer, record->close.program,
                                  record->close.text.turn))
     return;
-  copy_progress_begin (&archive->copying);
+  copy_progress_begin (&archive->copy_progress);
   error = archive_append_copy (archive, record);
   if (error != ERROR_NONE)
-    copy_progress_end (&archive->copying, error);
+    copy_progress_end (&archive->copy_progress, error);
 }
 
 static void
@@ -376,10 +384,10 @@
 
   snprintf (open.customer, sizeof open.customer, "%s", read->customer);
   snprintf (open.previous, sizeof open.previous, "%s", read->turn);
-  archive_answer_opened (archive, link, &open, ERROR_NONE);
+  archive_send_opened (archive, link, &open, ERROR_NONE);
 }
 
-/* The node's calls. */
+/* Handler of the node. */
 
 static void
 archive_on_message (void *data,
@@ -401,10 +409,10 @@
       archive_on_close (archive, link, &message->close);
       break;
     case GATEWAY_COPY_WANT:
-      archive_copy_answer (archive->node, archive->log, link, &message->copy_want);
+      archive_copy_send_part (archive->node, archive->log, link, &message->copy_want);
       break;
     case GATEWAY_COPY_PART:
-      archive_member_take_part (archive->member, sender, &message->copy_part);
+      archive_member_receive_part (archive->member, sender, &message->copy_part);
       break;
     case GATEWAY_TURN_OPENED:
     case GATEWAY_TURN_CLOSED:
@@ -430,7 +438,7 @@
 
   (void)after_gap;
   if (snapshot->kind == SNAPSHOT_RETIRE)
-    archive_member_take_retire (archive->member, snapshot);
+    archive_member_set_retiring (archive->member, snapshot);
 }
 
 static void
@@ -440,7 +448,7 @@
 
   (void)ctx;
   heartbeat->status.complete = disk_log_is_complete (archive->log);
-  heartbeat->status.synced = archive_member_synced (archive->member);
+  heartbeat->status.synced = archive_member_synced_generation (archive->member);
 }
 
 static void
@@ -464,14 +472,14 @@
     return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the archive");
   a->node = node;
   a->index = turn_index_new (a);
-  error = disk_log_open (a, node->events, node->settings->data_folder, archive_on_replayed, a,
+  error = disk_log_open (a, node->events, node->settings->data_folder, archive_on_replay, a,
                          &a->log, fault);
   if (error != ERROR_NONE)
     return error;
   if (node->settings->first_start && !disk_log_is_complete (a->log))
     error = disk_log_mark_complete (a->log);
   if (error != ERROR_NONE)
-    return fault_set (fault, error, "look at the disk", "the disk can not be written");
+    return fault_set (fault, error, "check the disk", "cannot write to the data folder");
   a->member = archive_member_new (a, node, a, a->log);
   if (a->member == NULL || archive_state_new (a, node, a->log) == NULL)
     return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the archive");
--- a/gateway/archive_copy.c
+++ b/gateway/archive_copy.c
@@ -8,21 +8,22 @@
 enum
 {
   TICK_MS = 100,
-  /* Bytes of one part: some 20 ms of a 600 Mbit/s link beside the callers' traffic. */
-  PART_BYTES = 512 * 1024,
+  /* Approximate limit of one part, in bytes: about 20 ms of a 600 Mbit/s link that also carries the
+   * callers' traffic. */
+  PART_MAX_BYTES = 512 * 1024,
   PART_TIMEOUT_MS = 1000,
   SOURCES_MAX = 16
 };
 
-/* Another archive that is copied from. */
+/* An archive from which records are copied. */
 struct CopySource
 {
   char node[NAME_MAX_BYTES + 1];
   uint64_t cursor;
-  uint64_t asked_id;
-  int64_t asked_ms; /* 0: no question on the way */
-  int64_t last_asked_ms;
-  bool finished; /* reached its end while it was complete */
+  uint64_t request_id;
+  int64_t requested_ms; /* 0: no request is pending */
+  int64_t last_requested_ms;
+  bool finished; /* sent all of its records while it was complete */
 };
 
 struct ArchiveCopy
@@ -37,7 +38,7 @@
 };
 
 static struct CopySource *
-copy_source (struct ArchiveCopy *copy, const char *node)
+copy_get_source (struct ArchiveCopy *copy, const char *node)
 {
   for (size_t i = 0; i < copy->n_sources; i++)
     if (strcmp (copy->sources[i].node, node) == 0)
@@ -49,26 +50,26 @@
 }
 
 static void
-copy_ask (struct ArchiveCopy *copy, struct CopySource *source)
+copy_request_part (struct ArchiveCopy *copy, struct CopySource *source)
 {
   struct GatewayMessage message = { .kind = GATEWAY_COPY_WANT };
 
-  source->asked_id = node_next_id (copy->node);
-  message.copy_want.id = source->asked_id;
+  source->request_id = node_next_id (copy->node);
+  message.copy_want.id = source->request_id;
   message.copy_want.cursor = source->cursor;
   if (node_send (copy->node, source->node, &message) == ERROR_NONE)
     {
-      source->asked_ms = timer_now_ms (copy->node->timers);
-      source->last_asked_ms = source->asked_ms;
+      source->requested_ms = timer_now_ms (copy->node->timers);
+      source->last_requested_ms = source->requested_ms;
     }
 }
 
-/* From the start of all sources again: what is here already is passed over. */
+/* Starts over at the beginning of all sources; records that are already stored are skipped. */
 static void
 copy_restart (struct ArchiveCopy *copy)
 {
-  log_event (LOG_LEVEL_WARNING, "archive_copy_failed", NULL, "look at the disk",
-             "%llu of %llu records were not written: it is made again",
+  log_event (LOG_LEVEL_WARNING, "archive_copy_failed", NULL, "check the disk",
+             "%llu of %llu copied records were not written; restarting the copy",
              (unsigned long long)archive_copy_progress (copy->archive)->n_failed,
              (unsigned long long)copy->n_records);
   copy_progress_reset (archive_copy_progress (copy->archive));
@@ -76,16 +77,16 @@
   copy->n_records = 0;
 }
 
-/* True when enough is copied, and on the disk: the copy is freed then. */
+/* Returns true, and frees the copy, if the records of sufficient sources are on the disk. */
 static bool
-copy_check_done (struct ArchiveCopy *copy)
+copy_finish_if_done (struct ArchiveCopy *copy)
 {
   struct ArchiveNames finished = { .n = 0 };
 
   for (size_t i = 0; i < copy->n_sources; i++)
     if (copy->sources[i].finished)
       archive_names_add (&finished, copy->sources[i].node);
-  if (!copy->options.is_enough (copy->options.data, &finished))
+  if (!copy->options.is_sufficient (copy->options.data, &finished))
     return false;
   switch (copy_progress_state (archive_copy_progress (copy->archive)))
     {
@@ -97,7 +98,7 @@
     case COPY_DURABLE:
       break;
     }
-  log_event (LOG_LEVEL_NOTICE, "archive_copied", NULL, NULL, "%llu records from %u archives",
+  log_event (LOG_LEVEL_NOTICE, "archive_copied", NULL, NULL, "copied %llu records from %u archives",
              (unsigned long long)copy->n_records, finished.n);
   copy->options.done (copy->options.data);
   talloc_free (copy);
@@ -114,32 +115,34 @@
   (void)place;
   copy->n_records++;
   if (archive_record_unpack (ctx, bytes, n_bytes, &record) == ERROR_NONE)
-    archive_take_copy (copy->archive, &record);
+    archive_store_copied (copy->archive, &record);
   else
     log_event (LOG_LEVEL_ERROR, "archive_record_malformed", NULL,
-               "bring the processes to one version", "from another archive");
+               "run the same version on all instances", "received from another archive");
   talloc_free (ctx);
 }
 
 void
-archive_copy_take (struct ArchiveCopy *copy, const char *sender, const struct CopyPart *part)
+archive_copy_receive_part (struct ArchiveCopy *copy,
+                           const char *sender,
+                           const struct CopyPart *part)
 {
-  struct CopySource *source = copy_source (copy, sender);
+  struct CopySource *source = copy_get_source (copy, sender);
 
-  if (source == NULL || source->asked_ms == 0 || part->id != source->asked_id)
+  if (source == NULL || source->requested_ms == 0 || part->id != source->request_id)
     return;
-  source->asked_ms = 0;
+  source->requested_ms = 0;
   disk_log_each_frame (part->records, part->records_bytes, copy_on_frame, copy);
   source->cursor = part->next;
   if (part->last && part->complete
-      && source->last_asked_ms >= copy->started_ms + copy->options.settle_ms)
+      && source->last_requested_ms >= copy->started_ms + copy->options.settle_ms)
     {
       source->finished = true;
-      copy_check_done (copy);
+      copy_finish_if_done (copy);
       return;
     }
   if (!part->last)
-    copy_ask (copy, source);
+    copy_request_part (copy, source);
 }
 
 static void
@@ -149,8 +152,8 @@
   struct Node *node = copy->node;
   int64_t now_ms = timer_now_ms (node->timers);
 
-  /* The set may have changed since the last part came, or the disk has caught up. */
-  if (copy_check_done (copy))
+  /* Since the last part arrived the set may have changed, or the pending writes completed. */
+  if (copy_finish_if_done (copy))
     return;
   for (size_t i = 0; i < node->peers->n_peers; i++)
     {
@@ -160,11 +163,11 @@
       if (!copy->options.is_source (copy->options.data, peer->status.node)
           || !node_peer_is_live (node, peer))
         continue;
-      source = copy_source (copy, peer->status.node);
+      source = copy_get_source (copy, peer->status.node);
       if (source == NULL || source->finished)
         continue;
-      if (source->asked_ms == 0 || now_ms - source->asked_ms > PART_TIMEOUT_MS)
-        copy_ask (copy, source);
+      if (source->requested_ms == 0 || now_ms - source->requested_ms > PART_TIMEOUT_MS)
+        copy_request_part (copy, source);
     }
 }
 
@@ -187,26 +190,26 @@
 }
 
 void
-archive_copy_answer (struct Node *node,
-                     struct DiskLog *log,
-                     uint64_t link,
-                     const struct CopyWant *want)
+archive_copy_send_part (struct Node *node,
+                        struct DiskLog *log,
+                        uint64_t link,
+                        const struct CopyWant *want)
 {
-  struct GatewayMessage answer = { .kind = GATEWAY_COPY_PART };
-  struct CopyPart *part = &answer.copy_part;
+  struct GatewayMessage response = { .kind = GATEWAY_COPY_PART };
+  struct CopyPart *part = &response.copy_part;
   uint8_t *bytes;
 
   part->id = want->id;
   part->complete = disk_log_is_complete (log);
-  bytes = disk_log_frames (log, node->net, want->cursor, PART_BYTES, &part->records_bytes,
+  bytes = disk_log_frames (log, node->net, want->cursor, PART_MAX_BYTES, &part->records_bytes,
                            &part->next, &part->last);
   if (bytes == NULL)
     {
-      log_event (LOG_LEVEL_ERROR, "archive_copy_unreadable", NULL, "look at the disk",
-                 "a file could not be read for another archive");
+      log_event (LOG_LEVEL_ERROR, "archive_copy_unreadable", NULL, "check the disk",
+                 "cannot read a log file that another archive copies");
       return;
     }
   part->records = bytes;
-  node_answer (node, link, &answer);
+  node_answer (node, link, &response);
   talloc_free (bytes);
 }
--- a/gateway/archive_copy.h
+++ b/gateway/archive_copy.h
@@ -1,5 +1,4 @@
-/* An archive copies what others hold: to stand for a disk that was lost, or before the set changes.
- */
+/* Copies other archives' records to this one, to replace a lost disk or before the set changes. */
 #pragma once
 
 #include "node.h"
@@ -19,51 +18,55 @@
 struct ArchiveRecord
 {
   enum ArchiveRecordKind kind;
-  int64_t unix_ms; /* when it was first written */
+  int64_t unix_ms; /* when an archive first wrote it */
   struct TurnOpen open;
   struct TurnClose close;
 };
 
-/* ERROR_INVALID for anything malformed. The texts belong to ctx. */
+/* Returns ERROR_INVALID for malformed input. The turn's texts belong to ctx. */
 int32_t
 archive_record_unpack (TALLOC_CTX *ctx,
                        const uint8_t *bytes,
                        size_t n_bytes,
                        struct ArchiveRecord *record);
 
-/* A record of another archive: kept here, too, unless it is already. */
+/* Stores a record of another archive unless the turn has already closed here. */
 void
-archive_take_copy (struct Archive *archive, const struct ArchiveRecord *record);
+archive_store_copied (struct Archive *archive, const struct ArchiveRecord *record);
 
-/* Of all that archive_take_copy took. */
+/* Returns the progress of the records passed to archive_store_copied. */
 struct CopyProgress *
 archive_copy_progress (struct Archive *archive);
 
 struct ArchiveCopyOptions
 {
-  /* May this archive be copied from? */
+  /* Returns whether this archive may be copied from. */
   bool (*is_source) (void *data, const char *archive);
-  /* Have enough given all that they hold? Done is called once that is durable here. */
-  bool (*is_enough) (void *data, const struct ArchiveNames *archives);
-  /* A source's end counts if it was asked for this long after the start. */
+  /* Returns whether all records of these archives are sufficient; done is called once they are
+   * durable here. */
+  bool (*is_sufficient) (void *data, const struct ArchiveNames *archives);
+  /* The end of a source's records counts only if it was requested this long after the start. */
   int64_t settle_ms;
   void (*done) (void *data);
   void *data;
 };
 
-/* Begins to copy; done is called once, and the copy is freed after it. */
+/* Starts a copy. It calls done once and then frees itself. NULL without memory. */
 struct ArchiveCopy *
 archive_copy_new (TALLOC_CTX *ctx,
                   struct Node *node,
                   struct Archive *archive,
                   const struct ArchiveCopyOptions *options);
 
+/* Processes a response to a request of this copy. */
 void
-archive_copy_take (struct ArchiveCopy *copy, const char *sender, const struct CopyPart *part);
+archive_copy_receive_part (struct ArchiveCopy *copy,
+                           const char *sender,
+                           const struct CopyPart *part);
 
-/* Answers another archive that copies from this one. */
+/* Responds to another archive that copies from this one. */
 void
-archive_copy_answer (struct Node *node,
-                     struct DiskLog *log,
-                     uint64_t link,
-                     const struct CopyWant *want);
+archive_copy_send_part (struct Node *node,
+                        struct DiskLog *log,
+                        uint64_t link,
+                        const struct CopyWant *want);
--- a/gateway/archive_member.c
+++ b/gateway/archive_member.c
@@ -10,21 +10,23 @@
 enum
 {
   TICK_MS = 200,
-  /* A member that has sent nothing for this long is replaced, if there is another disk: longer than
-   * a process takes to start again, shorter than the time in which a disk must be made up for. */
-  DEAD_MS = 3000,
-  /* Records that an archive took under the old set may still be on their way to its disk when it
-   * learns of the new one; a sync takes milliseconds. */
+  /* Silence after which a member is replaced if a spare archive exists: longer than the restart of
+   * a process, shorter than the time within which a lost disk must be replaced. */
+  FAILURE_TIMEOUT_MS = 3000,
+  /* Records that an archive accepted under the old set may still be waiting for their disk sync
+   * when it receives the new one; a sync takes milliseconds. */
   COPY_SETTLE_MS = 500,
   RETIRE_MAX = 16,
-  ENDING_OTHERS_MS = 2000,
-  /* After a change that another archive's came before, or that the store did not take. */
+  /* Time after which other archives end a change that the changing archive has not ended. */
+  ENDING_TAKEOVER_MS = 2000,
+  /* Delay after a step that conflicted with another archive's or that the store did not accept. */
   RETRY_MS = 400,
-  /* For each archive that may join the first set before this one. A write takes two calls to the
-   * store, and a member of the set is known to all within some 300 ms. */
-  FIRST_TURN_MS = 600,
-  /* For the lists of processes: until it has them each archive would take itself for the first. */
-  FIRST_LOOK_MS = 1500
+  /* Delay for each archive that precedes this one in joining the first set. A step takes two calls
+   * to the store, and all archives receive a new member within about 300 ms. */
+  FIRST_STAGGER_MS = 600,
+  /* Maximum wait for the lists of processes, without which each archive would assume that it is the
+   * first. */
+  FIRST_DISCOVERY_MS = 1500
 };
 
 struct ArchiveMember
@@ -32,26 +34,26 @@
   struct Node *node;
   struct Archive *archive;
   struct DiskLog *log;
-  int64_t first_since_ms; /* since when that generation of the first set is known */
-  uint64_t first_generation;
-  bool first; /* the whole system starts, and this disk with it */
+  int64_t bootstrap_since_ms; /* when bootstrap_generation was received */
+  uint64_t bootstrap_generation;
+  bool bootstrapping; /* first start of the whole system, and this archive has not joined yet */
   struct ArchiveCopy *copy;
-  uint64_t copying; /* generation that the copy is for; 0: to make up for a lost disk */
-  uint64_t synced;
+  uint64_t copy_generation; /* change for which the copy is made; 0: to restore a lost disk */
+  uint64_t synced_generation;
   char retiring[RETIRE_MAX][NAME_MAX_BYTES + 1];
   size_t n_retiring;
-  struct ArchiveStep step;   /* on its way to the store; its names are the next two fields */
-  struct ArchiveSet written; /* what the store is asked to hold */
+  struct ArchiveStep step;   /* being written to the store; points to joining and leaving */
+  struct ArchiveSet new_set; /* written to the store for that step */
   char joining[NAME_MAX_BYTES + 1], leaving[NAME_MAX_BYTES + 1];
-  bool writing;
-  int64_t next_ms;
-  int64_t silent_ms[ARCHIVE_SET_MAX]; /* since when, by place in the set */
+  bool write_pending;
+  int64_t retry_ms;
+  int64_t silent_since_ms[ARCHIVE_SET_MAX]; /* per member, in the order of the set; 0: live */
   uint64_t silent_generation;
   uint64_t joining_generation;
-  int64_t joining_received_ms; /* last, the archive that comes with that change */
+  int64_t joining_live_ms; /* when the archive that joins was last live */
   uint64_t ending_generation;
-  int64_t ending_ms; /* since when that change is ending */
-  bool reported_running, reported_completed, reporting;
+  int64_t ending_since_ms; /* when ending_generation was received */
+  bool reported_running, reported_completed, report_pending;
 };
 
 static const char *
@@ -84,20 +86,20 @@
   return false;
 }
 
-/* Writing the set: read, change, compare and swap. */
+/* A step of the set: read it from the store, change it, compare and swap. */
 
 static void
-member_write_done (struct ArchiveMember *member, int32_t error)
+member_finish_step (struct ArchiveMember *member, int32_t error)
 {
-  member->writing = false;
-  member->next_ms = member_now_ms (member) + (error == ERROR_NONE ? 0 : RETRY_MS);
+  member->write_pending = false;
+  member->retry_ms = member_now_ms (member) + (error == ERROR_NONE ? 0 : RETRY_MS);
   if (error != ERROR_NONE)
-    log_event (LOG_LEVEL_WARNING, "archive_set_not_written", NULL, "nothing: it is tried again",
-               "%s", error_name (error));
+    log_event (LOG_LEVEL_WARNING, "archive_set_not_written", NULL, "nothing: it is retried",
+               "cannot write the set of archives: %s", error_name (error));
 }
 
 static void
-member_on_written (void *data, const struct KvResult *result)
+member_on_set_written (void *data, const struct KvResult *result)
 {
   struct ArchiveMember *member = data;
   struct ArchiveSet set;
@@ -107,15 +109,15 @@
              == ERROR_NONE)
     node_take_set (member->node, &set);
   else if (result->error == ERROR_NONE)
-    node_take_set (member->node, &member->written);
-  member_write_done (member, result->error);
+    node_take_set (member->node, &member->new_set);
+  member_finish_step (member, result->error);
 }
 
 static void
-member_on_held (void *data, const struct KvResult *result)
+member_on_set_read (void *data, const struct KvResult *result)
 {
   struct ArchiveMember *member = data;
-  struct ArchiveSet held = { 0 }, next;
+  struct ArchiveSet stored = { 0 }, next;
   struct KvRequest request = { .op = KV_OP_PUT };
   char key[96];
   uint8_t *bytes = NULL;
@@ -125,44 +127,44 @@
   if (error == ERROR_NOT_FOUND && member->step.kind == ARCHIVE_STEP_FIRST)
     error = ERROR_NONE;
   else if (error == ERROR_NONE)
-    error = archive_set_decode (result->entries[0].value, result->entries[0].value_bytes, &held);
+    error = archive_set_decode (result->entries[0].value, result->entries[0].value_bytes, &stored);
   if (error != ERROR_NONE)
     {
-      member_write_done (member, error);
+      member_finish_step (member, error);
       return;
     }
-  node_take_set (member->node, &held);
-  if (!archive_set_step (&held, &member->step, member->node->settings->tolerated, &next)
+  node_take_set (member->node, &stored);
+  if (!archive_set_step (&stored, &member->step, member->node->settings->tolerated, &next)
       || archive_set_encode (member, &next, &bytes, &n_bytes) != ERROR_NONE)
     {
-      member_write_done (member, ERROR_CONFLICT);
+      member_finish_step (member, ERROR_CONFLICT);
       return;
     }
-  member->written = next;
+  member->new_set = next;
   snprintf (key, sizeof key, "%s%s", member->node->settings->prefix, ARCHIVE_SET_KEY);
   request.put.key = key;
   request.put.value = bytes;
   request.put.value_bytes = n_bytes;
-  request.put.condition = held.generation == 0 ? KV_IF_ABSENT : KV_IF_MOD_REVISION;
-  request.put.mod_revision = held.generation == 0 ? 0 : result->entries[0].mod_revision;
-  if (kv_submit_guarded (member, member->node->store, &request, member_on_written, member)
+  request.put.condition = stored.generation == 0 ? KV_IF_ABSENT : KV_IF_MOD_REVISION;
+  request.put.mod_revision = stored.generation == 0 ? 0 : result->entries[0].mod_revision;
+  if (kv_submit_guarded (member, member->node->store, &request, member_on_set_written, member)
       != ERROR_NONE)
-    member_write_done (member, ERROR_NO_MEMORY);
+    member_finish_step (member, ERROR_NO_MEMORY);
   talloc_free (bytes);
-  /* A lost answer may have been a success: the next read of the key shows it. */
-  member->next_ms = 0;
+  /* If the response is lost the write may have succeeded; the next read of the key shows it. */
+  member->retry_ms = 0;
 }
 
 static void
-member_write (struct ArchiveMember *member,
-              enum ArchiveStepKind kind,
-              const char *joining,
-              const char *leaving)
+member_start_step (struct ArchiveMember *member,
+                   enum ArchiveStepKind kind,
+                   const char *joining,
+                   const char *leaving)
 {
   struct KvRequest request = { .op = KV_OP_GET };
   char key[96];
 
-  if (member->writing || member_now_ms (member) < member->next_ms)
+  if (member->write_pending || member_now_ms (member) < member->retry_ms)
     return;
   snprintf (member->joining, sizeof member->joining, "%s", joining);
   snprintf (member->leaving, sizeof member->leaving, "%s", leaving);
@@ -170,38 +172,38 @@
       (struct ArchiveStep){ kind, member->node->set.generation, member->joining, member->leaving };
   snprintf (key, sizeof key, "%s%s", member->node->settings->prefix, ARCHIVE_SET_KEY);
   request.get.key = key;
-  member->writing = true;
-  if (kv_submit_guarded (member, member->node->store, &request, member_on_held, member)
+  member->write_pending = true;
+  if (kv_submit_guarded (member, member->node->store, &request, member_on_set_read, member)
       != ERROR_NONE)
-    member_write_done (member, ERROR_NO_MEMORY);
+    member_finish_step (member, ERROR_NO_MEMORY);
 }
 
 /* Copying. */
 
-/* An archive that is asked, and that refuses questions from before the change: nothing that it has
- * not got yet can be acknowledged to them any more. */
+/* A source is an archive of the set that already rejects requests from before the change, so it can
+ * no longer acknowledge a record under the old set that the copy would miss. */
 static bool
 member_is_source (void *data, const char *archive)
 {
   const struct ArchiveMember *member = data;
   const struct ArchiveSet *set = &member->node->set;
-  struct ArchiveNames asked = archive_set_asked (set);
+  struct ArchiveNames queried = archive_set_asked (set);
   const struct Peer *peer = node_peer (member->node, archive);
 
-  return strcmp (archive, member_name (member)) != 0 && archive_names_have (&asked, archive)
+  return strcmp (archive, member_name (member)) != 0 && archive_names_have (&queried, archive)
          && peer != NULL && peer->status.set_generation >= set->generation;
 }
 
 static bool
-member_is_enough (void *data, const struct ArchiveNames *archives)
+member_copy_is_sufficient (void *data, const struct ArchiveNames *archives)
 {
   const struct ArchiveMember *member = data;
-  struct ArchiveNames held = *archives;
+  struct ArchiveNames sources = *archives;
 
-  /* What this disk holds itself, if it was never lost. */
+  /* This archive counts as a source if its own disk was never lost. */
   if (disk_log_is_complete (member->log))
-    archive_names_add (&held, member_name (member));
-  return archive_set_is_copied (&member->node->set, member->node->settings->tolerated, &held);
+    archive_names_add (&sources, member_name (member));
+  return archive_set_is_copied (&member->node->set, member->node->settings->tolerated, &sources);
 }
 
 static void
@@ -210,12 +212,13 @@
   struct ArchiveMember *member = data;
 
   member->copy = NULL;
-  if (member->copying != 0 && member->copying == member->node->set.generation)
-    member->synced = member->copying;
+  if (member->copy_generation != 0 && member->copy_generation == member->node->set.generation)
+    member->synced_generation = member->copy_generation;
   if (!disk_log_is_complete (member->log) && disk_log_mark_complete (member->log) != ERROR_NONE)
-    log_event (LOG_LEVEL_ERROR, "archive_mark_failed", NULL, "look at the disk",
-               "the disk is whole but could not be marked so");
-  log_event (LOG_LEVEL_NOTICE, "archive_complete", NULL, NULL, "generation %llu",
+    log_event (LOG_LEVEL_ERROR, "archive_mark_failed", NULL, "check the disk",
+               "the disk has all records, but cannot be marked as complete");
+  log_event (LOG_LEVEL_NOTICE, "archive_complete", NULL, NULL,
+             "all records copied, generation %llu",
              (unsigned long long)member->node->set.generation);
   node_announce (member->node);
 }
@@ -225,39 +228,40 @@
 {
   struct ArchiveCopyOptions options = {
     .is_source = member_is_source,
-    .is_enough = member_is_enough,
+    .is_sufficient = member_copy_is_sufficient,
     .settle_ms = generation != 0 ? COPY_SETTLE_MS : 0,
     .done = member_on_copied,
     .data = member,
   };
 
-  if (member->copy != NULL && member->copying == generation)
+  if (member->copy != NULL && member->copy_generation == generation)
     return;
   TALLOC_FREE (member->copy);
-  member->copying = generation;
+  member->copy_generation = generation;
   member->copy = archive_copy_new (member, member->node, member->archive, &options);
 }
 
-/* Archives that know the set's present generation, this one included. */
+/* Returns the archives that have received the set's present generation, including this one. */
 static struct ArchiveNames
-member_who_knows (const struct ArchiveMember *member)
+member_current_archives (const struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
-  struct ArchiveNames asked = archive_set_asked (set);
-  struct ArchiveNames know = { .n = 0 };
+  struct ArchiveNames queried = archive_set_asked (set);
+  struct ArchiveNames current = { .n = 0 };
 
-  for (uint32_t i = 0; i < asked.n; i++)
+  for (uint32_t i = 0; i < queried.n; i++)
     {
-      const struct Peer *peer = node_peer (member->node, asked.names[i]);
+      const struct Peer *peer = node_peer (member->node, queried.names[i]);
 
-      if (strcmp (asked.names[i], member_name (member)) == 0
+      if (strcmp (queried.names[i], member_name (member)) == 0
           || (peer != NULL && peer->status.set_generation >= set->generation))
-        archive_names_add (&know, asked.names[i]);
+        archive_names_add (&current, queried.names[i]);
     }
-  return know;
+  return current;
 }
 
-/* All members have copied everything from before the change; only asked when nobody joins. */
+/* Returns whether all members have copied everything from before the change; used only for a change
+ * in which no archive joins. */
 static bool
 member_all_synced (const struct ArchiveMember *member)
 {
@@ -273,9 +277,9 @@
   return true;
 }
 
-/* Guards against a change that stays open for ever: the archive that should have come died for good
- * before it had copied everything. No other change could start, and the next disk that is lost
- * would be one too many. An archive outside takes its place. */
+/* Replaces the joining archive, by this one if it is outside the set, if the joining one fails
+ * before it has copied everything. Otherwise the change would never end, no other could start, and
+ * the loss of another disk could exceed the tolerated losses. */
 static void
 member_replace_joining (struct ArchiveMember *member, const char *joining)
 {
@@ -286,85 +290,88 @@
   if (member->joining_generation != set->generation || member_peer_is_live (member, joining))
     {
       member->joining_generation = set->generation;
-      member->joining_received_ms = now_ms;
+      member->joining_live_ms = now_ms;
     }
-  if (now_ms - member->joining_received_ms > DEAD_MS && !archive_set_has (set, name)
+  if (now_ms - member->joining_live_ms > FAILURE_TIMEOUT_MS && !archive_set_has (set, name)
       && !archive_names_have (&set->former, name) && !member_is_retiring (member, name))
-    member_write (member, ARCHIVE_STEP_REJOIN, name, "");
+    member_start_step (member, ARCHIVE_STEP_REJOIN, name, "");
 }
 
-/* The one that joins copies, or all who stay do; then the change may end. */
+/* Copies if this archive joins, or, when no archive joins, if it stays. Once all of these have
+ * copied everything, the change advances to ENDING. */
 static void
-member_while_starting (struct ArchiveMember *member)
+member_handle_starting (struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
   const char *name = member_name (member), *joining = archive_set_joining (set);
-  bool joins = strcmp (joining, name) == 0;
+  bool is_joining = strcmp (joining, name) == 0;
 
-  if (joins || (joining[0] == '\0' && archive_set_has (set, name)))
+  if (is_joining || (joining[0] == '\0' && archive_set_has (set, name)))
     {
-      if (member->synced < set->generation)
+      if (member->synced_generation < set->generation)
         member_start_copy (member, set->generation);
-      if (joins && member->synced == set->generation)
-        member_write (member, ARCHIVE_STEP_ADVANCE, "", "");
+      if (is_joining && member->synced_generation == set->generation)
+        member_start_step (member, ARCHIVE_STEP_ADVANCE, "", "");
     }
   else if (joining[0] == '\0' && member_all_synced (member))
-    member_write (member, ARCHIVE_STEP_ADVANCE, "", "");
+    member_start_step (member, ARCHIVE_STEP_ADVANCE, "", "");
   else if (joining[0] != '\0')
     member_replace_joining (member, joining);
 }
 
-/* Once enough of the former archives refuse questions of the stage before, no such question can be
- * answered any more, and the new set may stand alone. Every archive knows when: the one that
- * changes goes first, the others see to it if that one is gone. */
+/* Ends the change. Once a write quorum of both sets has received it and so rejects requests of the
+ * previous stage, no such request can succeed and the new set may be used alone. The archive that
+ * joins or leaves ends the change; the others take over after ENDING_TAKEOVER_MS. */
 static void
-member_while_ending (struct ArchiveMember *member)
+member_handle_ending (struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
   const char *name = member_name (member);
-  struct ArchiveNames know = member_who_knows (member);
-  bool changes = strcmp (archive_set_joining (set), name) == 0 || !archive_set_has (set, name);
+  struct ArchiveNames current = member_current_archives (member);
+  bool is_changing = strcmp (archive_set_joining (set), name) == 0 || !archive_set_has (set, name);
 
   if (member->ending_generation != set->generation)
     {
       member->ending_generation = set->generation;
-      member->ending_ms = member_now_ms (member);
+      member->ending_since_ms = member_now_ms (member);
     }
-  if (!archive_set_is_written (set, member->node->settings->tolerated, &know))
+  if (!archive_set_is_written (set, member->node->settings->tolerated, &current))
     return;
-  if (changes || member_now_ms (member) - member->ending_ms > ENDING_OTHERS_MS)
-    member_write (member, ARCHIVE_STEP_ADVANCE, "", "");
+  if (is_changing || member_now_ms (member) - member->ending_since_ms > ENDING_TAKEOVER_MS)
+    member_start_step (member, ARCHIVE_STEP_ADVANCE, "", "");
 }
 
-/* Joining. */
+/* Joining and leaving. */
 
-/* A member that has been silent for long, or that is to be emptied; NULL when there is none. */
+/* Returns a member that is being retired or has been silent for FAILURE_TIMEOUT_MS; NULL if there
+ * is none. */
 static const char *
-member_find_leaving (struct ArchiveMember *member)
+member_find_replaceable (struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
   int64_t now_ms = member_now_ms (member);
 
   if (member->silent_generation != set->generation)
-    memset (member->silent_ms, 0, sizeof member->silent_ms);
+    memset (member->silent_since_ms, 0, sizeof member->silent_since_ms);
   member->silent_generation = set->generation;
   for (uint32_t i = 0; i < set->members.n; i++)
     {
       if (member_is_retiring (member, set->members.names[i]))
         return set->members.names[i];
       if (member_peer_is_live (member, set->members.names[i]))
-        member->silent_ms[i] = 0;
-      else if (member->silent_ms[i] == 0)
-        member->silent_ms[i] = now_ms;
-      else if (now_ms - member->silent_ms[i] > DEAD_MS)
+        member->silent_since_ms[i] = 0;
+      else if (member->silent_since_ms[i] == 0)
+        member->silent_since_ms[i] = now_ms;
+      else if (now_ms - member->silent_since_ms[i] > FAILURE_TIMEOUT_MS)
         return set->members.names[i];
     }
   return NULL;
 }
 
-/* All members but one live and lack nothing: they can be copied from. */
+/* Returns whether all members other than this archive and except are live and complete, so that
+ * they can be copied from. */
 static bool
-member_others_are_whole (const struct ArchiveMember *member, const char *except)
+member_others_are_complete (const struct ArchiveMember *member, const char *except)
 {
   const struct ArchiveSet *set = &member->node->set;
 
@@ -381,9 +388,9 @@
   return true;
 }
 
-/* A live archive outside the set, this one left out. */
+/* Returns whether a live archive that is not being retired is outside the set. */
 static bool
-member_has_spare (const struct ArchiveMember *member)
+member_has_replacement (const struct ArchiveMember *member)
 {
   const struct Node *node = member->node;
 
@@ -400,40 +407,40 @@
 }
 
 static void
-member_outside (struct ArchiveMember *member)
+member_consider_joining (struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
   uint32_t wanted = archive_set_wanted (member->node->settings->tolerated);
-  const char *leaving = member_find_leaving (member);
+  const char *leaving = member_find_replaceable (member);
 
   if (member_is_retiring (member, member_name (member)))
     return;
   if (leaving == NULL && set->members.n >= wanted)
     return;
-  if (member_others_are_whole (member, leaving != NULL ? leaving : ""))
-    member_write (member, ARCHIVE_STEP_CHANGE, member_name (member),
-                  leaving != NULL ? leaving : "");
+  if (member_others_are_complete (member, leaving != NULL ? leaving : ""))
+    member_start_step (member, ARCHIVE_STEP_CHANGE, member_name (member),
+                       leaving != NULL ? leaving : "");
 }
 
 static void
-member_inside (struct ArchiveMember *member)
+member_consider_leaving (struct ArchiveMember *member)
 {
   const char *name = member_name (member);
 
-  /* With another disk to be had, that one takes this one's place. */
-  if (member_is_retiring (member, name) && !member_has_spare (member)
-      && member->node->set.members.n > 1 && member_others_are_whole (member, name))
-    member_write (member, ARCHIVE_STEP_CHANGE, "", name);
+  /* If a spare archive exists, it starts the change itself and replaces this one. */
+  if (member_is_retiring (member, name) && !member_has_replacement (member)
+      && member->node->set.members.n > 1 && member_others_are_complete (member, name))
+    member_start_step (member, ARCHIVE_STEP_CHANGE, "", name);
 }
 
-/* Telling the operators. */
+/* Reporting a retirement to the operators. */
 
 static void
 member_on_reported (void *data, const struct KvResult *result)
 {
   struct ArchiveMember *member = data;
 
-  member->reporting = false;
+  member->report_pending = false;
   if (result->error != ERROR_NONE)
     {
       member->reported_running = false;
@@ -450,7 +457,7 @@
   struct KvRequest request = { .op = KV_OP_PUT };
   struct RetireNote note;
 
-  if (!member_is_retiring (member, member_name (member)) || member->reporting
+  if (!member_is_retiring (member, member_name (member)) || member->report_pending
       || set->generation == 0
       || (completed ? member->reported_completed : member->reported_running))
     return;
@@ -459,7 +466,7 @@
   request.put.value = (const uint8_t *)note.value;
   request.put.value_bytes = strlen (note.value);
   request.put.condition = KV_IF_ALWAYS;
-  member->reporting = true;
+  member->report_pending = true;
   member->reported_running = true;
   member->reported_completed = completed;
   if (completed)
@@ -467,24 +474,25 @@
                "generation %llu", (unsigned long long)set->generation);
   if (kv_submit_guarded (member, member->node->store, &request, member_on_reported, member)
       != ERROR_NONE)
-    member->reporting = false;
+    member->report_pending = false;
 }
 
-/* A disk that counts and lacks something, but for one that copies for a change anyway. */
+/* Returns whether this archive belongs to the set but its disk is incomplete, and no change already
+ * makes it copy. */
 static bool
-member_lost_disk (const struct ArchiveMember *member)
+member_needs_restore (const struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
-  struct ArchiveNames asked = archive_set_asked (set);
+  struct ArchiveNames queried = archive_set_asked (set);
   const char *joining = archive_set_joining (set);
-  bool changes = set->stage == ARCHIVE_STAGE_STARTING
-                 && (joining[0] == '\0' || strcmp (joining, member_name (member)) == 0);
+  bool copies_for_change = set->stage == ARCHIVE_STAGE_STARTING
+                           && (joining[0] == '\0' || strcmp (joining, member_name (member)) == 0);
 
-  return set->generation > 0 && !member->first && !disk_log_is_complete (member->log) && !changes
-         && archive_names_have (&asked, member_name (member));
+  return set->generation > 0 && !member->bootstrapping && !disk_log_is_complete (member->log)
+         && !copies_for_change && archive_names_have (&queried, member_name (member));
 }
 
-/* Zones of the set's members; the texts are the node's. */
+/* Collects the zones of the set's members; the strings belong to the node. Returns their number. */
 static size_t
 member_zones (const struct ArchiveMember *member, const char *zones[ARCHIVE_SET_MAX])
 {
@@ -501,19 +509,21 @@
   return n;
 }
 
-/* It knows the other archives, or has waited for them for long enough. */
+/* Returns whether this archive has received the lists of processes, or FIRST_DISCOVERY_MS has
+ * passed. */
 static bool
-member_has_looked (const struct ArchiveMember *member)
+member_has_discovered (const struct ArchiveMember *member)
 {
   int64_t now_ms = member_now_ms (member);
 
   return peer_table_is_served (member->node->peers, now_ms)
-         || now_ms - member->node->started_ms >= FIRST_LOOK_MS;
+         || now_ms - member->node->started_ms >= FIRST_DISCOVERY_MS;
 }
 
-/* It is this archive's turn to join the first set, or those before it have let theirs pass. */
+/* Returns whether this archive may join the first set now: it is the next one, or those that
+ * precede it have let their time pass. */
 static bool
-member_is_next_first (struct ArchiveMember *member)
+member_may_bootstrap (struct ArchiveMember *member)
 {
   const struct PeerTable *table = member->node->peers;
   struct ArchiveFirst own = { .rank = table->own_rank }, other;
@@ -521,9 +531,10 @@
   size_t n_zones = member_zones (member, zones), n_before = 0;
   int64_t now_ms = member_now_ms (member);
 
-  if (member->first_since_ms == 0 || member->first_generation != member->node->set.generation)
-    member->first_since_ms = now_ms;
-  member->first_generation = member->node->set.generation;
+  if (member->bootstrap_since_ms == 0
+      || member->bootstrap_generation != member->node->set.generation)
+    member->bootstrap_since_ms = now_ms;
+  member->bootstrap_generation = member->node->set.generation;
   snprintf (own.zone, sizeof own.zone, "%s", table->own.zone);
   for (size_t i = 0; i < table->n_peers; i++)
     {
@@ -535,7 +546,7 @@
       other.rank = peer->rank;
       n_before += archive_first_before (&other, &own, zones, n_zones);
     }
-  return now_ms - member->first_since_ms >= (int64_t)n_before * FIRST_TURN_MS;
+  return now_ms - member->bootstrap_since_ms >= (int64_t)n_before * FIRST_STAGGER_MS;
 }
 
 static void
@@ -545,32 +556,32 @@
   const struct ArchiveSet *set = &member->node->set;
   bool inside = archive_set_has (set, member_name (member));
 
-  if (member_lost_disk (member))
+  if (member_needs_restore (member))
     member_start_copy (member, 0);
-  if (member->first && !inside && member_has_looked (member)
+  if (member->bootstrapping && !inside && member_has_discovered (member)
       && set->members.n < archive_set_wanted (member->node->settings->tolerated))
     {
-      if (member_is_next_first (member))
-        member_write (member, ARCHIVE_STEP_FIRST, member_name (member), "");
+      if (member_may_bootstrap (member))
+        member_start_step (member, ARCHIVE_STEP_FIRST, member_name (member), "");
     }
   else if (set->generation > 0)
     switch (set->stage)
       {
       case ARCHIVE_STAGE_STABLE:
         if (inside)
-          member_inside (member);
+          member_consider_leaving (member);
         else
-          member_outside (member);
+          member_consider_joining (member);
         break;
       case ARCHIVE_STAGE_STARTING:
-        member_while_starting (member);
+        member_handle_starting (member);
         break;
       case ARCHIVE_STAGE_ENDING:
-        member_while_ending (member);
+        member_handle_ending (member);
         break;
       }
   if (inside)
-    member->first = false;
+    member->bootstrapping = false;
   member_report (member);
 }
 
@@ -587,13 +598,13 @@
   member->node = node;
   member->archive = archive;
   member->log = log;
-  member->first = node->settings->first_start != 0;
+  member->bootstrapping = node->settings->first_start != 0;
   timer_subscribe (member, node->timers, TICK_MS, TICK_MS, member_on_tick, member);
   return member;
 }
 
 void
-archive_member_take_retire (struct ArchiveMember *member, const struct Snapshot *snapshot)
+archive_member_set_retiring (struct ArchiveMember *member, const struct Snapshot *snapshot)
 {
   member->n_retiring = 0;
   for (size_t i = 0; i < snapshot->n_items && member->n_retiring < RETIRE_MAX; i++)
@@ -606,16 +617,16 @@
 }
 
 uint64_t
-archive_member_synced (const struct ArchiveMember *member)
+archive_member_synced_generation (const struct ArchiveMember *member)
 {
-  return member->synced;
+  return member->synced_generation;
 }
 
 void
-archive_member_take_part (struct ArchiveMember *member,
-                          const char *sender,
-                          const struct CopyPart *part)
+archive_member_receive_part (struct ArchiveMember *member,
+                             const char *sender,
+                             const struct CopyPart *part)
 {
   if (member->copy != NULL)
-    archive_copy_take (member->copy, sender, part);
+    archive_copy_receive_part (member->copy, sender, part);
 }
--- a/gateway/archive_member.h
+++ b/gateway/archive_member.h
@@ -1,7 +1,7 @@
-/* An archive's place in the set: it joins, copies, steps down, and stands in for those that are
- * gone.
+/* An archive's membership of the set: it joins, copies, leaves, and replaces members that failed.
  *
- * The archive that wants the change drives it, and the store decides between two that want one. */
+ * The archive that joins or leaves drives the change; the store's compare-and-swap resolves
+ * conflicts between two archives. */
 #pragma once
 
 #include "archive_copy.h"
@@ -14,15 +14,17 @@
                     struct Archive *archive,
                     struct DiskLog *log);
 
-/* The machines that the operators want emptied. */
+/* Replaces the list of the instances that the operators retire by that of snapshot. */
 void
-archive_member_take_retire (struct ArchiveMember *member, const struct Snapshot *snapshot);
+archive_member_set_retiring (struct ArchiveMember *member, const struct Snapshot *snapshot);
 
-/* Generation of a change for which everything is copied; 0 for none. */
+/* Returns the generation of the last change for which this archive has copied everything; 0 for
+ * none. */
 uint64_t
-archive_member_synced (const struct ArchiveMember *member);
+archive_member_synced_generation (const struct ArchiveMember *member);
 
+/* Processes a response to a copy request of this archive. */
 void
-archive_member_take_part (struct ArchiveMember *member,
-                          const char *sender,
-                          const struct CopyPart *part);
+archive_member_receive_part (struct ArchiveMember *member,
+                             const char *sender,
+                             const struct CopyPart *part);
--- a/gateway/archive_state.c
+++ b/gateway/archive_state.c
@@ -12,9 +12,9 @@
 
 enum
 {
-  /* Seconds of age do no harm here, and each writing of what has changed takes the disk two syncs,
-   * some 10 ms on the slowest ones of the sheets. */
-  KEEP_PERIOD_MS = 2000,
+  /* State that is a few seconds old is good enough, and each save takes two disk syncs, about 10 ms
+   * on the slowest disks of the deployments. */
+  SAVE_PERIOD_MS = 2000,
   N_KINDS = SNAPSHOT_KIND_MAX + 1
 };
 
@@ -22,8 +22,8 @@
 {
   struct Node *node;
   struct DiskLog *log;
-  uint64_t kept_content[N_KINDS];
-  uint64_t nodes_hash; /* of what is kept */
+  uint64_t saved_content[N_KINDS];
+  uint64_t nodes_hash; /* of the saved list */
 };
 
 static const char *const kind_names[N_KINDS] = {
@@ -33,16 +33,17 @@
 };
 
 static void
-state_on_kept (void *data, int32_t error, const struct DiskPlace *place)
+state_on_saved (void *data, int32_t error, const struct DiskPlace *place)
 {
   (void)data;
   (void)place;
   if (error != ERROR_NONE)
-    log_event (LOG_LEVEL_WARNING, "store_state_not_kept", NULL, "look at the disk", "%s",
+    log_event (LOG_LEVEL_WARNING, "store_state_not_kept", NULL, "check the disk", "%s",
                error_name (error));
 }
 
-/* [wall clock, the snapshot as a message]: its age goes on while no process runs. */
+/* Saves [wall clock in ms, packed snapshot message]. The wall clock gives the age of the state
+ * after a restart. */
 static void
 state_write (struct ArchiveState *state,
              enum SnapshotKind kind,
@@ -59,18 +60,18 @@
   pack_i64 (p, clock_unix_ms ());
   pack_bytes (p, snapshot, snapshot_bytes);
   if (pack_finish (p, state, &record, &n_bytes) != ERROR_NONE
-      || disk_log_keep (state->log, kind_names[kind], record, n_bytes, state_on_kept, state)
+      || disk_log_keep (state->log, kind_names[kind], record, n_bytes, state_on_saved, state)
              != ERROR_NONE)
-    state_on_kept (state, ERROR_NO_MEMORY, NULL);
+    state_on_saved (state, ERROR_NO_MEMORY, NULL);
   talloc_free (record);
 }
 
 static void
-state_keep (struct ArchiveState *state, enum SnapshotKind kind)
+state_save (struct ArchiveState *state, enum SnapshotKind kind)
 {
   size_t n_bytes;
   uint8_t *snapshot =
-      store_reader_pack (state->node->reader, state, kind, &state->kept_content[kind], &n_bytes);
+      store_reader_pack (state->node->reader, state, kind, &state->saved_content[kind], &n_bytes);
 
   if (snapshot != NULL)
     state_write (state, kind, snapshot, n_bytes);
@@ -78,7 +79,7 @@
 }
 
 static void
-state_keep_nodes (struct ArchiveState *state)
+state_save_nodes (struct ArchiveState *state)
 {
   struct GatewayMessage message = { .kind = GATEWAY_SNAPSHOT };
   struct Snapshot *snapshot = node_directory_snapshot (state->node, state);
@@ -100,7 +101,7 @@
 }
 
 static void
-state_take (struct ArchiveState *state, enum SnapshotKind kind)
+state_load (struct ArchiveState *state, enum SnapshotKind kind)
 {
   TALLOC_CTX *ctx = talloc_new (state);
   struct GatewayMessage *message = NULL;
@@ -119,11 +120,12 @@
       || gateway_message_unpack (ctx, snapshot, snapshot_bytes, &message) != ERROR_NONE
       || message->kind != GATEWAY_SNAPSHOT)
     goto out;
-  /* A clock that was set back makes no state newer than it was. */
+  /* Ignored if the clock was set back, which would make the state look newer than it is. */
   if (age_ms > 0 && age_ms < INT32_MAX)
     message->snapshot.age_ms += (uint32_t)age_ms;
-  log_event (LOG_LEVEL_NOTICE, "store_state_taken", NULL, NULL, "%s of revision %lld, %u ms old",
-             kind_names[kind], (long long)message->snapshot.revision, message->snapshot.age_ms);
+  log_event (LOG_LEVEL_NOTICE, "store_state_taken", NULL, NULL,
+             "loaded %s of revision %lld, %u ms old", kind_names[kind],
+             (long long)message->snapshot.revision, message->snapshot.age_ms);
   store_reader_take_from_peer (state->node->reader, PEER_LINK_NONE, &message->snapshot);
 
 out:
@@ -135,9 +137,9 @@
 {
   struct ArchiveState *state = data;
 
-  state_keep (state, SNAPSHOT_ROUTES);
-  state_keep (state, SNAPSHOT_SUBSET);
-  state_keep_nodes (state);
+  state_save (state, SNAPSHOT_ROUTES);
+  state_save (state, SNAPSHOT_SUBSET);
+  state_save_nodes (state);
 }
 
 static void
@@ -147,7 +149,7 @@
 
   for (enum SnapshotKind kind = SNAPSHOT_ROUTES; kind <= SNAPSHOT_SUBSET; kind++)
     if (kind_names[kind] != NULL)
-      state_take (state, kind);
+      state_load (state, kind);
 }
 
 struct ArchiveState *
@@ -159,8 +161,8 @@
     return NULL;
   state->node = node;
   state->log = log;
-  /* The reader is there once the loop runs. */
+  /* The node creates its reader later, before the event loop runs. */
   timer_subscribe (state, node->timers, 0, 0, state_on_start, state);
-  timer_subscribe (state, node->timers, KEEP_PERIOD_MS, KEEP_PERIOD_MS, state_on_period, state);
+  timer_subscribe (state, node->timers, SAVE_PERIOD_MS, SAVE_PERIOD_MS, state_on_period, state);
   return state;
 }
--- a/gateway/archive_state.h
+++ b/gateway/archive_state.h
@@ -1,7 +1,8 @@
-/* What the platform's store said, kept on an archive's disk.
+/* A copy of the platform's store's state on an archive's disk.
  *
- * Processes that start learn it from peers. When all of them start at once while the store is away,
- * only the archives' disks still know the configuration, the servers and each other. */
+ * Processes that start normally receive this state from peers. When all of them start at once while
+ * the store is unavailable, the archives' disks have the only copy of the configuration and of the
+ * lists of backend servers and processes. */
 #pragma once
 
 #include "node.h"
@@ -10,6 +11,7 @@
 
 struct ArchiveState;
 
-/* Keeps what the node's reader holds, from now on. */
+/* Loads the saved state into the node's reader once the event loop runs, and saves changes of it
+ * from then on. NULL without memory. */
 struct ArchiveState *
 archive_state_new (TALLOC_CTX *ctx, struct Node *node, struct DiskLog *log);
