--- a/gateway/store_follow.c
+++ b/gateway/store_follow.c
@@ -1,4 +1,4 @@
-/* Follows what changes in the platform's store by one call that waits for all of it. */
+/* Follows changes in the platform's store with a single watch call on all of its keys. */
 #include "store_internal.h"
 
 #include <buckthornhead/kv_guard.h>
@@ -10,27 +10,26 @@
 
 enum
 {
-  /* Changes that come one after the other are gathered for this long: a release of hundreds of
-   * servers would else cost a call each. */
-  GATHER_MS = 300,
-  /* After the time in which a call that waits must have ended, before another process takes over.
-   */
+  /* Delay before the next watch call after changes, so that it returns several of them: a release
+   * of hundreds of servers would otherwise cost a call per server. */
+  BATCH_MS = 300,
+  /* Margin after the maximum duration of a watch call before another process takes over. */
   TAKE_OVER_MS = 200
 };
 
-/* Every key of the store begins so. */
+/* Prefix that matches every key of the store. */
 #define ALL_KEYS ""
 
-/* Up to where all kinds are known; 0: some kind is not known yet. */
+/* Returns the revision up to which all kinds are followed; 0 if some kind has not been read yet. */
 static int64_t
-reader_followed (const struct StoreReader *reader)
+reader_followed_revision (const struct StoreReader *reader)
 {
-  int64_t followed = INT64_MAX;
+  int64_t followed_revision = INT64_MAX;
 
   for (enum SnapshotKind kind = SNAPSHOT_ROUTES; kind <= SNAPSHOT_RETIRE; kind++)
-    if (reader->topics[kind].followed < followed)
-      followed = reader->topics[kind].followed;
-  return followed;
+    if (reader->topics[kind].followed_revision < followed_revision)
+      followed_revision = reader->topics[kind].followed_revision;
+  return followed_revision;
 }
 
 bool
@@ -43,7 +42,7 @@
 }
 
 static bool
-reader_takes_over (const struct StoreReader *reader, int64_t now_ms, int64_t delay_ms)
+reader_must_take_over (const struct StoreReader *reader, int64_t now_ms, int64_t delay_ms)
 {
   for (enum SnapshotKind kind = SNAPSHOT_ROUTES; kind <= SNAPSHOT_RETIRE; kind++)
     if (reader_is_overdue (reader, kind, now_ms, delay_ms))
@@ -51,16 +50,18 @@
   return false;
 }
 
-/* The store does not know any more what changed since: everything is read anew. */
+/* Reads all kinds from the store again: it no longer has the changes since the followed revision.
+ */
 static void
-reader_forget_followed (struct StoreReader *reader)
+reader_reread_all (struct StoreReader *reader)
 {
-  log_event (LOG_LEVEL_NOTICE, "store_history_gone", NULL, NULL, "after revision %lld",
-             (long long)reader_followed (reader));
+  log_event (LOG_LEVEL_NOTICE, "store_history_gone", NULL, NULL,
+             "the store no longer has the changes after revision %lld; reading all lists again",
+             (long long)reader_followed_revision (reader));
   for (enum SnapshotKind kind = SNAPSHOT_ROUTES; kind <= SNAPSHOT_RETIRE; kind++)
     {
-      reader->topics[kind].followed = 0;
-      reader->topics[kind].anew = true;
+      reader->topics[kind].followed_revision = 0;
+      reader->topics[kind].must_reread = true;
     }
 }
 
@@ -74,13 +75,13 @@
   reader_note (reader, false, error);
 }
 
-/* One event of a call's answer. */
+/* One change in the response to a watch call. */
 struct StoreEvent
 {
   const struct KvEntry *entry;
 };
 
-/* By key, the newest change of each last. */
+/* Orders by key, then by revision, so that the newest change of a key is last. */
 static int
 event_compare (const void *a, const void *b)
 {
@@ -93,13 +94,14 @@
   return x->mod_revision < y->mod_revision ? -1 : x->mod_revision > y->mod_revision;
 }
 
-/* The events of kind that are not known yet, sorted; belongs to ctx. NULL without memory. */
+/* Returns the events of kind that are newer than its followed revision, sorted. Belongs to ctx;
+ * NULL without memory. */
 static struct StoreEvent *
-events_of (const struct StoreReader *reader,
-           TALLOC_CTX *ctx,
-           enum SnapshotKind kind,
-           const struct KvResult *result,
-           size_t *n)
+events_select (const struct StoreReader *reader,
+               TALLOC_CTX *ctx,
+               enum SnapshotKind kind,
+               const struct KvResult *result,
+               size_t *n)
 {
   struct StoreEvent *events = talloc_array (ctx, struct StoreEvent, result->n_entries);
   char buffer[96];
@@ -110,14 +112,14 @@
     return NULL;
   for (size_t i = 0; i < result->n_entries; i++)
     if (strncmp (result->entries[i].key, prefix, strlen (prefix)) == 0
-        && result->entries[i].mod_revision > reader->topics[kind].followed)
+        && result->entries[i].mod_revision > reader->topics[kind].followed_revision)
       events[(*n)++].entry = &result->entries[i];
   if (*n > 1)
     qsort (events, *n, sizeof events[0], event_compare);
   return events;
 }
 
-/* An entry that can not be read names nothing to use: it counts as gone. */
+/* An unreadable entry is unusable, so it counts as deleted. */
 static void
 changes_add (struct StoreReader *reader, struct Snapshot *changes, const struct KvEntry *entry)
 {
@@ -130,9 +132,9 @@
   item->gone = true;
 }
 
-/* The changes of kind among events, by key; NULL without memory. */
+/* Returns the newest change of each key of kind, sorted by key; NULL without memory. */
 static struct Snapshot *
-changes_of (struct StoreReader *reader, enum SnapshotKind kind, const struct KvResult *result)
+changes_collect (struct StoreReader *reader, enum SnapshotKind kind, const struct KvResult *result)
 {
   struct Snapshot *changes = talloc_zero (reader, struct Snapshot);
   struct StoreEvent *events;
@@ -141,7 +143,7 @@
   if (changes == NULL)
     return NULL;
   changes->kind = kind;
-  events = events_of (reader, changes, kind, result, &n);
+  events = events_select (reader, changes, kind, result, &n);
   changes->items = talloc_zero_array (changes, struct SnapshotItem, n);
   if (events == NULL || changes->items == NULL)
     {
@@ -154,7 +156,7 @@
   return changes;
 }
 
-/* Nothing of kind has changed up to revision. */
+/* Publishes that kind has not changed up to revision. */
 static void
 follow_publish_unchanged (struct StoreReader *reader, enum SnapshotKind kind, int64_t revision)
 {
@@ -165,10 +167,12 @@
 }
 
 static void
-follow_take_list (struct StoreReader *reader, enum SnapshotKind kind, const struct KvResult *result)
+follow_apply_list (struct StoreReader *reader,
+                   enum SnapshotKind kind,
+                   const struct KvResult *result)
 {
   struct Topic *topic = &reader->topics[kind];
-  struct Snapshot *changes = changes_of (reader, kind, result), *whole = NULL;
+  struct Snapshot *changes = changes_collect (reader, kind, result), *whole = NULL;
 
   if (changes != NULL && changes->n_items > 0)
     whole = snapshot_merge (changes, topic->snapshot, changes);
@@ -182,12 +186,12 @@
   else if (changes != NULL && changes->n_items == 0)
     follow_publish_unchanged (reader, kind, result->revision);
   else
-    topic->followed = 0;
+    topic->followed_revision = 0;
   talloc_free (changes);
 }
 
 static void
-follow_take_routes (struct StoreReader *reader, const struct KvResult *result)
+follow_apply_routes (struct StoreReader *reader, const struct KvResult *result)
 {
   struct Topic *topic = &reader->topics[SNAPSHOT_ROUTES];
   const struct KvEntry *newest = NULL;
@@ -199,13 +203,13 @@
       newest = &result->entries[i];
   if (newest == NULL && topic->snapshot == NULL)
     {
-      topic->followed = result->revision;
+      topic->followed_revision = result->revision;
       topic->read_ms = topic->current_ms;
     }
-  else if (newest == NULL || newest->mod_revision <= topic->followed)
+  else if (newest == NULL || newest->mod_revision <= topic->followed_revision)
     follow_publish_unchanged (reader, SNAPSHOT_ROUTES, result->revision);
   else if (!reader_publish_routes (reader, newest, result->revision))
-    topic->followed = 0;
+    topic->followed_revision = 0;
 }
 
 static void
@@ -218,7 +222,7 @@
   if (result->error == ERROR_NOT_FOUND)
     {
       follow->waiting = false;
-      reader_forget_followed (reader);
+      reader_reread_all (reader);
       return;
     }
   if (result->error != ERROR_NONE || result->revision <= 0)
@@ -228,34 +232,34 @@
     }
   follow->waiting = false;
   follow->failures = 0;
-  follow->next_ms = result->n_entries > 0 ? now_ms + GATHER_MS : 0;
+  follow->next_ms = result->n_entries > 0 ? now_ms + BATCH_MS : 0;
   reader_note (reader, true, ERROR_NONE);
   for (enum SnapshotKind kind = SNAPSHOT_ROUTES; kind <= SNAPSHOT_RETIRE; kind++)
     {
-      reader->topics[kind].asked_ms = follow->asked_ms;
+      reader->topics[kind].read_started_ms = follow->call_started_ms;
       reader->topics[kind].current_ms = now_ms;
     }
-  follow_take_routes (reader, result);
+  follow_apply_routes (reader, result);
   for (enum SnapshotKind kind = SNAPSHOT_SERVERS; kind <= SNAPSHOT_RETIRE; kind++)
-    follow_take_list (reader, kind, result);
+    follow_apply_list (reader, kind, result);
 }
 
 void
 reader_follow (struct StoreReader *reader, int64_t now_ms, int64_t delay_ms)
 {
   struct Follow *follow = &reader->follow;
-  int64_t followed = reader_followed (reader);
+  int64_t followed_revision = reader_followed_revision (reader);
   struct KvRequest request = { .op = KV_OP_WATCH };
 
-  if (follow->waiting || now_ms < follow->next_ms || followed == 0)
+  if (follow->waiting || now_ms < follow->next_ms || followed_revision == 0)
     return;
-  if (delay_ms > 0 && !reader_takes_over (reader, now_ms, delay_ms))
+  if (delay_ms > 0 && !reader_must_take_over (reader, now_ms, delay_ms))
     return;
   request.watch.prefix = ALL_KEYS;
-  request.watch.start_revision = followed + 1;
+  request.watch.start_revision = followed_revision + 1;
   request.watch.wait_ms = reader->wait_ms;
   follow->waiting = true;
-  follow->asked_ms = now_ms;
+  follow->call_started_ms = now_ms;
   if (kv_submit_guarded (reader, reader->node->store, &request, follow_on_done, reader)
       != ERROR_NONE)
     follow_failed (reader, ERROR_NO_MEMORY);
--- a/gateway/store_internal.h
+++ b/gateway/store_internal.h
@@ -1,5 +1,6 @@
-/* What the files of the store's reader share: store_reader.c reads whole lists, store_follow.c
- * waits for changes, store_topics.c holds what they gave and passes it on. */
+/* Declarations shared by the files of the store reader: store_reader.c reads whole lists,
+ * store_follow.c watches for changes, store_topics.c holds the resulting state and forwards it to
+ * peers. */
 #pragma once
 
 #include "store_reader.h"
@@ -12,67 +13,68 @@
   N_KINDS = SNAPSHOT_KIND_MAX + 1
 };
 
-/* One kind of state in the store. */
+/* This process's copy of one kind of snapshot. */
 struct Topic
 {
-  int64_t revision;   /* of the store, of what is held; 0: nothing yet */
-  uint64_t content;   /* of what is held */
-  int64_t gap_ms;     /* when a read came that was the first after a gap; 0: never */
-  int64_t read_ms;    /* when what is held was current */
-  int64_t next_ms;    /* no call of ours before */
-  uint32_t failures;  /* in a row */
-  bool anew;          /* to be read whatever peers hold */
-  int64_t asked_ms;   /* of the call on the way */
-  int64_t current_ms; /* when what it gave was current */
-  bool asking;
-  int64_t wanted_ms;          /* when a peer was asked for all of it, last */
-  int64_t noted_ms;           /* when others last got a note that it is being read */
-  int64_t called_ms;          /* when the call on the way left */
-  int64_t floor;              /* revision of the store below which the call on the way looks */
-  int64_t followed;           /* revision of the store up to which changes are known; 0: none */
-  struct Snapshot *snapshot;  /* what is held */
-  struct SnapshotItem *pages; /* of the range that is being read */
-  size_t n_pages;
-  char last_key[KV_KEY_MAX_BYTES]; /* of the pages, also of an entry that was left out; "": none */
+  int64_t revision;        /* of the store, for the held state; 0: none yet */
+  uint64_t content;        /* hash of the held items, or mod revision of the routes */
+  int64_t gap_read_ms;     /* when the first read after a gap was received; 0: never */
+  int64_t read_ms;         /* latest time at which the held state is certain to be current */
+  int64_t next_ms;         /* earliest time of the next call */
+  uint32_t failures;       /* consecutive */
+  bool must_reread;        /* read the store even if peers hold a copy */
+  int64_t read_started_ms; /* of the latest read or watch call */
+  int64_t current_ms;      /* time at which the result of that read or call is current */
+  bool reading;
+  int64_t whole_requested_ms; /* when a peer was last asked for the whole snapshot */
+  int64_t reading_noted_ms;   /* when peers were last notified that the list is being read */
+  int64_t call_started_ms;    /* of the pending call, which reads one page */
+  int64_t read_revision;      /* the read includes all changes up to this revision */
+  int64_t followed_revision;  /* all changes up to this one are applied; 0: none, read the list */
+  struct Snapshot *snapshot;  /* the held state */
+  struct SnapshotItem *read_items; /* of the list that is being read */
+  size_t n_read_items;
+  char last_key[KV_KEY_MAX_BYTES]; /* last one read, even if its entry was omitted; "": none */
 };
 
-/* The call that waits for changes of all that the store holds. */
+/* The call that watches all keys of the store. */
 struct Follow
 {
   bool waiting;
-  int64_t asked_ms;
-  int64_t next_ms;   /* no call before */
-  uint32_t failures; /* in a row */
+  int64_t call_started_ms;
+  int64_t next_ms;   /* earliest time of the next call */
+  uint32_t failures; /* consecutive */
 };
 
 struct StoreReader
 {
-  struct RecentHashes unreadable; /* entries that were logged as such */
+  struct RecentHashes logged_unreadable; /* entries already logged as malformed */
   struct Node *node;
   struct Topic topics[N_KINDS];
   struct Follow follow;
-  uint32_t rank;             /* place among those that may read */
-  int64_t ranked_ms;         /* when that was worked out */
-  int64_t kept_servers_ms;   /* when this process last had to hold the list of all servers */
+  uint32_t rank;             /* position among the processes that may read the store */
+  int64_t ranked_ms;         /* when rank was computed */
+  int64_t servers_needed_ms; /* when this process last needed the list of all servers */
   struct ServerIndex *index; /* of that list */
-  uint64_t subset_of;        /* content of the list that the subset was drawn from */
+  uint64_t subset_of;        /* content of the list from which the subset was drawn */
   uint32_t subset_level;
-  int64_t wait_ms; /* of a call that waits for changes */
+  int64_t wait_ms; /* maximum duration of a watch call */
   bool reachable, registered, registering;
-  int64_t registering_ms; /* when that call left */
-  int64_t aggregates_ms;  /* since when this process aggregates its zone; 0: it does not */
-  int64_t knows_nodes_ms; /* since when the list of processes is known; 0: not yet */
+  int64_t register_started_ms; /* of the pending or last call */
+  int64_t aggregator_since_ms; /* when it became its zone's first aggregator; 0: it is not */
+  int64_t nodes_known_ms;      /* when processes became known; may lie ahead; 0: not yet */
 };
 
+/* Logs and reports in the metrics whether the store is reachable, when that changes. */
 void
 reader_note (struct StoreReader *reader, bool reachable, int32_t error);
 
-/* Pause after that many failed calls in a row. */
+/* Returns the delay after the given number of consecutive failures before the latest one. */
 int64_t
 reader_backoff_ms (uint32_t failures);
 
-/* A copy of entry as a list's item, whose value belongs to ctx: servers in the product's own form.
- * False when it can not be used. */
+/* Copies entry to a list's item, whose value belongs to ctx; servers are converted to the internal
+ * format. Returns false if entry is unusable. */
 bool
 reader_fill_item (struct StoreReader *reader,
                   TALLOC_CTX *ctx,
@@ -80,53 +82,56 @@
                   struct SnapshotItem *item,
                   const struct KvEntry *entry);
 
-/* Keys of kind begin so; buffer holds it where it is made up. */
+/* Returns the prefix of the keys of kind, which may be written to buffer. */
 const char *
 reader_prefix (const struct StoreReader *reader, enum SnapshotKind kind, char buffer[96]);
 
-/* The configuration as it stands in entry. False without memory. */
+/* Publishes the configuration in entry. Returns false without memory. */
 bool
 reader_publish_routes (struct StoreReader *reader, const struct KvEntry *entry, int64_t revision);
 
-/* Nobody has read kind for so long that this process does. */
+/* Returns whether no process has read kind for so long that this one, whose rank delays it by
+ * delay_ms, must. */
 bool
 reader_is_overdue (const struct StoreReader *reader,
                    enum SnapshotKind kind,
                    int64_t now_ms,
                    int64_t delay_ms);
 
-/* Sends a call that waits for changes if it is this process's turn. */
+/* Sends a watch call if this process is the one that should. */
 void
 reader_follow (struct StoreReader *reader, int64_t now_ms, int64_t delay_ms);
 
-/* Takes a state that is current as of read_ms. An older one than what is held is dropped: state
- * must not go back, whichever way it came. */
+/* Replaces the held state by one that is current as of read_ms. Drops it if its revision is lower:
+ * state must never revert to an older one, whatever the order in which copies arrive. */
 void
 topic_take (struct StoreReader *reader, const struct Snapshot *snapshot, int64_t read_ms);
 
-/* Notes to those who would read next that kind is being read: a list of thousands takes longer than
- * they wait. */
+/* Notifies the processes that would read next that kind is being read: a list of thousands takes
+ * longer than the delay after which they would read it themselves. */
 void
 topic_note_reading (struct StoreReader *reader, enum SnapshotKind kind);
 
-/* Nobody had read it for a while before what is held. */
+/* Returns whether the held state was, a short time ago, the first read after a gap in which no
+ * process could read the store. */
 bool
 topic_is_after_gap (const struct StoreReader *reader, enum SnapshotKind kind);
 
-/* Whether this process holds the list of all servers: it reads it, would be among the next to read
- * it, or draws up its zone's subset. */
+/* Returns whether this process holds the list of all servers: because it reads it, is among the
+ * next to read it, or draws its zone's subset from it. */
 bool
 reader_keeps_servers (const struct StoreReader *reader);
 
-/* Lets the list of all servers go some time after it was last needed. */
+/* Frees the list of all servers some time after it was last needed. */
 void
 reader_drop_servers (struct StoreReader *reader);
 
-/* How much later than the first this process reads what nobody has read. */
+/* Returns the delay, relative to the first-ranked process, after which this one reads what no other
+ * has read. */
 int64_t
 reader_delay_ms (struct StoreReader *reader);
 
-/* What this process has read itself: taken, and sent to the aggregators of all zones, who send it
- * to their members, and to those who would read next. */
+/* Takes what this process has read itself, and sends it to the aggregators of all zones, which
+ * forward it to their members, and to the processes that would read next. */
 void
 topic_publish (struct StoreReader *reader, struct Snapshot *snapshot);
--- a/gateway/store_reader.c
+++ b/gateway/store_reader.c
@@ -18,29 +18,31 @@
 enum
 {
   TICK_MS = 100,
-  /* After a failed call; doubled up to the maximum. */
+  /* Delay after a failed call; doubled with each further failure up to the maximum. */
   BACKOFF_FIRST_MS = 300,
   BACKOFF_MAX_MS = 1500,
-  /* Of the time in which a change must be in force, what a call that waits for it may take: the
-   * rest is for a process that takes over from one that was cut off, and for passing it on. */
+  /* Share of the time within which a change must be in force that a watch call may take. The rest
+   * is left for another process to take over from one that was cut off, and for forwarding. */
   WAIT_SHARE_PERCENT = 40,
   WAIT_MIN_MS = 400,
   WAIT_MAX_MS = 4000,
-  /* For the aggregators' answer to a process that starts. */
-  BEGIN_MS = 150,
-  /* While a fleet starts its seeds learn of one process after the other: those that ask first know
-   * only later who reads before them. */
-  CONTACTS_GROW_MS = 150,
-  /* A process that no aggregator reports to yet does not know who reads before it. */
-  SERVED_MS = 1500,
-  /* Between two notes that a list is being read. */
-  NOTE_READING_MS = 200,
-  /* An aggregator that stays one is found in the store by processes that can not reach a seed. */
+  /* Wait for the aggregators' response to a process that starts. */
+  FIRST_READ_WAIT_MS = 150,
+  /* Wait after a seed's response: while a fleet starts its seeds receive one process after the
+   * other, so the first requesters learn only later which processes rank before them. */
+  CONTACTS_SETTLE_MS = 150,
+  /* Wait for an aggregator's report, without which a process does not have those that rank before
+   * it. */
+  AGGREGATOR_WAIT_MS = 1500,
+  /* Minimum time between two notifications that a list is being read. */
+  READING_NOTE_PERIOD_MS = 200,
+  /* Time after which an aggregator registers in the store, where processes that cannot reach a seed
+   * find it. */
   REGISTER_AFTER_MS = 3000
 };
 
 static void
-topic_ask (struct StoreReader *reader, enum SnapshotKind kind);
+topic_read (struct StoreReader *reader, enum SnapshotKind kind);
 
 /* Calls. */
 
@@ -55,7 +57,8 @@
     log_event (LOG_LEVEL_NOTICE, "store_reached", NULL, NULL, NULL);
   else
     log_event (LOG_LEVEL_WARNING, "store_lost", NULL,
-               "nothing: what is known is used, and peers may reach it", "%s", error_name (error));
+               "nothing: the cached state is used, and peers may reach the store",
+               "cannot reach the platform's store: %s", error_name (error));
 }
 
 int64_t
@@ -74,9 +77,9 @@
   struct Topic *topic = &reader->topics[kind];
 
   topic->next_ms = timer_now_ms (reader->node->timers) + reader_backoff_ms (topic->failures++);
-  topic->asking = false;
-  TALLOC_FREE (topic->pages);
-  topic->n_pages = 0;
+  topic->reading = false;
+  TALLOC_FREE (topic->read_items);
+  topic->n_read_items = 0;
   topic->last_key[0] = '\0';
   reader_note (reader, false, error);
 }
@@ -87,8 +90,9 @@
   struct Topic *topic = &reader->topics[kind];
 
   topic->failures = 0;
-  topic->asking = false;
-  histogram_add (HISTOGRAM_STORE_CALL, timer_now_ms (reader->node->timers) - topic->called_ms);
+  topic->reading = false;
+  histogram_add (HISTOGRAM_STORE_CALL,
+                 timer_now_ms (reader->node->timers) - topic->call_started_ms);
   topic->next_ms = 0;
   reader_note (reader, true, ERROR_NONE);
 }
@@ -103,7 +107,7 @@
   return item->value != NULL || entry->value_bytes == 0;
 }
 
-/* The configuration: see deflate.h. */
+/* Used for the configuration; see deflate.h. */
 static bool
 item_fill_deflated (TALLOC_CTX *ctx, struct SnapshotItem *item, const struct KvEntry *entry)
 {
@@ -118,10 +122,11 @@
   return true;
 }
 
-/* A server's entry in the product's own form, without what changes with each of its heartbeats: a
- * list of a thousand servers would else be sent to every peer each time it is read. */
+/* Converts a server's entry to the internal format, without the fields that change with each of the
+ * server's heartbeats: otherwise a list of a thousand servers would be sent to every peer each time
+ * it is read. */
 static bool
-item_shorten (struct StoreReader *reader, TALLOC_CTX *ctx, struct SnapshotItem *item)
+item_normalize_server (struct StoreReader *reader, TALLOC_CTX *ctx, struct SnapshotItem *item)
 {
   struct ReplicaEntry entry;
   struct Fault fault;
@@ -129,9 +134,9 @@
   if (reader->node->dialect->read_server (item->key, item->value, item->value_bytes, &entry, &fault)
       != ERROR_NONE)
     {
-      /* Read again with each list, it is logged once. */
+      /* A malformed entry is read again with each list, but logged once. */
       if (!recent_hashes_add (
-              &reader->unreadable,
+              &reader->logged_unreadable,
               XXH64 (item->value, item->value_bytes, XXH64 (item->key, strlen (item->key), 0))))
         return false;
       counter_add (COUNTER_ENTRIES_UNREADABLE, 1);
@@ -152,7 +157,7 @@
                   const struct KvEntry *entry)
 {
   return item_fill (ctx, item, entry)
-         && (kind != SNAPSHOT_SERVERS || item_shorten (reader, ctx, item));
+         && (kind != SNAPSHOT_SERVERS || item_normalize_server (reader, ctx, item));
 }
 
 static void
@@ -167,37 +172,38 @@
       topic_failed (reader, kind, result->error);
       return;
     }
-  grown = talloc_realloc (reader, topic->pages, struct SnapshotItem,
-                          topic->n_pages + result->n_entries);
+  grown = talloc_realloc (reader, topic->read_items, struct SnapshotItem,
+                          topic->n_read_items + result->n_entries);
   if (grown == NULL && result->n_entries > 0)
     {
       topic_failed (reader, kind, ERROR_NO_MEMORY);
       return;
     }
-  topic->pages = grown;
+  topic->read_items = grown;
   for (size_t i = 0; i < result->n_entries; i++)
-    if (reader_fill_item (reader, grown, kind, &grown[topic->n_pages], &result->entries[i]))
-      topic->n_pages++;
-  if (topic->floor == 0)
-    topic->floor = result->revision;
+    if (reader_fill_item (reader, grown, kind, &grown[topic->n_read_items], &result->entries[i]))
+      topic->n_read_items++;
+  if (topic->read_revision == 0)
+    topic->read_revision = result->revision;
   if (result->more && result->n_entries > 0)
     {
       snprintf (topic->last_key, sizeof topic->last_key, "%s",
                 result->entries[result->n_entries - 1].key);
-      topic_ask (reader, kind);
+      topic_read (reader, kind);
       return;
     }
-  /* Changes between two lists are found by the order of their keys. */
-  snapshot_sort_items (topic->pages, topic->n_pages);
-  /* Pages are no snapshot: what changed while they were read is followed from the first on. */
-  snapshot.revision = topic->floor;
-  snapshot.items = topic->pages;
-  snapshot.n_items = topic->n_pages;
-  snapshot.content = snapshot_content (topic->pages, topic->n_pages);
+  /* Finding the changes between two lists requires sorted keys. */
+  snapshot_sort_items (topic->read_items, topic->n_read_items);
+  /* The pages are not one consistent read: changes are followed from the revision of the first
+   * page, so that those made while the others were read are included. */
+  snapshot.revision = topic->read_revision;
+  snapshot.items = topic->read_items;
+  snapshot.n_items = topic->n_read_items;
+  snapshot.content = snapshot_content (topic->read_items, topic->n_read_items);
   topic_succeeded (reader, kind);
   topic_publish (reader, &snapshot);
-  TALLOC_FREE (topic->pages);
-  topic->n_pages = 0;
+  TALLOC_FREE (topic->read_items);
+  topic->n_read_items = 0;
   topic->last_key[0] = '\0';
 }
 
@@ -240,12 +246,12 @@
   struct StoreReader *reader = data;
   struct Topic *topic = &reader->topics[SNAPSHOT_ROUTES];
 
-  if (result->error == ERROR_NOT_FOUND && topic->floor > 0)
+  if (result->error == ERROR_NOT_FOUND && topic->read_revision > 0)
     {
-      /* The operators have written none yet: it comes as a change. */
+      /* The operators have not written a configuration yet; it will arrive as a change. */
       topic_succeeded (reader, SNAPSHOT_ROUTES);
-      topic->followed = topic->floor;
-      topic->read_ms = topic->asked_ms;
+      topic->followed_revision = topic->read_revision;
+      topic->read_ms = topic->read_started_ms;
     }
   else if (result->error != ERROR_NONE || result->n_entries != 1)
     topic_failed (reader, SNAPSHOT_ROUTES, result->error);
@@ -263,29 +269,29 @@
   struct KvRequest request = { .op = KV_OP_GET };
 
   request.get.key = reader->node->dialect->routes_key;
-  reader->topics[SNAPSHOT_ROUTES].floor = reader->topics[SNAPSHOT_NODES].followed;
+  reader->topics[SNAPSHOT_ROUTES].read_revision = reader->topics[SNAPSHOT_NODES].followed_revision;
   if (kv_submit_guarded (reader, reader->node->store, &request, routes_on_read, reader)
       != ERROR_NONE)
     topic_failed (reader, SNAPSHOT_ROUTES, ERROR_NO_MEMORY);
 }
 
 static void
-range_ask (struct StoreReader *reader, enum SnapshotKind kind, KvDone done)
+range_read (struct StoreReader *reader, enum SnapshotKind kind, KvDone done)
 {
   struct Topic *topic = &reader->topics[kind];
   struct KvRequest request = { .op = KV_OP_RANGE };
   char buffer[96];
 
-  if (topic->called_ms - topic->noted_ms >= NOTE_READING_MS)
+  if (topic->call_started_ms - topic->reading_noted_ms >= READING_NOTE_PERIOD_MS)
     {
-      topic->noted_ms = topic->called_ms;
+      topic->reading_noted_ms = topic->call_started_ms;
       topic_note_reading (reader, kind);
     }
   request.range.prefix = reader_prefix (reader, kind, buffer);
   if (topic->last_key[0] != '\0')
     request.range.start = topic->last_key;
   else
-    topic->floor = 0;
+    topic->read_revision = 0;
   if (kv_submit_guarded (reader, reader->node->store, &request, done, reader) != ERROR_NONE)
     topic_failed (reader, kind, ERROR_NO_MEMORY);
 }
@@ -313,22 +319,22 @@
 }
 
 static void
-topic_ask (struct StoreReader *reader, enum SnapshotKind kind)
+topic_read (struct StoreReader *reader, enum SnapshotKind kind)
 {
-  reader->topics[kind].called_ms = timer_now_ms (reader->node->timers);
+  reader->topics[kind].call_started_ms = timer_now_ms (reader->node->timers);
   switch (kind)
     {
     case SNAPSHOT_ROUTES:
       routes_read (reader);
       break;
     case SNAPSHOT_SERVERS:
-      range_ask (reader, kind, servers_on_done);
+      range_read (reader, kind, servers_on_done);
       break;
     case SNAPSHOT_NODES:
-      range_ask (reader, kind, nodes_on_done);
+      range_read (reader, kind, nodes_on_done);
       break;
     case SNAPSHOT_RETIRE:
-      range_ask (reader, kind, retire_on_done);
+      range_read (reader, kind, retire_on_done);
       break;
     case SNAPSHOT_ZONE:
     case SNAPSHOT_FLEET:
@@ -338,7 +344,7 @@
     }
 }
 
-/* This process's own entry: whoever starts later finds it there. */
+/* This process's own entry in the store, by which processes that start later find it. */
 
 static void
 reader_on_registered (void *data, const struct KvResult *result)
@@ -348,7 +354,7 @@
   reader->registering = false;
   reader->registered = result->error == ERROR_NONE;
   histogram_add (HISTOGRAM_STORE_CALL,
-                 timer_now_ms (reader->node->timers) - reader->registering_ms);
+                 timer_now_ms (reader->node->timers) - reader->register_started_ms);
   if (!reader->registered)
     topic_failed (reader, SNAPSHOT_NODES, result->error);
 }
@@ -367,7 +373,7 @@
   request.put.value_bytes = strlen (value);
   request.put.condition = KV_IF_ALWAYS;
   reader->registering = true;
-  reader->registering_ms = timer_now_ms (reader->node->timers);
+  reader->register_started_ms = timer_now_ms (reader->node->timers);
   if (kv_submit_guarded (reader, reader->node->store, &request, reader_on_registered, reader)
       != ERROR_NONE)
     reader->registering = false;
@@ -376,13 +382,13 @@
 void
 store_reader_note_contacts (struct StoreReader *reader)
 {
-  if (reader->knows_nodes_ms == 0)
-    reader->knows_nodes_ms = timer_now_ms (reader->node->timers) + CONTACTS_GROW_MS;
+  if (reader->nodes_known_ms == 0)
+    reader->nodes_known_ms = timer_now_ms (reader->node->timers) + CONTACTS_SETTLE_MS;
 }
 
-/* Whether this process is to be found in the store. Where there are seeds, they and one
- * aggregator a zone are enough: an entry of each of a thousand processes is a call each, and pages
- * for all that read them. */
+/* Returns whether this process must register in the store. With seeds, the seeds and one aggregator
+ * per zone are enough: entries of a thousand processes would cost a call each, and additional pages
+ * in each read of the list. */
 static bool
 reader_must_register (struct StoreReader *reader, int64_t now_ms)
 {
@@ -393,34 +399,37 @@
   if (node->seeds == NULL || seeds_have_own (node->seeds))
     return true;
   if (!peer_table_is_first_aggregator (node->peers, now_ms))
-    reader->aggregates_ms = 0;
-  else if (reader->aggregates_ms == 0)
-    reader->aggregates_ms = now_ms;
-  return reader->aggregates_ms > 0 && now_ms - reader->aggregates_ms >= REGISTER_AFTER_MS;
+    reader->aggregator_since_ms = 0;
+  else if (reader->aggregator_since_ms == 0)
+    reader->aggregator_since_ms = now_ms;
+  return reader->aggregator_since_ms > 0
+         && now_ms - reader->aggregator_since_ms >= REGISTER_AFTER_MS;
 }
 
-/* Whether to read what nobody has sent yet. A process that starts looks for the others first;
- * where a whole fleet starts, one then reads and the rest get it from there. */
+/* Returns whether to read kind from the store rather than wait for a peer to send it. A process
+ * that starts looks for others first; when a whole fleet starts, one process then reads the store
+ * and the rest receive the state from it. */
 static bool
-reader_must_begin (const struct StoreReader *reader,
-                   enum SnapshotKind kind,
-                   int64_t now_ms,
-                   int64_t delay_ms)
+reader_should_read (const struct StoreReader *reader,
+                    enum SnapshotKind kind,
+                    int64_t now_ms,
+                    int64_t delay_ms)
 {
   const struct Node *node = reader->node;
   const struct Topic *topic = &reader->topics[kind];
 
-  if (topic->anew)
+  if (topic->must_reread)
     return delay_ms == 0 || reader_is_overdue (reader, kind, now_ms, delay_ms);
   if (topic->read_ms > 0)
     return reader_is_overdue (reader, kind, now_ms, delay_ms);
-  if (kind == SNAPSHOT_NODES && reader->knows_nodes_ms == 0)
+  if (kind == SNAPSHOT_NODES && reader->nodes_known_ms == 0)
     return !seeds_are_awaited (node->seeds);
-  if (node->seeds != NULL && now_ms - node->started_ms < SERVED_MS
+  if (node->seeds != NULL && now_ms - node->started_ms < AGGREGATOR_WAIT_MS
       && !peer_table_is_served (node->peers, now_ms)
       && !peer_table_is_aggregator (node->peers, now_ms))
     return false;
-  return reader->knows_nodes_ms > 0 && now_ms - reader->knows_nodes_ms >= BEGIN_MS + delay_ms;
+  return reader->nodes_known_ms > 0
+         && now_ms - reader->nodes_known_ms >= FIRST_READ_WAIT_MS + delay_ms;
 }
 
 static void
@@ -436,27 +445,28 @@
     {
       struct Topic *topic = &reader->topics[kind];
 
-      if (topic->asking || topic->followed > 0 || now_ms < topic->next_ms
-          || !reader_must_begin (reader, kind, now_ms, delay_ms))
+      if (topic->reading || topic->followed_revision > 0 || now_ms < topic->next_ms
+          || !reader_should_read (reader, kind, now_ms, delay_ms))
         continue;
-      /* Two that start and find nobody else must find each other. */
-      if (kind == SNAPSHOT_NODES && reader->knows_nodes_ms == 0 && !reader->registered)
+      /* Registers before reading the list of processes: two processes that start alone at the same
+       * time would otherwise miss each other. */
+      if (kind == SNAPSHOT_NODES && reader->nodes_known_ms == 0 && !reader->registered)
         {
           if (!reader->registering)
             reader_register (reader);
           continue;
         }
-      topic->asking = true;
-      topic->asked_ms = now_ms;
+      topic->reading = true;
+      topic->read_started_ms = now_ms;
       topic->current_ms = now_ms;
-      topic_ask (reader, kind);
+      topic_read (reader, kind);
     }
   reader_follow (reader, now_ms, delay_ms);
   reader_drop_servers (reader);
 }
 
 static int64_t
-wait_ms_for (uint32_t change_in_force_ms)
+watch_wait_ms (uint32_t change_in_force_ms)
 {
   int64_t wait_ms = (int64_t)change_in_force_ms * WAIT_SHARE_PERCENT / 100;
 
@@ -473,7 +483,7 @@
   if (reader == NULL)
     return NULL;
   reader->node = node;
-  reader->wait_ms = wait_ms_for (node->settings->change_in_force_ms);
+  reader->wait_ms = watch_wait_ms (node->settings->change_in_force_ms);
   if (timer_subscribe (reader, node->timers, 0, TICK_MS, reader_on_tick, reader) == NULL)
     TALLOC_FREE (reader);
   return reader;
--- a/gateway/store_reader.h
+++ b/gateway/store_reader.h
@@ -3,38 +3,40 @@
 
 #include "node.h"
 
-/* Registers this process in the store and begins to read. */
+/* Starts reading, and registers this process in the store where needed. NULL without memory. */
 struct StoreReader *
 store_reader_new (struct Node *node);
 
-/* A peer read the store, or passes on what another one read. True when it is news here. */
+/* Takes a snapshot that a peer read from the store or forwards. Returns whether it replaced the
+ * held one. */
 bool
 store_reader_take_from_peer (struct StoreReader *reader,
                              uint64_t link,
                              const struct Snapshot *snapshot);
 
-/* A seed has named processes: the rest is expected from them. */
+/* Records that a seed has sent a few processes, from which the state is then expected. */
 void
 store_reader_note_contacts (struct StoreReader *reader);
 
-/* The list of processes was read, here or by a peer: how many there should be is known. */
+/* Returns whether processes are known, from the store or from a seed. */
 bool
 store_reader_knows_nodes (const struct StoreReader *reader);
 
-/* What is held, for heartbeats. Returns how many marks there are. */
+/* Fills marks with the held state for heartbeats. Returns their number. */
 size_t
 store_reader_marks (const struct StoreReader *reader, struct StateMark marks[STATE_MARKS_MAX]);
 
-/* A peer holds this, and is asked for it over link if it is newer than what is held here. */
+/* Handles a peer's mark: requests the whole snapshot over link if it is newer than the held one. */
 void
 store_reader_take_mark (struct StoreReader *reader, uint64_t link, const struct StateMark *mark);
 
-/* A peer could not use the changes that it got over link: it gets all that is held of kind. */
+/* Sends the whole held snapshot of kind to a peer that could not apply changes from link. */
 void
 store_reader_answer_whole (struct StoreReader *reader, uint64_t link, enum SnapshotKind kind);
 
-/* What is held of kind, packed as a message whose age is filled in; NULL when there is nothing, or
- * nothing other than *content, which is moved on. Belongs to ctx. */
+/* Returns the held snapshot of kind packed as a message with its age, and sets *content to its
+ * content. NULL if none is held, if its content is *content already, or without memory. Belongs to
+ * ctx. */
 uint8_t *
 store_reader_pack (struct StoreReader *reader,
                    TALLOC_CTX *ctx,
--- a/gateway/store_topics.c
+++ b/gateway/store_topics.c
@@ -1,4 +1,5 @@
-/* What is held of the store's state, who gets it, and who reads next. */
+/* This process's copy of the store's state, the peers to which it is forwarded, and the order in
+ * which processes read the store. */
 #include "store_internal.h"
 
 #include "node_directory.h"
@@ -10,25 +11,27 @@
 
 enum
 {
-  /* How much later each next process reads by itself what nobody has read: the first few soon, the
-   * others one after the other, so that hundreds do not ask a store that is away. */
+  /* Additional delay per rank before a process reads what no other has read: the first few follow
+   * quickly, the others one by one, so that hundreds do not query a store that is unavailable. */
   RANK_DELAY_MS = 250,
-  RANK_NEXT = 6, /* these get each reading at once */
+  RANK_SUCCESSORS = 6, /* number of processes that receive each read at once */
   RANK_LATER_MS = 40,
   RANK_PERIOD_MS = 250, /* half a heartbeat */
-  /* A state that nobody could read for this long, beside the time of a call that waits, may have
-   * changed in ways that only time heals. Guards against servers that are dropped since
-   * their entries lapsed while the store was away, whoever is the first to reach it again. */
+  /* If no process could read the store for this long, in addition to the duration of a watch call,
+   * the next read follows a gap: server entries may have expired only because the store was
+   * unavailable, and those servers must not be dropped at once, whichever process reads it first.
+   */
   GAP_MS = 1000,
-  /* For this long after it whoever gets the state learns of the gap, too. */
+  /* Time after that read in which the state is still sent with the mark of a gap. */
   AFTER_GAP_MS = 2000,
-  /* A peer that sends changes is asked for the whole once, not at each of them: 3,000 servers are
-   * 300 KB. */
-  WANT_AGAIN_MS = 800,
-  KEEP_SERVERS_MS = 10 * 1000
+  /* Minimum time between two requests for a whole snapshot. A peer that sends changes must not be
+   * asked at each of them: 3,000 servers are 300 KB. */
+  WHOLE_REQUEST_PERIOD_MS = 800,
+  SERVERS_RETENTION_MS = 10 * 1000
 };
 
-/* Whether peer may read: it lives, or has just become known and is about to start as this one. */
+/* Returns whether peer may read the store: it is live, or was added recently and is probably
+ * starting, like this process. */
 static bool
 peer_may_read (const struct Node *node, const struct Peer *peer)
 {
@@ -38,8 +41,8 @@
                  && timer_now_ms (node->timers) - peer->known_ms < PEER_TABLE_NEW_MS));
 }
 
-/* The place of this process among those that may read, in an order that all share: the first reads,
- * the others only when it does not. */
+/* Returns the position of this process among those that may read, in an order common to all of
+ * them: the first one reads, the others only if it does not. */
 static uint32_t
 reader_rank (const struct StoreReader *reader)
 {
@@ -55,7 +58,7 @@
 bool
 reader_keeps_servers (const struct StoreReader *reader)
 {
-  return reader->rank <= RANK_NEXT
+  return reader->rank <= RANK_SUCCESSORS
          || peer_table_is_aggregator (reader->node->peers, timer_now_ms (reader->node->timers));
 }
 
@@ -65,23 +68,23 @@
   struct Topic *topic = &reader->topics[SNAPSHOT_SERVERS];
   int64_t now_ms = timer_now_ms (reader->node->timers);
 
-  if (topic->snapshot == NULL || topic->asking || reader->follow.waiting
+  if (topic->snapshot == NULL || topic->reading || reader->follow.waiting
       || reader_keeps_servers (reader))
-    reader->kept_servers_ms = now_ms;
-  if (now_ms - reader->kept_servers_ms < KEEP_SERVERS_MS)
+    reader->servers_needed_ms = now_ms;
+  if (now_ms - reader->servers_needed_ms < SERVERS_RETENTION_MS)
     return;
   TALLOC_FREE (topic->snapshot);
   TALLOC_FREE (reader->index);
   topic->content = 0;
-  topic->followed = 0;
+  topic->followed_revision = 0;
 }
 
 static int64_t
 rank_delay_ms (uint32_t rank)
 {
-  if (rank <= RANK_NEXT)
+  if (rank <= RANK_SUCCESSORS)
     return (int64_t)rank * RANK_DELAY_MS;
-  return RANK_NEXT * RANK_DELAY_MS + (int64_t)(rank - RANK_NEXT) * RANK_LATER_MS;
+  return RANK_SUCCESSORS * RANK_DELAY_MS + (int64_t)(rank - RANK_SUCCESSORS) * RANK_LATER_MS;
 }
 
 int64_t
@@ -97,12 +100,12 @@
   return rank_delay_ms (reader->rank);
 }
 
-/* Those who would read next: they see at once that this one does. */
+/* Sends message to the processes that would read next, so that they wait for this one. */
 static void
-reader_send_next (struct StoreReader *reader, const struct GatewayMessage *message)
+reader_send_successors (struct StoreReader *reader, const struct GatewayMessage *message)
 {
   const struct PeerTable *table = reader->node->peers;
-  const struct Peer *next[RANK_NEXT];
+  const struct Peer *next[RANK_SUCCESSORS];
   size_t n = 0;
 
   for (size_t i = 0; i < table->n_peers; i++)
@@ -114,9 +117,9 @@
         continue;
       while (at > 0 && peer->rank < next[at - 1]->rank)
         at--;
-      if (at == RANK_NEXT)
+      if (at == RANK_SUCCESSORS)
         continue;
-      if (n < RANK_NEXT)
+      if (n < RANK_SUCCESSORS)
         n++;
       for (size_t j = n - 1; j > at; j--)
         next[j] = next[j - 1];
@@ -129,21 +132,21 @@
 bool
 topic_is_after_gap (const struct StoreReader *reader, enum SnapshotKind kind)
 {
-  int64_t gap_ms = reader->topics[kind].gap_ms;
+  int64_t gap_read_ms = reader->topics[kind].gap_read_ms;
 
-  return gap_ms > 0 && timer_now_ms (reader->node->timers) - gap_ms < AFTER_GAP_MS;
+  return gap_read_ms > 0 && timer_now_ms (reader->node->timers) - gap_read_ms < AFTER_GAP_MS;
 }
 
-/* What follows from a new state. */
+/* Passes a new state on to the part of this process that uses it. */
 static void
-topic_handle (struct StoreReader *reader, const struct Snapshot *snapshot)
+topic_apply (struct StoreReader *reader, const struct Snapshot *snapshot)
 {
   switch (snapshot->kind)
     {
     case SNAPSHOT_NODES:
       node_directory_take (reader->node, snapshot);
-      if (reader->knows_nodes_ms == 0)
-        reader->knows_nodes_ms = timer_now_ms (reader->node->timers);
+      if (reader->nodes_known_ms == 0)
+        reader->nodes_known_ms = timer_now_ms (reader->node->timers);
       break;
     case SNAPSHOT_SERVERS:
       break;
@@ -159,16 +162,16 @@
     }
 }
 
-/* The index goes with the list of all servers. */
+/* Updates the index to the held list of all servers. */
 static void
-topic_index (struct StoreReader *reader, const struct Snapshot *before)
+topic_update_index (struct StoreReader *reader, const struct Snapshot *previous)
 {
   const struct Snapshot *servers = reader->topics[SNAPSHOT_SERVERS].snapshot;
 
   if (reader->index == NULL)
     reader->index = server_index_new (reader);
   if (reader->index == NULL || servers == NULL
-      || server_index_update (reader->index, before, servers) != ERROR_NONE)
+      || server_index_update (reader->index, previous, servers) != ERROR_NONE)
     TALLOC_FREE (reader->index);
 }
 
@@ -176,7 +179,7 @@
 topic_take (struct StoreReader *reader, const struct Snapshot *snapshot, int64_t read_ms)
 {
   struct Topic *topic = &reader->topics[snapshot->kind];
-  struct Snapshot *before;
+  struct Snapshot *previous;
 
   if (snapshot->revision < topic->revision
       || (snapshot->unchanged && (topic->snapshot == NULL || snapshot->content != topic->content)))
@@ -184,28 +187,28 @@
   if (read_ms > topic->read_ms)
     topic->read_ms = read_ms;
   topic->revision = snapshot->revision;
-  topic->followed = snapshot->revision;
-  topic->anew = false;
-  /* Two aggregators who pass a list on to each other must not take it for news each time. */
+  topic->followed_revision = snapshot->revision;
+  topic->must_reread = false;
+  /* Two aggregators that forward a list to each other must not treat it as new each time. */
   if (snapshot->unchanged || (topic->snapshot != NULL && snapshot->content == topic->content))
     {
       if (snapshot->kind == SNAPSHOT_SERVERS)
         zone_servers_refresh (reader);
       return;
     }
-  before = topic->snapshot;
+  previous = topic->snapshot;
   topic->content = snapshot->content;
   if (snapshot->after_gap)
-    topic->gap_ms = timer_now_ms (reader->node->timers);
+    topic->gap_read_ms = timer_now_ms (reader->node->timers);
   topic->snapshot = snapshot_copy (reader, snapshot);
-  topic_handle (reader, snapshot);
+  topic_apply (reader, snapshot);
   if (snapshot->kind == SNAPSHOT_SERVERS)
     {
-      topic_index (reader, before);
+      topic_update_index (reader, previous);
       zone_servers_refresh (reader);
     }
-  /* Only now: one that came as changes still points to the values of the one before. */
-  talloc_free (before);
+  /* Freed last: a snapshot that was built from changes points to values of the previous one. */
+  talloc_free (previous);
 }
 
 void
@@ -215,11 +218,11 @@
   struct GatewayMessage message = { .kind = GATEWAY_SNAPSHOT };
   struct Snapshot *changes = NULL;
 
-  /* The gap is that of the store's readers. Whoever only got the list late must not take
-   * servers that left for ones that may come back: callers were sent to them 4.1 s after they had
-   * said that they leave. */
+  /* The gap is between reads of the store by any process. A process that merely received the list
+   * late must not treat servers that have left as ones that may return: callers were sent to such
+   * servers 4.1 s after these had announced that they were leaving. */
   snapshot->after_gap =
-      topic->read_ms > 0 && topic->asked_ms - topic->read_ms > reader->wait_ms + GAP_MS;
+      topic->read_ms > 0 && topic->read_started_ms - topic->read_ms > reader->wait_ms + GAP_MS;
   if (snapshot->kind == SNAPSHOT_SERVERS && topic->snapshot != NULL
       && snapshot->content != topic->content)
     changes = snapshot_changes (reader, topic->snapshot, snapshot);
@@ -233,7 +236,7 @@
   if (changes != NULL)
     changes->age_ms = snapshot->age_ms;
   message.snapshot = changes != NULL ? *changes : *snapshot;
-  /* Packed once for all receivers. Without memory each sending packs anew. */
+  /* Packed once for all receivers; without memory, for each of them. */
   if (changes != NULL && snapshot_pack_items (changes) == ERROR_NONE)
     message.snapshot = *changes;
   else if (changes == NULL && !snapshot->unchanged && topic->snapshot != NULL
@@ -245,7 +248,7 @@
   node_send_some (reader->node, &message, PEERS_AGGREGATORS);
   if (!snapshot->unchanged && snapshot->kind != SNAPSHOT_SERVERS)
     node_send_some (reader->node, &message, PEERS_SERVED);
-  reader_send_next (reader, &message);
+  reader_send_successors (reader, &message);
   talloc_free (changes);
 }
 
@@ -257,20 +260,21 @@
   message.snapshot.kind = kind;
   message.snapshot.unchanged = true;
   message.snapshot.content = reader->topics[kind].content;
-  reader_send_next (reader, &message);
+  reader_send_successors (reader, &message);
 }
 
-/* Changes of another state than the one that is held: the sender is asked for all of it. */
+/* Requests the whole snapshot from the sender, whose changes do not apply to the held one or whose
+ * copy is newer. */
 static void
-topic_want_whole (struct StoreReader *reader, uint64_t link, enum SnapshotKind kind)
+topic_request_whole (struct StoreReader *reader, uint64_t link, enum SnapshotKind kind)
 {
   struct Topic *topic = &reader->topics[kind];
   const struct GatewayMessage want = { .kind = GATEWAY_SNAPSHOT_WANT, .snapshot_want = kind };
   int64_t now_ms = timer_now_ms (reader->node->timers);
 
-  if (link == PEER_LINK_NONE || now_ms - topic->wanted_ms < WANT_AGAIN_MS)
+  if (link == PEER_LINK_NONE || now_ms - topic->whole_requested_ms < WHOLE_REQUEST_PERIOD_MS)
     return;
-  topic->wanted_ms = now_ms;
+  topic->whole_requested_ms = now_ms;
   node_answer (reader->node, link, &want);
 }
 
@@ -281,10 +285,10 @@
 {
   struct Topic *topic = &reader->topics[snapshot->kind];
   int64_t read_ms = timer_now_ms (reader->node->timers) - snapshot->age_ms;
-  const struct Snapshot *before = topic->snapshot;
+  const struct Snapshot *previous = topic->snapshot;
   struct Snapshot *whole;
 
-  /* It is being read. */
+  /* The sender is reading the list: this process need not. */
   if (snapshot->unchanged && topic->snapshot == NULL && snapshot->revision == 0)
     {
       if (read_ms > topic->read_ms)
@@ -294,7 +298,7 @@
   if (snapshot->base == 0)
     {
       topic_take (reader, snapshot, read_ms);
-      return topic->snapshot != before;
+      return topic->snapshot != previous;
     }
   if (snapshot->revision < topic->revision || snapshot->content == topic->content)
     return false;
@@ -304,15 +308,15 @@
   if (whole != NULL)
     topic_take (reader, whole, read_ms);
   else
-    topic_want_whole (reader, link, snapshot->kind);
+    topic_request_whole (reader, link, snapshot->kind);
   talloc_free (whole);
-  return topic->snapshot != before;
+  return topic->snapshot != previous;
 }
 
 bool
 store_reader_knows_nodes (const struct StoreReader *reader)
 {
-  return reader->knows_nodes_ms > 0;
+  return reader->nodes_known_ms > 0;
 }
 
 size_t
@@ -342,7 +346,8 @@
     .kind = mark->kind, .revision = mark->revision, .content = mark->content, .unchanged = true
   };
 
-  /* Others follow the list of all servers: that it is current is all that matters here. */
+  /* This process does not hold the list of all servers: it records only that others have a current
+   * one. */
   if (mark->kind == SNAPSHOT_SERVERS && !reader_keeps_servers (reader))
     {
       int64_t read_ms = timer_now_ms (reader->node->timers) - mark->age_ms;
@@ -355,10 +360,10 @@
     topic_take (reader, &unchanged, timer_now_ms (reader->node->timers) - mark->age_ms);
   else if (topic->snapshot == NULL || mark->revision > topic->revision
            || (mark->kind == SNAPSHOT_SUBSET && mark->revision == topic->revision))
-    topic_want_whole (reader, link, mark->kind);
+    topic_request_whole (reader, link, mark->kind);
 }
 
-/* What is held of kind, as a message; false when nothing is. */
+/* Fills in message with the held snapshot of kind; false if none is held or without memory. */
 static bool
 topic_message (const struct StoreReader *reader,
                enum SnapshotKind kind,
