--- a/tests/sessions/test_gateway_archives.c
+++ b/tests/sessions/test_gateway_archives.c
@@ -7,22 +7,23 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The program's next turn, after the one before if there was one. */
+/* Sends the program's next turn, which continues its last one if there is one, and returns the
+ * status. */
 static uint32_t
 turn_status (struct Fleet *fleet, TALLOC_CTX *ctx, uint32_t gateway, const char *turn)
 {
   return turn_send_until_taken (fleet, ctx, gateway, "p", turn, fleet->last, "x")->status;
 }
 
-/* The n-th event of the last turn, as later turns' histories hold it: an attempt that was sent back
- * has another id than the one that was taken. */
+/* Returns the n-th event of the last turn as it appears in the histories of later turns. The turn's
+ * id is that of the accepted attempt; each rejected attempt had an id of its own. */
 static const char *
 event_of_last (const struct Fleet *fleet, TALLOC_CTX *ctx, int n)
 {
   return talloc_asprintf (ctx, "%s-%d\n", fleet->last, n);
 }
 
-/* True when the engine got text in the body of the last turn. */
+/* Returns whether the engine received text in the body of the last turn. */
 static bool
 history_has (struct Fleet *fleet, TALLOC_CTX *ctx, const char *text)
 {
@@ -31,10 +32,10 @@
   return body != NULL && strstr (body, text) != NULL;
 }
 
-/* Every process is killed at the same moment, right after a turn's answer ended. When they are
- * back, the program goes on from that turn, and what it spent is still spent. */
+/* All processes are killed right after a turn's response ended. After their restart the program
+ * must be able to continue from that turn, and its charge must still count against the budget. */
 static void
-test_a_turn_outlives_the_kill_of_everything (void)
+test_a_turn_survives_the_kill_of_all_processes (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 2, 3);
@@ -55,16 +56,16 @@
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 1));
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 1, "t2"), 200);
   CU_ASSERT_TRUE (history_has (fleet, ctx, event));
-  /* 76 tokens of t1 and t2 each; another 200 at most do not fit into 300. */
+  /* t1 and t2 took 76 tokens each; a reservation of 200 more exceeds the budget of 300. */
   reply = turn_send (fleet, ctx, 1, "p", "t3", fleet->last, 300, "x");
   CU_ASSERT_EQUAL (reply->status, 402);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
-/* An archive loses its disk right after it acknowledged a turn, and comes back empty. It copies
- * what the others hold before it counts; then the next one loses its disk. No turn is ever missing.
- */
+/* One archive after the other loses its disk right after it acknowledged a turn, and restarts
+ * empty. It must copy the others' records before it counts towards a quorum, so that no turn is
+ * lost. */
 static void
 test_disks_are_lost_one_after_the_other (void)
 {
@@ -93,11 +94,11 @@
   talloc_free (ctx);
 }
 
-/* Two of three archives are down. The one that is left can not know what the others acknowledged: a
- * turn that it does not have may exist. The caller is sent back, "not run", and never told that its
- * turn does not exist. */
+/* Two of three archives are down. The remaining one cannot tell whether a turn that it does not
+ * have exists, because the others may have acknowledged it. The request must be rejected with 503
+ * and not run, and never with a response that the previous turn does not exist. */
 static void
-test_too_few_archives_say_not_now (void)
+test_too_few_archives_reject_a_turn (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -122,10 +123,10 @@
   talloc_free (ctx);
 }
 
-/* An archive is gone for good, and an empty one comes under another name and address. It takes the
- * place of the dead one; after that any other may be lost, too. */
+/* An archive fails permanently, and an empty one starts under another name and address. It must
+ * replace the failed one, so that afterwards the loss of any other archive is tolerated. */
 static void
-test_a_new_archive_takes_a_dead_ones_place (void)
+test_a_new_archive_replaces_a_failed_one (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -146,10 +147,10 @@
   talloc_free (ctx);
 }
 
-/* The archive that takes a dead one's place is gone for good itself while it copies. The change
- * that it began would stay open, and no other could start; the next archive takes over. */
+/* The archive that replaces a failed one fails permanently itself while it copies. Its change would
+ * never end and no other could start, so the next archive must take over. */
 static void
-test_an_archive_dies_while_it_joins (void)
+test_an_archive_fails_while_it_joins (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -190,10 +191,11 @@
   return has;
 }
 
-/* A machine is to be emptied, and no other stands by. Those that stay copy from each other before
- * it is called empty; right after, its disk is taken and one of the others loses its own. */
+/* An instance is retired and there is no spare archive. The remaining ones must copy from each
+ * other before the retirement is reported as completed; right afterwards its disk is removed and
+ * another archive loses its own. */
 static void
-test_a_retired_archive_leaves_everything_behind (void)
+test_a_retired_archive_loses_no_turn (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -220,8 +222,8 @@
   talloc_free (ctx);
 }
 
-/* The platform's store is down, and a gateway is restarted meanwhile. It learns the configuration,
- * the servers and the archives from its peers, and serves. */
+/* A gateway restarts while the platform's store is down. It must receive the configuration, the
+ * servers and the archives from its peers, and serve. */
 static void
 test_a_gateway_starts_while_the_store_is_down (void)
 {
@@ -243,9 +245,10 @@
   talloc_free (ctx);
 }
 
-/* An archive's machine is suspended for some seconds. Its gateway gives the silent link up and
- * dials anew. When the machine is back the new link stays: one that is judged by the silence of the
- * one before it is closed at every heartbeat, for ever, and the archive is as good as lost. */
+/* An archive is suspended for some seconds, and the gateway closes the silent link and dials again.
+ * Once the archive has resumed, the new link must stay open: when its silence was measured from the
+ * last message on the previous link, it was closed again at every heartbeat, and the archive was
+ * never reached. */
 static void
 test_a_suspended_archive_is_reached_again (void)
 {
@@ -269,9 +272,9 @@
   talloc_free (ctx);
 }
 
-/* The platform's store is down, and every process is killed at once. Nobody has it in memory any
- * more what the configuration is, and where the servers are; the archives have it on their disks,
- * and find the gateways from there. */
+/* All processes are killed while the platform's store is down, so that none has the configuration
+ * and the list of servers in memory. The archives must load them from their disks and dial the
+ * gateways listed there. */
 static void
 test_everything_starts_while_the_store_is_down (void)
 {
@@ -282,7 +285,7 @@
 
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t1"), 200);
   event = event_of_last (fleet, ctx, 4);
-  sleep_ms (5000); /* twice the time between two keepings */
+  sleep_ms (5000); /* more than two periods in which the archives save the state */
   installation_set_store (fleet->installation, STORE_REFUSES);
   for (uint32_t i = 0; i < 3; i++)
     process_kill (fleet->archives[i].process);
@@ -300,7 +303,7 @@
   talloc_free (ctx);
 }
 
-struct AddressesWanted
+struct ExpectedAddresses
 {
   struct Fleet *fleet;
   uint32_t gateway;
@@ -308,21 +311,21 @@
 };
 
 static bool
-directory_lists (void *data)
+directory_is_complete (void *data)
 {
-  const struct AddressesWanted *wanted = data;
-  const struct GatewayNode *g = &wanted->fleet->gateways[wanted->gateway];
+  const struct ExpectedAddresses *expected = data;
+  const struct GatewayNode *g = &expected->fleet->gateways[expected->gateway];
   struct HttpReply *reply = http_get (NULL, g->directory, "/-/resolve?name=x&region=r&zone=a");
   size_t n = json_array_size (json_object_get (reply->json, "addresses"));
 
   talloc_free (reply);
-  return n >= wanted->n;
+  return n >= expected->n;
 }
 
-/* All machines lose power while the platform's store is away, and stay without it. The archives
- * remember who there was and dial them; a gateway that starts knows only who dialled it. Had nobody
- * told it of the other gateways, it would send all its callers to the few that it knows of, which
- * then carry the load of all. */
+/* All instances lose power while the platform's store is unavailable, and it stays so. The archives
+ * have saved the list of processes and dial them; a gateway that starts has only those that dialled
+ * it. Unless it receives the other gateways from its peers, it directs all its callers to the few
+ * that it has, which then carry the whole load. */
 static void
 test_gateways_find_each_other_while_the_store_is_down (void)
 {
@@ -332,11 +335,11 @@
 
   for (uint32_t i = 0; i < 3; i++)
     {
-      struct AddressesWanted wanted = { fleet, i, 3 };
+      struct ExpectedAddresses expected = { fleet, i, 3 };
 
-      CU_ASSERT_TRUE (wait_for (directory_lists, &wanted));
+      CU_ASSERT_TRUE (wait_for (directory_is_complete, &expected));
     }
-  /* Until the archives have kept who is there. */
+  /* Until the archives have saved the list of processes. */
   sleep_ms (4500);
   installation_set_store (fleet->installation, STORE_REFUSES);
   for (uint32_t i = 0; i < 3; i++)
@@ -351,17 +354,17 @@
     }
   for (uint32_t i = 0; i < 3; i++)
     {
-      struct AddressesWanted wanted = { fleet, i, 3 };
+      struct ExpectedAddresses expected = { fleet, i, 3 };
 
-      CU_ASSERT_TRUE (wait_for (directory_lists, &wanted));
+      CU_ASSERT_TRUE (wait_for (directory_is_complete, &expected));
     }
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
-/* A gateway starts again; its peers find it before it has read the store. Links that it has just
- * dialled have not been silent: taken for that, all are closed at the first heartbeat, and callers
- * of the first second are sent back. */
+/* A gateway restarts, and its peers reach it before it has read the store. It must not treat links
+ * that it has just dialled as silent: otherwise it closes all of them at the first heartbeat and
+ * rejects the callers of the first second. */
 static void
 test_a_restarted_gateway_keeps_its_links (void)
 {
@@ -406,7 +409,7 @@
 }
 
 static bool
-budget_holds_a_turn (void *data)
+budget_allows_a_turn (void *data)
 {
   struct BudgetTurn *turn = data;
   static char ids[16][8];
@@ -419,10 +422,10 @@
   return turn->status == 200;
 }
 
-/* A turn reserves 200 tokens of a budget of 300 and hands out none: its engine hangs until the
- * turn's time is over. At that moment all archives are dead, and nobody hears that it took nothing.
- * Were they not told again once they are back, its program would be told that its budget is spent.
- */
+/* A turn reserves 200 tokens of a budget of 300 and uses none: its engine hangs until the turn's
+ * deadline has passed. At that moment all archives are down and none receives the settlement.
+ * Unless it is sent again once they are back, the program's next turns are rejected because the
+ * budget appears to be spent. */
 static void
 test_a_lost_settlement_is_sent_again (void)
 {
@@ -445,13 +448,13 @@
   server_set_mode (fleet->installation, ENGINE + 1, SERVER_ANSWERS);
   for (uint32_t i = 0; i < 3; i++)
     archive_start (fleet, i, false);
-  CU_ASSERT_TRUE (wait_for (budget_holds_a_turn, &later));
+  CU_ASSERT_TRUE (wait_for (budget_allows_a_turn, &later));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
-/* Calls to the platform's store are dear: with nothing going on, all processes together make no
- * more than two or three a second, however many they are. */
+/* Calls to the platform's store are expensive: when idle, all processes together must make no more
+ * than two or three per second, regardless of their number. */
 static void
 test_one_process_reads_the_store_for_all (void)
 {
@@ -463,7 +466,8 @@
   sleep_ms (2000);
   before = installation_store_calls (fleet->installation);
   sleep_ms (4000);
-  /* One waits 0.8 s for changes at a time; as many again for processes that take over from it. */
+  /* One process makes watch calls of 0.8 s; the same number again is allowed for processes that
+   * take over from it. */
   CU_ASSERT (installation_store_calls (fleet->installation) - before <= 10);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -471,12 +475,12 @@
 
 const char test_suite_name[] = "sessions: gateway and archives";
 const struct TestCase test_cases[] = {
-  { "a turn outlives the kill of everything", test_a_turn_outlives_the_kill_of_everything },
+  { "a turn survives the kill of all processes", test_a_turn_survives_the_kill_of_all_processes },
   { "disks are lost one after the other", test_disks_are_lost_one_after_the_other },
-  { "too few archives say not now", test_too_few_archives_say_not_now },
-  { "a new archive takes a dead one's place", test_a_new_archive_takes_a_dead_ones_place },
-  { "an archive dies while it joins", test_an_archive_dies_while_it_joins },
-  { "a retired archive leaves everything behind", test_a_retired_archive_leaves_everything_behind },
+  { "too few archives reject a turn", test_too_few_archives_reject_a_turn },
+  { "a new archive replaces a failed one", test_a_new_archive_replaces_a_failed_one },
+  { "an archive fails while it joins", test_an_archive_fails_while_it_joins },
+  { "a retired archive loses no turn", test_a_retired_archive_loses_no_turn },
   { "a gateway starts while the store is down", test_a_gateway_starts_while_the_store_is_down },
   { "a suspended archive is reached again", test_a_suspended_archive_is_reached_again },
   { "everything starts while the store is down", test_everything_starts_while_the_store_is_down },
