--- a/core/scheduling/address_choice.c
+++ b/core/scheduling/address_choice.c
@@ -4,19 +4,22 @@
 
 enum
 {
-  STRAINED_MS = 50,
-  RELIEVED_MS = 15,
-  /* One pause, as after a freeze, counts no more than this. */
-  LAG_MAX_MS = 400
+  OVERLOADED_MS = 50,
+  RECOVERED_MS = 15,
+  /* Upper bound of one measurement, so that a single pause, such as a suspended process, doesn't
+   * dominate the average. */
+  SAMPLE_MAX_MS = 400
 };
 
 static bool
-candidate_is_chosen (const struct AddressCandidate *candidate, bool near_only, bool spare_strained)
+candidate_is_eligible (const struct AddressCandidate *candidate,
+                       bool own_zone_only,
+                       bool skip_overloaded)
 {
-  return (candidate->near || !near_only) && !(candidate->strained && spare_strained);
+  return (candidate->near || !own_zone_only) && !(candidate->overloaded && skip_overloaded);
 }
 
-/* The addresses with the highest scores for one caller. */
+/* The addresses with the highest scores for a caller, best first. */
 struct AddressChoice
 {
   const char **addresses;
@@ -25,7 +28,7 @@
 };
 
 static void
-choice_offer (struct AddressChoice *choice, const char *address, uint64_t score)
+choice_insert (struct AddressChoice *choice, const char *address, uint64_t score)
 {
   size_t at = choice->n;
 
@@ -51,20 +54,20 @@
                 const char *addresses[ADDRESSES_MAX])
 {
   struct AddressChoice choice = { .addresses = addresses };
-  size_t n_near = 0, n_pool, n_strained = 0;
-  bool near_only, spare_strained;
+  size_t n_near = 0, n_pool, n_overloaded = 0;
+  bool own_zone_only, skip_overloaded;
 
   for (size_t i = 0; i < n; i++)
     n_near += candidates[i].near;
-  near_only = n_near >= ZONE_ADDRESSES_MIN;
-  n_pool = near_only ? n_near : n;
+  own_zone_only = n_near >= ZONE_ADDRESSES_MIN;
+  n_pool = own_zone_only ? n_near : n;
   for (size_t i = 0; i < n; i++)
-    n_strained += candidates[i].strained && (candidates[i].near || !near_only);
-  spare_strained = 2 * n_strained <= n_pool && n_pool - n_strained >= ZONE_ADDRESSES_MIN;
+    n_overloaded += candidates[i].overloaded && (candidates[i].near || !own_zone_only);
+  skip_overloaded = 2 * n_overloaded <= n_pool && n_pool - n_overloaded >= ZONE_ADDRESSES_MIN;
   for (size_t i = 0; i < n; i++)
-    if (candidate_is_chosen (&candidates[i], near_only, spare_strained))
-      choice_offer (&choice, candidates[i].address,
-                    rendezvous_score (caller, candidates[i].address));
+    if (candidate_is_eligible (&candidates[i], own_zone_only, skip_overloaded))
+      choice_insert (&choice, candidates[i].address,
+                     rendezvous_score (caller, candidates[i].address));
   return choice.n;
 }
 
@@ -77,8 +80,8 @@
 void
 loop_lag_note (struct LoopLag *lag, int64_t lag_ms)
 {
-  if (lag_ms > LAG_MAX_MS)
-    lag_ms = LAG_MAX_MS;
+  if (lag_ms > SAMPLE_MAX_MS)
+    lag_ms = SAMPLE_MAX_MS;
   lag->lag_ms = (uint32_t)((3 * (int64_t)lag->lag_ms + lag_ms) / 4);
-  lag->strained = lag->lag_ms >= (lag->strained ? RELIEVED_MS : STRAINED_MS);
+  lag->strained = lag->lag_ms >= (lag->strained ? RECOVERED_MS : OVERLOADED_MS);
 }
--- a/core/scheduling/retry_allowance.c
+++ b/core/scheduling/retry_allowance.c
@@ -2,31 +2,32 @@
 
 enum
 {
-  EARNED_PERMILLE = 100, /* of one retry a request */
-  /* A server that loses all answers for a moment may be made up for at once. */
-  HELD_MAX_PERMILLE = 20 * 1000,
+  EARNED_PERMILLE = 100, /* credited per request */
+  /* Burst of 20 retries: enough when a server loses all its responses for a moment. */
+  BALANCE_MAX_PERMILLE = 20 * 1000,
   RETRY_PERMILLE = 1000,
-  /* Three times what an answer should take: on the sheets' plain services, whose longest work is
-   * half their objective, no sound server is that late unless it is six times slower than usual. */
+  /* Time to wait for the first server, in latency objectives. The plain services of the deployments
+   * take at most half their objective, so a healthy server is that late only when it is six times
+   * slower than usual. */
   PATIENCE_OBJECTIVES = 3,
-  /* What must be left for the second server, in objectives. */
+  /* Time that must remain for the second server, in latency objectives. */
   REMAINDER_OBJECTIVES = 1
 };
 
 void
 retry_allowance_earn (struct RetryAllowance *allowance)
 {
-  allowance->permille += EARNED_PERMILLE;
-  if (allowance->permille > HELD_MAX_PERMILLE)
-    allowance->permille = HELD_MAX_PERMILLE;
+  allowance->balance_permille += EARNED_PERMILLE;
+  if (allowance->balance_permille > BALANCE_MAX_PERMILLE)
+    allowance->balance_permille = BALANCE_MAX_PERMILLE;
 }
 
 bool
 retry_allowance_take (struct RetryAllowance *allowance)
 {
-  if (allowance->permille < RETRY_PERMILLE)
+  if (allowance->balance_permille < RETRY_PERMILLE)
     return false;
-  allowance->permille -= RETRY_PERMILLE;
+  allowance->balance_permille -= RETRY_PERMILLE;
   return true;
 }
 
--- a/include/buckthornhead/scheduling/address_choice.h
+++ b/include/buckthornhead/scheduling/address_choice.h
@@ -1,11 +1,12 @@
-/* Which gateways callers are sent to.
+/* Selection of the gateway addresses that a caller is given, and detection of an overloaded event
+ * loop.
  *
- * Callers keep a list for seconds and pick at random from it, so that each list carries its share
- * of all callers. Answers two loads. After a stop of everything the gateways of a zone come back
- * one after the other within half a second: the first lists named two of 36, and these two had the
- * callers of all for the next four seconds (17 to 31 sent back each, 40 programs late). And a
- * machine that is slow, or has more callers than it can serve, keeps all of them waiting while
- * others idle. Pure. */
+ * A caller caches its list for seconds and picks a gateway at random for each call, so the lists
+ * determine how callers are spread. Two cases need care. After a restart of the whole deployment
+ * the gateways of a zone become ready within half a second of each other: the first lists named two
+ * of 36 gateways, which received all callers for the next four seconds (17 to 31 calls rejected at
+ * each, 40 programs late). And a gateway that is slow, or has more callers than it can serve,
+ * delays all of them while others are idle. No I/O. */
 #pragma once
 
 #include <stdbool.h>
@@ -14,45 +15,50 @@
 
 enum
 {
-  ADDRESSES_MAX = 64, /* that a caller can use */
-  /* One gateway more than may be lost at once. */
+  /* Maximum number of addresses that a caller uses from a list. */
+  ADDRESSES_MAX = 64,
+  /* Gateways of the caller's zone below which other zones are listed too: one more than the number
+   * that may fail at the same time. */
   ZONE_ADDRESSES_MIN = 2,
-  /* A list is thin with fewer than this share of the zone's gateways. Half of them carry their zone
-   * on any day of load that was measured; fewer do not. */
+  /* A list with a smaller share of the zone's gateways is too short. In all load tests half of a
+   * zone's gateways could carry the zone's load; fewer could not. */
   THIN_PERCENT = 50
 };
 
-/* A gateway that takes callers. */
+/* A gateway that accepts callers. */
 struct AddressCandidate
 {
   const char *address;
-  bool near;     /* in the caller's availability zone */
-  bool strained; /* its callers wait for its processor */
+  bool near;       /* in the caller's availability zone */
+  bool overloaded; /* its event loop lags; see struct LoopLag */
 };
 
-/* The addresses for a caller: of its zone if there are enough, and without the strained ones unless
- * these are more than half. Of more than a caller can use, each caller gets others, so that all
- * gateways have their share; it gets the same ones each time, since it closes its connections to
- * those that a new list lacks. Returns how many. */
+/* Selects the addresses for a caller and returns their number. Only gateways of the caller's zone
+ * are selected if there are enough, and no overloaded ones unless more than half of the gateways
+ * are overloaded or fewer than ZONE_ADDRESSES_MIN would remain. If there are more than
+ * ADDRESSES_MAX, each caller gets a different selection, so that all gateways receive callers. A
+ * caller's selection is stable, since a caller closes its connections to gateways that a new list
+ * omits. */
 size_t
 address_choose (const struct AddressCandidate *candidates,
                 size_t n,
                 const char *caller,
                 const char *addresses[ADDRESSES_MAX]);
 
-/* Whether so few of the zone's gateways are ready that a list of them would overload them. */
+/* Returns whether so few of the zone's known gateways are ready that listing only these would
+ * overload them. */
 bool
 address_list_is_thin (size_t n_ready, size_t n_known);
 
-/* How long events of this process wait for the processor, smoothed. */
+/* Event loop lag: how long events of this process wait for the processor. */
 struct LoopLag
 {
-  uint32_t lag_ms; /* moving mean of the last few */
-  bool strained;
+  uint32_t lag_ms; /* exponential moving average */
+  bool strained;   /* overloaded */
 };
 
-/* One event waited lag_ms. A turn passes the loop some five times before its first piece: at 50 ms
- * each it has spent the objective of the sheets, 250 ms, on waiting alone. Strained from there on,
- * until it is back at a third. */
+/* Records one lag measurement. A turn passes the event loop about five times before the first
+ * chunk of its response, so that at 50 ms each the waits alone use up the 250 ms objective of the
+ * deployments. .strained is set at that average and cleared below about a third of it. */
 void
 loop_lag_note (struct LoopLag *lag, int64_t lag_ms);
--- a/include/buckthornhead/scheduling/retry_allowance.h
+++ b/include/buckthornhead/scheduling/retry_allowance.h
@@ -1,26 +1,28 @@
-/* How many requests may be sent a second time: a share of all requests, and some at once.
+/* Retry budget: limits retries to a share of all requests, plus a small burst.
  *
- * Retries help while a few answers are lost; when everything is slow they would double the load. */
+ * Retries help when a few responses are lost; when everything is slow they would double the load.
+ */
 #pragma once
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Zeroed it holds nothing yet. */
+/* Zero-initialised, it is empty. */
 struct RetryAllowance
 {
-  uint32_t permille; /* retries in hand, in thousandths */
+  uint32_t balance_permille; /* retries available, in thousandths */
 };
 
-/* A request came: earns a tenth of a retry. */
+/* Credits a tenth of a retry for a request that arrived. */
 void
 retry_allowance_earn (struct RetryAllowance *allowance);
 
-/* True, and one less in hand, when there is one. */
+/* Spends one retry; false if none is available. */
 bool
 retry_allowance_take (struct RetryAllowance *allowance);
 
-/* How long the first server of a repeatable request may stay silent before another one is asked,
- * out of left_ms: a lost answer shows as silence alone. 0: it is not worth asking. */
+/* Returns how long to wait for the first server's response to a repeatable request before sending
+ * it to another server, as a lost response shows only as silence. left_ms is the time until the
+ * request's deadline; 0 means that too little is left for a second server. */
 int64_t
 retry_patience_ms (uint32_t objective_ms, int64_t left_ms);
--- a/tests/test_address_choice.c
+++ b/tests/test_address_choice.c
@@ -12,16 +12,16 @@
 
 static const char *const names[N] = { "n0", "n1", "n2", "f0", "f1", "f2" };
 
-/* Three in the caller's zone, three in another. */
+/* Three gateways in the caller's zone, three in another. */
 static void
-fill (struct AddressCandidate candidates[N])
+fill_candidates (struct AddressCandidate candidates[N])
 {
   for (size_t i = 0; i < N; i++)
     candidates[i] = (struct AddressCandidate){ names[i], i < 3, false };
 }
 
 static bool
-chosen (const struct AddressCandidate *candidates, size_t n, const char *name)
+is_chosen (const struct AddressCandidate *candidates, size_t n, const char *name)
 {
   const char *addresses[ADDRESSES_MAX];
   size_t n_chosen = address_choose (candidates, n, "10.0.0.1", addresses);
@@ -32,54 +32,54 @@
   return false;
 }
 
-/* A session's turns stay in one zone, and so does the history that each of them needs. */
+/* A session's turns, and the history that each of them needs, stay in one zone. */
 static void
 test_callers_get_gateways_of_their_zone (void)
 {
   struct AddressCandidate candidates[N];
 
-  fill (candidates);
-  CU_ASSERT_TRUE (chosen (candidates, N, "n0"));
-  CU_ASSERT_TRUE (chosen (candidates, N, "n2"));
-  CU_ASSERT_FALSE (chosen (candidates, N, "f0"));
-  /* One alone could be lost, and the caller with it. */
+  fill_candidates (candidates);
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "n0"));
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "n2"));
+  CU_ASSERT_FALSE (is_chosen (candidates, N, "f0"));
+  /* With a single gateway in its zone, a caller could lose all of its list at once. */
   candidates[1].near = candidates[2].near = false;
-  CU_ASSERT_TRUE (chosen (candidates, N, "n0"));
-  CU_ASSERT_TRUE (chosen (candidates, N, "f0"));
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "n0"));
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "f0"));
 }
 
-/* One machine turns slow. Its callers wait half a second at each step of a turn while its
- * neighbours idle; who asks for addresses now goes there. */
+/* Callers must not be sent to a slow gateway, where each step of a turn waits for half a second
+ * while other gateways are idle. */
 static void
-test_callers_are_not_sent_to_a_strained_gateway (void)
+test_callers_are_not_sent_to_an_overloaded_gateway (void)
 {
   struct AddressCandidate candidates[N];
 
-  fill (candidates);
-  candidates[1].strained = true;
-  CU_ASSERT_TRUE (chosen (candidates, N, "n0"));
-  CU_ASSERT_FALSE (chosen (candidates, N, "n1"));
-  CU_ASSERT_TRUE (chosen (candidates, N, "n2"));
+  fill_candidates (candidates);
+  candidates[1].overloaded = true;
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "n0"));
+  CU_ASSERT_FALSE (is_chosen (candidates, N, "n1"));
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "n2"));
 }
 
-/* A burst strains most gateways of a zone. The one that is not would get the callers of all: they
- * stay where they are. */
+/* When a burst overloads most gateways of a zone, the last one that is not overloaded must not
+ * receive all callers. */
 static void
-test_the_last_one_is_not_given_everybody (void)
+test_the_last_one_does_not_get_all_callers (void)
 {
   struct AddressCandidate candidates[N];
 
-  fill (candidates);
-  candidates[0].strained = candidates[1].strained = true;
-  CU_ASSERT_TRUE (chosen (candidates, N, "n0"));
-  CU_ASSERT_TRUE (chosen (candidates, N, "n1"));
-  CU_ASSERT_TRUE (chosen (candidates, N, "n2"));
+  fill_candidates (candidates);
+  candidates[0].overloaded = candidates[1].overloaded = true;
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "n0"));
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "n1"));
+  CU_ASSERT_TRUE (is_chosen (candidates, N, "n2"));
 }
 
-/* Everything stops and starts again. The first gateway that answers knows of two of its zone's 36;
- * callers who were sent there had four seconds of 503. */
+/* After a restart of the whole deployment the first gateway to respond saw two of its zone's 36
+ * gateways, and callers sent to these received 503 for four seconds. */
 static void
-test_a_list_of_two_of_36_is_thin (void)
+test_a_list_of_two_of_36_is_too_short (void)
 {
   CU_ASSERT_TRUE (address_list_is_thin (2, 36));
   CU_ASSERT_TRUE (address_list_is_thin (17, 36));
@@ -88,10 +88,10 @@
   CU_ASSERT_FALSE (address_list_is_thin (0, 0));
 }
 
-/* Plays a machine that gets slower and recovers: strained when a turn would wait for its objective,
- * and not again and again around one value. */
+/* Simulates an instance that slows down and recovers: the overload flag changes once each way, and
+ * doesn't flap around one value. */
 static void
-test_strain_begins_and_ends_once (void)
+test_the_overload_flag_does_not_flap (void)
 {
   struct LoopLag lag = { 0 };
   uint32_t n_changes = 0;
@@ -111,9 +111,9 @@
   CU_ASSERT_EQUAL (n_changes, 2);
 }
 
-/* A process that was frozen for four seconds is itself again within two. */
+/* A process that was suspended for four seconds recovers within two. */
 static void
-test_one_pause_is_forgotten_soon (void)
+test_the_lag_recovers_soon_after_one_pause (void)
 {
   struct LoopLag lag = { 0 };
 
@@ -131,7 +131,7 @@
 };
 
 static void
-fill_large (struct AddressCandidate candidates[N_LARGE], char texts[N_LARGE][32])
+fill_large_zone (struct AddressCandidate candidates[N_LARGE], char texts[N_LARGE][32])
 {
   for (uint32_t i = 0; i < N_LARGE; i++)
     {
@@ -152,8 +152,8 @@
   return address_choose (candidates, n, text, addresses);
 }
 
-/* A zone has 173 gateways and a caller uses 64. All were given the same ones, and the other 109
- * idled. */
+/* A zone has 173 gateways and a caller uses 64 of them. If all callers got the same list, the other
+ * 109 gateways would be idle. */
 static void
 test_all_gateways_of_a_large_zone_get_callers (void)
 {
@@ -162,7 +162,7 @@
   const char *addresses[ADDRESSES_MAX];
   uint32_t n_named[N_LARGE] = { 0 };
 
-  fill_large (candidates, texts);
+  fill_large_zone (candidates, texts);
   for (uint32_t c = 0; c < N_CALLERS; c++)
     {
       size_t n = choose_for (candidates, N_LARGE, c, addresses);
@@ -177,19 +177,19 @@
                && n_named[g] < 2 * N_CALLERS * ADDRESSES_MAX / N_LARGE);
 }
 
-/* Callers close their connections to gateways that a new list lacks: with other ones in each list,
- * every answer would cost a caller most of its connections. */
+/* Callers close their connections to gateways that a new list omits: if the selection changed with
+ * each list, a caller would lose most of its connections each time. */
 static void
-test_a_callers_list_stays_as_it_is (void)
+test_a_callers_list_is_stable (void)
 {
   struct AddressCandidate candidates[N_LARGE], fewer[N_LARGE];
   char texts[N_LARGE][32];
   const char *before[ADDRESSES_MAX], *after[ADDRESSES_MAX];
   size_t n, n_same = 0;
 
-  fill_large (candidates, texts);
+  fill_large_zone (candidates, texts);
   n = choose_for (candidates, N_LARGE, 7, before);
-  /* The first of its gateways leaves, and the others come in another order. */
+  /* Removes the first of its gateways, and reverses the order of the others. */
   for (uint32_t i = 0, j = 0; i < N_LARGE; i++)
     if (candidates[N_LARGE - 1 - i].address != before[0])
       fewer[j++] = candidates[N_LARGE - 1 - i];
@@ -203,12 +203,13 @@
 const char test_suite_name[] = "address_choice";
 const struct TestCase test_cases[] = {
   { "callers get gateways of their zone", test_callers_get_gateways_of_their_zone },
-  { "callers are not sent to a strained gateway", test_callers_are_not_sent_to_a_strained_gateway },
-  { "the last one is not given everybody", test_the_last_one_is_not_given_everybody },
-  { "a list of two of 36 is thin", test_a_list_of_two_of_36_is_thin },
-  { "strain begins and ends once", test_strain_begins_and_ends_once },
-  { "one pause is forgotten soon", test_one_pause_is_forgotten_soon },
+  { "callers are not sent to an overloaded gateway",
+    test_callers_are_not_sent_to_an_overloaded_gateway },
+  { "the last one does not get all callers", test_the_last_one_does_not_get_all_callers },
+  { "a list of two of 36 is too short", test_a_list_of_two_of_36_is_too_short },
+  { "the overload flag does not flap", test_the_overload_flag_does_not_flap },
+  { "the lag recovers soon after one pause", test_the_lag_recovers_soon_after_one_pause },
   { "all gateways of a large zone get callers", test_all_gateways_of_a_large_zone_get_callers },
-  { "a caller's list stays as it is", test_a_callers_list_stays_as_it_is },
+  { "a caller's list is stable", test_a_callers_list_is_stable },
   { NULL, NULL },
 };
--- a/tests/test_retry_allowance.c
+++ b/tests/test_retry_allowance.c
@@ -2,7 +2,7 @@
 
 #include <buckthornhead/scheduling/retry_allowance.h>
 
-/* A service is down and every request to it is lost: second attempts stay a tenth of the load. */
+/* While a service is down and loses every request, retries stay at a tenth of the requests. */
 static void
 test_retries_are_a_share_of_the_requests (void)
 {
@@ -17,9 +17,9 @@
   CU_ASSERT_EQUAL (n_taken, 100);
 }
 
-/* After a calm time a few losses at once are all made up for, and no more than a few. */
+/* The budget accumulated without failures allows a burst of 20 retries, and no more. */
 static void
-test_a_calm_time_saves_up_some (void)
+test_the_budget_allows_a_limited_burst (void)
 {
   struct RetryAllowance allowance = { 0 };
   uint32_t n_taken = 0;
@@ -32,7 +32,7 @@
 }
 
 static void
-test_a_second_server_needs_time_too (void)
+test_no_retry_without_time_for_a_second_server (void)
 {
   CU_ASSERT_EQUAL (retry_patience_ms (80, 1200), 240);
   CU_ASSERT_EQUAL (retry_patience_ms (80, 320), 240);
@@ -43,7 +43,7 @@
 const char test_suite_name[] = "retry_allowance";
 const struct TestCase test_cases[] = {
   { "retries are a share of the requests", test_retries_are_a_share_of_the_requests },
-  { "a calm time saves up some", test_a_calm_time_saves_up_some },
-  { "a second server needs time, too", test_a_second_server_needs_time_too },
+  { "the budget allows a limited burst", test_the_budget_allows_a_limited_burst },
+  { "no retry without time for a second server", test_no_retry_without_time_for_a_second_server },
   { NULL, NULL },
 };
