--- a/core/scheduling/failure_rate.c
+++ b/core/scheduling/failure_rate.c
@@ -2,11 +2,11 @@
 
 enum
 {
-  /* Weight of the last request: 1 of 8. Three failures in a row are a third, two of a hundred are
-   * forgotten between each other. */
-  WEIGHT = 8,
-  /* A server that fails everything is tried again after some ten seconds, when what is left of
-   * its rate costs less than a queue; the failures of the sheets last five to seven. */
+  /* The moving average gives the latest request a weight of 1/8: three failures in a row yield a
+   * rate of a third, while two in a hundred requests don't add up. */
+  AVERAGE_DIVISOR = 8,
+  /* A server that fails all requests is tried again after about 10 s, when the remaining rate costs
+   * less than queueing elsewhere. Server failures in the deployments last 5 to 7 s. */
   HALF_LIFE_MS = 2000,
   HALVINGS_MAX = 20
 };
@@ -14,7 +14,7 @@
 uint32_t
 failure_rate_permille (const struct FailureRate *rate, int64_t now_ms)
 {
-  int64_t age_ms = now_ms - rate->noted_ms;
+  int64_t age_ms = now_ms - rate->updated_ms;
   uint32_t permille = rate->permille;
 
   for (int i = 0; i < HALVINGS_MAX && age_ms >= HALF_LIFE_MS; i++)
@@ -24,7 +24,7 @@
     }
   if (age_ms >= HALF_LIFE_MS)
     return 0;
-  /* Straight between two halvings. */
+  /* Interpolates linearly within a half-life. */
   return permille - (uint32_t)(permille * (age_ms > 0 ? age_ms : 0) / (2 * HALF_LIFE_MS));
 }
 
@@ -33,6 +33,6 @@
 {
   uint32_t permille = failure_rate_permille (rate, now_ms);
 
-  rate->permille = (permille * (WEIGHT - 1) + (failed ? 1000 : 0)) / WEIGHT;
-  rate->noted_ms = now_ms;
+  rate->permille = (permille * (AVERAGE_DIVISOR - 1) + (failed ? 1000 : 0)) / AVERAGE_DIVISOR;
+  rate->updated_ms = now_ms;
 }
--- a/core/scheduling/replica_set.c
+++ b/core/scheduling/replica_set.c
@@ -8,32 +8,32 @@
 
 enum
 {
-  /* Entries that lapsed while the platform's store was away are back within two seconds of its
-   * return; half a second for the list's own age. */
+  /* Entries that expired during an outage of the platform's store are back within 2 s of its
+   * return; another 500 ms allow for the age of the list. */
   REPLICA_REAPPEAR_MS = 2500,
-  /* A full server has freed a slot by then: half the time of a short turn. */
+  /* Half the duration of a short turn, by when a full server has freed a slot. */
   AVOID_FULL_MS = 100,
-  /* First pause after a request that got no answer; doubled with each further one. */
+  /* Pause after a request without a response; doubles with each consecutive one. */
   AVOID_FAILED_MS = 250,
   AVOID_FAILED_MAX_MS = 4000,
-  CACHED_PARTS_MAX = 64, /* shared parts remembered a server: the sheets have 16 */
-  /* Costs in microseconds, from the figures of the engines' sheet. */
+  CACHED_PARTS_MAX = 64, /* shared parts tracked per server; the deployments have 16 */
+  /* Costs in microseconds, from the specification of the engines. */
   PREFILL_TOKENS_PER_MS = 270,
-  COST_RUNNING_US = 2000,  /* one more request beside the others slows all by 0.75% */
-  COST_WAITING_US = 12000, /* one more request before the slots: 350 ms a turn over 32 slots */
+  COST_RUNNING_US = 2000,  /* each further running request slows all by 0.75% */
+  COST_WAITING_US = 12000, /* each waiting request, at 32 slots and 350 ms per turn */
   COST_OTHER_ZONE_US = 1000,
-  /* A round trip, and what a server needs to accept a connection. Less than one more request that
-   * runs there, so that load still spreads. */
+  /* A round trip, and the time to accept a connection. Less than COST_RUNNING_US, so that load
+   * still spreads over servers without an open connection. */
   COST_CONNECT_US = 1500,
-  /* A failed request costs its program a new attempt after 100 to 400 ms and the time until the
-   * failure; after three the program: two seconds. */
+  /* Per permille of failed requests; 2 s for a certain failure. A failed request costs its program
+   * the time until the failure and a new attempt after 100 to 400 ms; three fail the program. */
   COST_FAILED_PERMILLE_US = 2000,
-  /* The server that every gateway takes for a request's object works on it in half the time, 26 to
-   * 39 ms less on the sheets. It is preferred while it has a free slot: before full slots the wait
-   * is longer than what is gained. */
-  COST_COLD_US = 20 * 1000,
-  /* Each token of a prompt is a byte or more that crosses to the other zone, and crosses again with
-   * every turn that follows there. */
+  /* The server that all gateways choose for a request's object processes it in half the time, which
+   * saves 26 to 39 ms in the deployments. It is preferred while it has a free slot; with all slots
+   * in use the wait would exceed the gain. */
+  COST_NOT_PREFERRED_US = 20 * 1000,
+  /* Each token of the prompt is a byte or more of traffic between zones, again with every following
+   * turn there. */
   COST_OTHER_ZONE_TOKEN_NS = 3000
 };
 
@@ -90,9 +90,10 @@
   return replica;
 }
 
-/* A request may still be on its way to a server that is taken out: it is freed with the last. */
+/* Removes servers missing from the list. One with requests in flight only drains, and is freed
+ * after the last of them has ended. */
 static size_t
-replica_set_drop_missing (struct ReplicaSet *set, bool keep_missing)
+replica_set_remove_missing (struct ReplicaSet *set, bool keep_missing)
 {
   size_t n_kept = 0, n_changed = 0;
 
@@ -117,18 +118,19 @@
   return n_changed;
 }
 
-/* Guards against a crashed server that comes back under its id: it would be sent the sessions that
- * its cache held, and be avoided for the failures of the process that died. */
+/* Resets a server's tracked state if its start time has changed. Otherwise a server that crashed
+ * and restarted under its id would be sent the sessions that its cache lost, and be avoided for the
+ * failures of the previous process. */
 static bool
-replica_note_start (struct Replica *replica, uint64_t started_unix_ms)
+replica_reset_if_restarted (struct Replica *replica, uint64_t started_unix_ms)
 {
   if (replica->entry.started_unix_ms == 0 || replica->entry.started_unix_ms == started_unix_ms)
     return false;
   replica->peers_in_flight = 0;
-  replica->failures = 0;
+  replica->consecutive_failures = 0;
   replica->avoid_until_ms = 0;
-  memset (&replica->rate, 0, sizeof replica->rate);
-  memset (&replica->reported, 0, sizeof replica->reported);
+  memset (&replica->failure_rate, 0, sizeof replica->failure_rate);
+  memset (&replica->reported_failure_rate, 0, sizeof replica->reported_failure_rate);
   replica->owned = false;
   replica->n_cached = 0;
   replica->restarted = true;
@@ -172,19 +174,19 @@
         }
       if (replica == NULL)
         continue;
-      restarted = replica_note_start (replica, entries[i].started_unix_ms);
+      restarted = replica_reset_if_restarted (replica, entries[i].started_unix_ms);
       n_changed += restarted || replica->entry.draining != entries[i].draining;
       replica->entry = entries[i];
       replica->listed = true;
     }
-  return n_changed + replica_set_drop_missing (set, now_ms < set->keep_missing_until_ms);
+  return n_changed + replica_set_remove_missing (set, now_ms < set->keep_missing_until_ms);
 }
 
 void
 replica_set_expire (struct ReplicaSet *set, int64_t now_ms)
 {
   if (now_ms >= set->keep_missing_until_ms)
-    replica_set_drop_missing (set, false);
+    replica_set_remove_missing (set, false);
 }
 
 static bool
@@ -199,7 +201,7 @@
 void
 replica_note_sent (struct Replica *replica, const struct PrefixPart *parts, size_t n_parts)
 {
-  /* The last part is the request's own: where it lies is known from the turn before. */
+  /* Skips the last part, which is the request's own: .cached_at of the query locates it. */
   for (size_t p = 0; p + 1 < n_parts; p++)
     {
       if (replica_has_part (replica, parts[p].id))
@@ -229,15 +231,15 @@
   replica->owned = true;
   replica->peers_in_flight =
       digest->total > replica->in_flight ? digest->total - replica->in_flight : 0;
-  replica->reported.permille = digest->failed_permille;
-  replica->reported.noted_ms = now_ms;
+  replica->reported_failure_rate.permille = digest->failed_permille;
+  replica->reported_failure_rate.updated_ms = now_ms;
   replica->n_cached = digest->n_parts;
   for (uint32_t i = 0; i < digest->n_parts; i++)
     replica->cached[i].id = digest->parts[i];
 }
 
 static bool
-query_tried (const struct ReplicaQuery *query, const char *id)
+query_excludes (const struct ReplicaQuery *query, const char *id)
 {
   for (size_t i = 0; i < query->n_tried; i++)
     if (strcmp (query->tried[i], id) == 0)
@@ -245,17 +247,17 @@
   return false;
 }
 
-static const struct Decisions all_on = { 1, 1, 1, 1, 1, 1, 1, 1, 1 };
+static const struct Decisions all_enabled = { 1, 1, 1, 1, 1, 1, 1, 1, 1 };
 
 static const struct Decisions *
 query_decisions (const struct ReplicaQuery *query)
 {
-  return query->decisions != NULL ? query->decisions : &all_on;
+  return query->decisions != NULL ? query->decisions : &all_enabled;
 }
 
-/* Prompt tokens that the server would have to read, as far as this gateway knows. */
+/* Returns the number of prompt tokens assumed not to be in the server's cache. */
 static uint64_t
-missing_tokens (const struct Replica *replica, const struct ReplicaQuery *query)
+uncached_tokens (const struct Replica *replica, const struct ReplicaQuery *query)
 {
   bool ran_before = strcmp (query->cached_at, replica->entry.id) == 0;
   uint64_t n_tokens = 0;
@@ -275,8 +277,8 @@
 static uint32_t
 replica_failed_permille (const struct Replica *replica, int64_t now_ms)
 {
-  uint32_t own = failure_rate_permille (&replica->rate, now_ms);
-  uint32_t reported = failure_rate_permille (&replica->reported, now_ms);
+  uint32_t own = failure_rate_permille (&replica->failure_rate, now_ms);
+  uint32_t reported = failure_rate_permille (&replica->reported_failure_rate, now_ms);
 
   return own > reported ? own : reported;
 }
@@ -292,18 +294,18 @@
 }
 
 static bool
-replica_takes (const struct Replica *replica, const struct ReplicaQuery *query)
+replica_is_eligible (const struct Replica *replica, const struct ReplicaQuery *query)
 {
   return !replica->entry.draining && strcmp (replica->entry.service, query->service) == 0;
 }
 
-/* The server that the object's requests should meet on: the same for all gateways that know the
- * same servers. NULL: no matter. */
+/* Returns the preferred server for the query's object, by rendezvous hashing, so that all gateways
+ * with the same servers choose the same one. NULL if there is no preference. */
 static const struct Replica *
-replica_of_object (const struct ReplicaSet *set, const struct ReplicaQuery *query)
+replica_for_object (const struct ReplicaSet *set, const struct ReplicaQuery *query)
 {
-  const struct Replica *first = NULL;
-  uint64_t first_score = 0;
+  const struct Replica *best = NULL;
+  uint64_t best_score = 0;
 
   if (query->object == NULL || !query_decisions (query)->objects)
     return NULL;
@@ -312,29 +314,29 @@
       const struct Replica *replica = set->replicas[i];
       uint64_t score;
 
-      if (!replica_takes (replica, query))
+      if (!replica_is_eligible (replica, query))
         continue;
       score = rendezvous_score (query->object, replica->entry.id);
-      if (first != NULL && score <= first_score)
+      if (best != NULL && score <= best_score)
         continue;
-      first = replica;
-      first_score = score;
+      best = replica;
+      best_score = score;
     }
-  return first;
+  return best;
 }
 
-/* Expected time in microseconds that this server adds to the request. Answers the load of many
- * short turns over few servers with slots: a server with free slots is nearly as quick as an idle
- * one, so the prompt decides; before full slots the queue does. */
+/* Returns the estimated time in microseconds that this server adds to the request. A server with
+ * free slots is nearly as fast as an idle one, so that the uncached part of the prompt dominates;
+ * with all slots in use the queue does. Designed for many short turns on few servers. */
 static uint64_t
 replica_cost_us (const struct Replica *replica, const struct ReplicaQuery *query)
 {
   uint64_t running = (uint64_t)replica->in_flight + replica->peers_in_flight;
   uint64_t slots = replica->entry.slots > 0 ? replica->entry.slots : 1;
-  uint64_t cost_us = missing_tokens (replica, query) * 1000 / PREFILL_TOKENS_PER_MS;
+  uint64_t cost_us = uncached_tokens (replica, query) * 1000 / PREFILL_TOKENS_PER_MS;
 
-  /* What is read anew delays all that run there by as long; half of that is counted. Measured on
-   * the largest day of load of the sheets. */
+  /* Reading uncached tokens delays each running request by the same time, of which half is counted.
+   * Measured in the largest load test of the deployments. */
   cost_us += cost_us * (running < slots ? running : slots) / 2;
   cost_us += running * COST_RUNNING_US * 8 / slots;
   if (running >= slots)
@@ -357,7 +359,7 @@
 struct Replica *
 replica_set_choose (struct ReplicaSet *set, const struct ReplicaQuery *query)
 {
-  const struct Replica *warm = replica_of_object (set, query);
+  const struct Replica *preferred = replica_for_object (set, query);
   struct Replica *best = NULL;
   uint64_t best_us = 0;
   bool best_avoided = false;
@@ -368,11 +370,11 @@
       bool avoided = replica->avoid_until_ms > query->now_ms;
       uint64_t cost_us;
 
-      if (!replica_takes (replica, query) || query_tried (query, replica->entry.id))
+      if (!replica_is_eligible (replica, query) || query_excludes (query, replica->entry.id))
         continue;
       cost_us = replica_cost_us (replica, query);
-      if (warm != NULL && (replica != warm || replica_is_full (replica)))
-        cost_us += COST_COLD_US;
+      if (preferred != NULL && (replica != preferred || replica_is_full (replica)))
+        cost_us += COST_NOT_PREFERRED_US;
       if (best != NULL && (avoided != best_avoided ? avoided : cost_us >= best_us))
         continue;
       best = replica;
@@ -382,8 +384,8 @@
   return best;
 }
 
-/* What is known of one service in a zone. */
-struct ServiceUse
+/* Usage of one service's slots in a zone. */
+struct ServiceUsage
 {
   const char *service;
   uint64_t running, slots;
@@ -391,64 +393,64 @@
 
 enum
 {
-  SERVICES_MAX = 64 /* that are counted apart; further ones count for nothing */
+  SERVICES_MAX = 64 /* services considered; further ones are ignored */
 };
 
-static struct ServiceUse *
-use_of (struct ServiceUse uses[SERVICES_MAX], size_t *n, const char *service)
+static struct ServiceUsage *
+usage_get_or_add (struct ServiceUsage usages[SERVICES_MAX], size_t *n, const char *service)
 {
   for (size_t i = 0; i < *n; i++)
-    if (strcmp (uses[i].service, service) == 0)
-      return &uses[i];
+    if (strcmp (usages[i].service, service) == 0)
+      return &usages[i];
   if (*n == SERVICES_MAX)
     return NULL;
-  uses[*n] = (struct ServiceUse){ .service = service };
-  return &uses[(*n)++];
+  usages[*n] = (struct ServiceUsage){ .service = service };
+  return &usages[(*n)++];
 }
 
 uint32_t
 replica_set_used_permille (const struct ReplicaSet *set, const char *zone)
 {
-  struct ServiceUse uses[SERVICES_MAX];
+  struct ServiceUsage usages[SERVICES_MAX];
   size_t n = 0;
-  uint32_t most = 0;
+  uint32_t max_permille = 0;
 
   for (size_t i = 0; i < set->n_replicas; i++)
     {
       const struct Replica *replica = set->replicas[i];
-      struct ServiceUse *use;
+      struct ServiceUsage *usage;
 
       if (replica->entry.draining || strcmp (replica->entry.zone, zone) != 0)
         continue;
-      use = use_of (uses, &n, replica->entry.service);
-      if (use == NULL)
+      usage = usage_get_or_add (usages, &n, replica->entry.service);
+      if (usage == NULL)
         continue;
-      use->running += replica->in_flight + replica->peers_in_flight;
-      use->slots += replica->entry.slots > 0 ? replica->entry.slots : 1;
+      usage->running += replica->in_flight + replica->peers_in_flight;
+      usage->slots += replica->entry.slots > 0 ? replica->entry.slots : 1;
     }
   for (size_t i = 0; i < n; i++)
-    if (uses[i].running * 1000 / uses[i].slots > most)
-      most = (uint32_t)(uses[i].running * 1000 / uses[i].slots);
-  return most;
+    if (usages[i].running * 1000 / usages[i].slots > max_permille)
+      max_permille = (uint32_t)(usages[i].running * 1000 / usages[i].slots);
+  return max_permille;
 }
 
 void
 replica_note_result (struct Replica *replica, bool failed, int64_t now_ms)
 {
-  failure_rate_note (&replica->rate, failed, now_ms);
+  failure_rate_note (&replica->failure_rate, failed, now_ms);
 }
 
 void
 replica_note_answer (struct Replica *replica)
 {
-  replica->failures = 0;
+  replica->consecutive_failures = 0;
   replica->avoid_until_ms = 0;
 }
 
 void
 replica_note_full (struct Replica *replica, int64_t now_ms)
 {
-  replica->failures = 0;
+  replica->consecutive_failures = 0;
   replica->avoid_until_ms = now_ms + AVOID_FULL_MS;
 }
 
@@ -457,9 +459,9 @@
 {
   int64_t pause_ms = AVOID_FAILED_MS;
 
-  for (uint32_t i = 0; i < replica->failures && pause_ms < AVOID_FAILED_MAX_MS; i++)
+  for (uint32_t i = 0; i < replica->consecutive_failures && pause_ms < AVOID_FAILED_MAX_MS; i++)
     pause_ms *= 2;
-  replica->failures++;
+  replica->consecutive_failures++;
   replica->avoid_until_ms = now_ms + pause_ms;
 }
 
--- a/include/buckthornhead/scheduling/failure_rate.h
+++ b/include/buckthornhead/scheduling/failure_rate.h
@@ -1,7 +1,7 @@
-/* How often a backend server fails what it is sent, lately.
+/* Recent failure rate of a backend server.
  *
- * Guards against a server that answers quickly with failures while its health check is good: it
- * looks idle, and draws the requests that the others are too busy for. Pure. */
+ * Guards against a server that fails requests quickly while its health check passes: it appears
+ * idle, and attracts the requests that busy servers can't take. No I/O. */
 #pragma once
 
 #include <stdbool.h>
@@ -10,13 +10,14 @@
 struct FailureRate
 {
   uint32_t permille;
-  int64_t noted_ms; /* last */
+  int64_t updated_ms;
 };
 
-/* A request has ended there. */
+/* Records the result of a request. */
 void
 failure_rate_note (struct FailureRate *rate, bool failed, int64_t now_ms);
 
-/* What is believed now: it fades, so that a server that nobody uses is tried again. */
+/* Returns the rate as of now. It decays without requests, so that a server that is avoided for its
+ * failures is tried again. */
 uint32_t
 failure_rate_permille (const struct FailureRate *rate, int64_t now_ms);
--- a/include/buckthornhead/scheduling/replica_set.h
+++ b/include/buckthornhead/scheduling/replica_set.h
@@ -1,6 +1,7 @@
-/* Backend servers before a gateway: what is known of each, and which one takes the next request.
+/* The backend servers that a gateway uses: their tracked state, and the choice of a server for each
+ * request.
  *
- * Pure: no I/O, the time is given. */
+ * No I/O; the time is passed in. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -13,38 +14,38 @@
 
 enum
 {
-  PREFIX_PARTS_MAX = 8 /* of one prompt that are looked at */
+  PREFIX_PARTS_MAX = 8 /* parts of a prompt that are considered */
 };
 
-/* One backend server as the platform lists it. */
+/* The platform's list entry of a backend server. */
 struct ReplicaEntry
 {
-  char id[NAME_MAX_BYTES + 1]; /* of this incarnation */
+  char id[NAME_MAX_BYTES + 1];
   char service[NAME_MAX_BYTES + 1];
   char address[ADDRESS_MAX_BYTES + 1];
   char zone[NAME_MAX_BYTES + 1];
-  uint32_t slots; /* requests that it runs at once */
+  uint32_t slots; /* requests that it runs concurrently */
   bool draining;
-  /* Unix time of its start, by its own clock; another one under the same id is a new process, which
-   * holds and knows nothing of the one before. 0: it does not say. */
+  /* Unix time of its start, by its own clock. A different time under the same id is a new process,
+   * which has none of the previous one's state. 0: not reported. */
   uint64_t started_unix_ms;
 };
 
 struct Replica
 {
   struct ReplicaEntry entry;
-  uint32_t in_flight;          /* ours */
-  uint32_t reported_in_flight; /* of them, what the last heartbeat said of a server without owner */
-  uint32_t peers_in_flight;    /* of the other gateways, as they last said */
-  uint32_t failures;           /* in a row, without an answer of any kind */
-  struct FailureRate rate;     /* of all requests of this gateway there */
-  struct FailureRate reported; /* of all gateways' requests there, by its owner */
-  int64_t connected_until_ms; /* an idle connection to it may be used till then; 0: there is none */
-  int64_t avoid_until_ms;     /* suspected: takes requests only when nothing else is there */
-  bool restarted;             /* since replica_take_restarted looked */
-  bool listed;                /* stood in the last list */
-  bool owned;                 /* its owner reports what it holds and how many it has */
-  struct CachedPart *cached;  /* prompt parts that it was sent, newest first */
+  uint32_t in_flight;            /* requests of this gateway */
+  uint32_t reported_in_flight;   /* the part of in_flight in the last heartbeat; 0 with an owner */
+  uint32_t peers_in_flight;      /* requests of the other gateways, as last reported */
+  uint32_t consecutive_failures; /* failed requests in a row; reset by any response */
+  struct FailureRate failure_rate;          /* of this gateway's requests */
+  struct FailureRate reported_failure_rate; /* of all gateways' requests, from the owner */
+  int64_t connected_until_ms; /* until when an idle connection is usable; 0: there is none */
+  int64_t avoid_until_ms;     /* until then it is chosen only if no other server is eligible */
+  bool restarted;             /* since the last replica_set_take_restarted */
+  bool listed;                /* is in the last list */
+  bool owned;                 /* its owner reports its load and cache contents */
+  struct CachedPart *cached;  /* parts assumed to be in its cache, newest first */
   uint32_t n_cached;
   UT_hash_handle hh;
 };
@@ -53,39 +54,39 @@
 {
   struct Replica **replicas; /* talloc children of the set */
   size_t n_replicas;
-  struct Replica *by_id;         /* hash */
-  int64_t keep_missing_until_ms; /* servers absent from the list are still believed */
+  struct Replica *by_id;         /* uthash head */
+  int64_t keep_missing_until_ms; /* until when servers missing from the list are kept */
 };
 
-/* One part of a prompt; requests share parts. */
+/* A part of a prompt; several requests may share it. */
 struct PrefixPart
 {
   uint64_t id;
   uint32_t tokens;
 };
 
-/* What a request asks of the server that takes it. */
+/* The properties of a request that determine its server. */
 struct ReplicaQuery
 {
-  const struct Decisions *decisions; /* NULL: all are on */
+  const struct Decisions *decisions; /* NULL: all enabled */
   const char *service;
   const char *zone;               /* of the gateway */
-  const char *cached_at;          /* id of the server that ran the turn before; "" for none */
+  const char *cached_at;          /* id of the server that ran the previous turn; "": none */
   const struct PrefixPart *parts; /* of the prompt, in order */
   size_t n_parts;
-  const char *object;       /* what the request concerns, where that matters; NULL: nothing */
-  const char *const *tried; /* ids that are not asked again */
+  const char *object;       /* object that the request concerns; NULL: no affinity to a server */
+  const char *const *tried; /* ids of servers to exclude */
   size_t n_tried;
-  uint64_t draw; /* any number: which one of several equal servers is taken */
+  uint64_t draw; /* any number; selects one of several equal servers */
   int64_t now_ms;
 };
 
 struct ReplicaSet *
 replica_set_new (TALLOC_CTX *ctx);
 
-/* Takes a whole list. after_gap: the platform's store could not be read for a while before, so a
- * server that is missing may only have lost its entry, and is kept for REPLICA_REAPPEAR_MS. Returns
- * how many servers came, left or changed state. */
+/* Applies a complete list. after_gap: the platform's store could not be read before this list, so a
+ * missing server may only have lost its entry and is kept for REPLICA_REAPPEAR_MS. Returns the
+ * number of servers that were added, removed or restarted, or that started or stopped draining. */
 size_t
 replica_set_apply (struct ReplicaSet *set,
                    const struct ReplicaEntry *entries,
@@ -93,62 +94,63 @@
                    bool after_gap,
                    int64_t now_ms);
 
-/* Lets servers go that were kept though they are missing, once their time is over. */
+/* Removes missing servers once REPLICA_REAPPEAR_MS has passed. */
 void
 replica_set_expire (struct ReplicaSet *set, int64_t now_ms);
 
-/* Of the slots of a service's servers in zone, how many in a thousand are in use: of the service
- * that uses most. */
+/* Returns the permille of slots in use of the service in zone that uses most of its slots. */
 uint32_t
 replica_set_used_permille (const struct ReplicaSet *set, const char *zone);
 
-/* The server that should take the request; NULL when none may. */
+/* Returns the server for the request; NULL if none is eligible. */
 struct Replica *
 replica_set_choose (struct ReplicaSet *set, const struct ReplicaQuery *query);
 
-/* The next server that has started again under its id since it was asked last; NULL: none. What was
- * believed of the process before, its load and its cache, is void already. */
+/* Returns the next server that has restarted under its id since it was last returned; NULL if there
+ * is none. The tracked load and cache contents of its previous process are already reset. */
 struct Replica *
 replica_set_take_restarted (struct ReplicaSet *set);
 
 struct Replica *
 replica_set_find (const struct ReplicaSet *set, const char *id);
 
-/* The request went to replica: its prompt parts will lie in its cache. */
+/* Records that the prompt's shared parts will be in the server's cache. */
 void
 replica_note_sent (struct Replica *replica, const struct PrefixPart *parts, size_t n_parts);
 
-/* The largest part that others share: the last one is the request's own. NULL: there is none. */
+/* Returns the largest shared part; NULL if there is none. The last part is the request's own. */
 const struct PrefixPart *
 prefix_shared_part (const struct PrefixPart *parts, size_t n_parts);
 
-/* What the server's owner knows of it. */
+/* Applies the owner's report on the server. */
 void
 replica_take_digest (struct Replica *replica, const struct SlotDigest *digest, int64_t now_ms);
 
-/* An answer came, of whatever status: the server lives. */
+/* Records a response of any status, which shows that the server is running. */
 void
 replica_note_answer (struct Replica *replica);
 
-/* A request that it ran has ended: whole, or with a failure of the server's. */
+/* Records the result of a request that the server ran. */
 void
 replica_note_result (struct Replica *replica, bool failed, int64_t now_ms);
 
-/* It refused because it is full, or nothing came back at all. */
+/* Records that the server rejected a request because it is full. */
 void
 replica_note_full (struct Replica *replica, int64_t now_ms);
+
+/* Records that the server could not be reached, or that its response was missing or incomplete. */
 void
 replica_note_failure (struct Replica *replica, int64_t now_ms);
 
-/* The peers' counts start anew; then one call a peer and server. */
+/* Resets the peers' request counts of servers without an owner, before they are summed again. */
 void
 replica_set_clear_peers (struct ReplicaSet *set);
 
-/* An entry as processes pass it on, without what changes with each of the server's heartbeats: a
- * msgpack array that belongs to ctx. NULL without memory. */
+/* Serializes an entry for other processes as a msgpack array, without the fields that change with
+ * each heartbeat of the server. Allocated on ctx; NULL without memory. */
 uint8_t *
 replica_entry_pack (TALLOC_CTX *ctx, const struct ReplicaEntry *entry, size_t *n_bytes);
 
-/* ERROR_INVALID for anything malformed. */
+/* Returns ERROR_INVALID if malformed. */
 int32_t
 replica_entry_unpack (const uint8_t *bytes, size_t n_bytes, struct ReplicaEntry *entry);
--- a/tests/test_failure_rate.c
+++ b/tests/test_failure_rate.c
@@ -3,7 +3,7 @@
 #include <buckthornhead/scheduling/failure_rate.h>
 
 static void
-test_it_follows_what_the_server_does (void)
+test_the_rate_follows_the_results (void)
 {
   struct FailureRate rate = { 0 };
 
@@ -20,10 +20,10 @@
   CU_ASSERT (failure_rate_permille (&rate, 10) < 20);
 }
 
-/* Nobody uses a server that failed everything. It has recovered, and nothing shows it: what is
- * believed of it fades. */
+/* A server that failed all requests receives none, so that nothing shows its recovery: its rate
+ * must decay by itself. */
 static void
-test_it_fades_without_requests (void)
+test_the_rate_decays_without_requests (void)
 {
   struct FailureRate rate = { 0 };
   uint32_t before = 1001;
@@ -42,9 +42,10 @@
   CU_ASSERT (failure_rate_permille (&rate, 11000) < 60);
 }
 
-/* A service fails one request in a hundred by itself: no server of it is shunned for that. */
+/* A service that always fails one request in a hundred must not have its servers avoided for that.
+ */
 static void
-test_rare_failures_are_forgotten (void)
+test_rare_failures_do_not_add_up (void)
 {
   struct FailureRate rate = { 0 };
 
@@ -55,8 +56,8 @@
 
 const char test_suite_name[] = "failure_rate";
 const struct TestCase test_cases[] = {
-  { "it follows what the server does", test_it_follows_what_the_server_does },
-  { "it fades without requests", test_it_fades_without_requests },
-  { "rare failures are forgotten", test_rare_failures_are_forgotten },
+  { "the rate follows the results", test_the_rate_follows_the_results },
+  { "the rate decays without requests", test_the_rate_decays_without_requests },
+  { "rare failures do not add up", test_rare_failures_do_not_add_up },
   { NULL, NULL },
 };
--- a/tests/test_replica_set.c
+++ b/tests/test_replica_set.c
@@ -31,7 +31,7 @@
 }
 
 static struct ReplicaSet *
-set_of_two (void)
+make_set_of_two (void)
 {
   const struct ReplicaEntry entries[] = { entry ("r1", "a", 8, false),
                                           entry ("r2", "b", 8, false) };
@@ -42,9 +42,9 @@
 }
 
 static void
-test_the_own_zone_goes_first_and_load_moves_it (void)
+test_the_own_zone_is_preferred_unless_it_is_loaded (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "" };
 
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
@@ -57,10 +57,11 @@
   talloc_free (set);
 }
 
-/* A gateway of a large fleet sends a request a second to any of 64 idle desks, each over a new
- * connection that waits for the desk to accept it, while those that it used before stay open. */
+/* Guards against a gateway that opens a new connection for each request although it has idle ones:
+ * in a large fleet it sent a request a second to any of 64 idle servers, each time waiting for the
+ * server to accept. */
 static void
-test_a_kept_connection_is_used_among_equals (void)
+test_an_idle_connection_decides_among_equals (void)
 {
   const struct ReplicaEntry entries[] = { entry ("r1", "a", 8, false), entry ("r2", "a", 8, false),
                                           entry ("r3", "a", 8, false) };
@@ -71,7 +72,7 @@
   replica_set_find (set, "r2")->connected_until_ms = 5000;
   for (query.draw = 0; query.draw < 3; query.draw++)
     CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
-  /* Its only connection is in use, or it is busier than the others. */
+  /* The connection doesn't count while it is in use, or if the server is busier than others. */
   replica_set_find (set, "r2")->in_flight = 1;
   CU_ASSERT_STRING_NOT_EQUAL (chosen (set, &query), "r2");
   replica_set_find (set, "r2")->in_flight = 0;
@@ -84,29 +85,30 @@
   talloc_free (set);
 }
 
-/* A session's next turn comes through a gateway that never served it. Its history lies in the cache
- * of the server that ran the turn before; any other would read it all again. */
+/* A session's next turn may arrive at a gateway that never served the session. It must go to the
+ * server that ran the previous turn and has its history cached; any other would read all of it
+ * again. */
 static void
 test_a_turn_goes_where_its_history_is_cached (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 3000 } };
   struct ReplicaQuery query = {
     .service = "engine", .zone = "b", .cached_at = "r1", .parts = parts, .n_parts = 2
   };
 
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
-  /* Not at any price: its queue would take longer than reading. */
+  /* Unless waiting in its queue would take longer than reading the history. */
   replica_set_find (set, "r1")->in_flight = 16;
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
   talloc_free (set);
 }
 
-/* A server crashes and is back a second later under the id that it had. Its cache is empty, and it
- * has failed nothing: what was believed of the process before would send it the wrong sessions, and
- * keep all others from it. The same list read again changes nothing. */
+/* A server that crashes and restarts under its id has an empty cache and no failures. With the
+ * state of the previous process it would be sent the wrong sessions and be avoided for all other
+ * requests. Applying the same list again changes nothing. */
 static void
-test_a_server_that_starts_again_is_a_new_one (void)
+test_a_server_that_restarts_is_reset (void)
 {
   struct ReplicaSet *set = replica_set_new (NULL);
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 3000 } };
@@ -137,10 +139,10 @@
   talloc_free (set);
 }
 
-/* A server that was leaving crashes, and is back and ready under its id. One list tells both: that
- * it is ready again must not hide that it holds nothing. */
+/* A draining server crashes and restarts, ready, under its id. One list reports both changes: the
+ * end of draining must not hide that the cache is empty. */
 static void
-test_a_leaving_server_that_starts_again_is_a_new_one (void)
+test_a_draining_server_that_restarts_is_reset (void)
 {
   struct ReplicaSet *set = replica_set_new (NULL);
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 3000 } };
@@ -157,9 +159,9 @@
   talloc_free (set);
 }
 
-/* Barriers are opened through all gateways, and a server that had a barrier lately is twice as fast
- * with it. All gateways take the same server for it while that has a free slot; different barriers
- * are spread. */
+/* A server processes an object's requests twice as fast if it had the object recently, and the
+ * requests arrive at all gateways. All gateways must choose the same server while it has a free
+ * slot, and different objects must be spread over the servers. */
 static void
 test_an_object_stays_with_its_server (void)
 {
@@ -174,21 +176,21 @@
     {
       char object[16];
       const char *first;
-      struct Replica *warm;
+      struct Replica *preferred;
 
       snprintf (object, sizeof object, "%u", i);
       query.object = object;
       first = chosen (set, &query);
-      warm = replica_set_find (set, first);
+      preferred = replica_set_find (set, first);
 
       n_chosen[first[1] - '1']++;
       query.draw++;
       query.zone = "b";
-      warm->in_flight = 3;
+      preferred->in_flight = 3;
       CU_ASSERT_STRING_EQUAL (chosen (set, &query), first);
-      warm->in_flight = 4;
+      preferred->in_flight = 4;
       CU_ASSERT_STRING_NOT_EQUAL (chosen (set, &query), first);
-      warm->in_flight = 0;
+      preferred->in_flight = 0;
       query.zone = "a";
     }
   for (int i = 0; i < 3; i++)
@@ -196,11 +198,11 @@
   talloc_free (set);
 }
 
-/* With its switch off a mechanism has no say, and the others have theirs. */
+/* A disabled mechanism doesn't affect the choice, and the others still do. */
 static void
-test_what_is_switched_off_does_not_decide (void)
+test_disabled_mechanisms_do_not_affect_the_choice (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 3000 } };
   struct Decisions decisions = { 1, 1, 1, 1, 1, 1, 1, 1, 1 };
   struct ReplicaQuery query = { .decisions = &decisions,
@@ -228,9 +230,9 @@
 }
 
 static void
-test_shared_parts_draw_requests_to_who_read_them (void)
+test_shared_parts_attract_requests (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 500 } };
   struct ReplicaQuery query = {
     .service = "engine", .zone = "b", .cached_at = "", .parts = parts, .n_parts = 2
@@ -241,13 +243,13 @@
   talloc_free (set);
 }
 
-/* An engine answers at once with failures while its health check is good. It has nothing to do and
- * holds the prompt, and would draw every request of the zone; the owner of the engine has told all
- * gateways how often it fails. */
+/* An engine that fails requests at once while its health check passes is idle and has the prompt
+ * cached, so that it would attract all requests of the zone. The failure rate that its owner
+ * reports to all gateways must prevent that. */
 static void
-test_a_server_that_fails_quickly_does_not_draw_requests (void)
+test_a_server_that_fails_quickly_does_not_attract_requests (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 500 } };
   const struct SlotDigest failing = {
     .total = 0, .failed_permille = 900, .parts = { 1 }, .n_parts = 1
@@ -260,16 +262,16 @@
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
   replica_take_digest (replica_set_find (set, "r2"), &failing, 0);
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
-  /* Nobody has used it since: it is tried again. */
+  /* The rate has decayed without requests, and the server is tried again. */
   query.now_ms = 20000;
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
   talloc_free (set);
 }
 
 static void
-test_what_was_tried_or_drains_is_left_out (void)
+test_tried_and_draining_servers_are_excluded (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   const char *const tried[] = { "r2" };
   const struct ReplicaEntry draining[] = { entry ("r1", "a", 8, true),
                                            entry ("r2", "b", 8, false) };
@@ -283,13 +285,13 @@
   talloc_free (set);
 }
 
-/* The store was away and came back with its leases lapsed: the first list is empty though all
- * servers live. Believing it would refuse everything for two seconds. An entry that is still
- * missing then belongs to a server that is gone. */
+/* After an outage of the store its leases have expired, and the first list is empty although all
+ * servers are running. Applying it at once would fail all requests for two seconds. An entry that
+ * is still missing after that belongs to a server that has failed. */
 static void
-test_entries_that_lapsed_with_the_store_are_kept_for_a_while (void)
+test_expired_entries_are_kept_after_an_outage (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   const struct ReplicaEntry one[] = { entry ("r1", "a", 8, false) };
   struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "" };
 
@@ -303,12 +305,12 @@
   talloc_free (set);
 }
 
-/* Without an outage a missing entry is believed at once: a server that left without a word gets
- * nothing new. What is on its way to it keeps its place until it ends. */
+/* Without an outage a server missing from the list gets no new requests at once. It is freed after
+ * its requests in flight have ended. */
 static void
-test_a_missing_entry_is_believed_at_once (void)
+test_a_missing_server_gets_no_new_requests (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   const struct ReplicaEntry one[] = { entry ("r1", "a", 8, false) };
   struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "" };
 
@@ -322,11 +324,12 @@
   talloc_free (set);
 }
 
-/* A server that is dead and still listed refuses at once, and so has the shortest queue of all. */
+/* A crashed server that is still listed refuses connections at once, and so appears to have the
+ * shortest queue. */
 static void
 test_a_failing_server_is_the_last_resort (void)
 {
-  struct ReplicaSet *set = set_of_two ();
+  struct ReplicaSet *set = make_set_of_two ();
   struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "", .now_ms = 1 };
 
   replica_note_failure (replica_set_find (set, "r2"), 0);
@@ -339,21 +342,21 @@
 }
 
 static void
-test_entries_travel (void)
+test_entries_are_packed_and_unpacked (void)
 {
-  struct ReplicaEntry sent = entry ("r1", "a", 8, true), got;
+  struct ReplicaEntry sent = entry ("r1", "a", 8, true), unpacked;
   size_t n_bytes;
   uint8_t *bytes = replica_entry_pack (NULL, &sent, &n_bytes);
 
-  CU_ASSERT_EQUAL (replica_entry_unpack (bytes, n_bytes, &got), ERROR_NONE);
-  CU_ASSERT_STRING_EQUAL (got.id, sent.id);
-  CU_ASSERT_STRING_EQUAL (got.service, sent.service);
-  CU_ASSERT_STRING_EQUAL (got.address, sent.address);
-  CU_ASSERT_STRING_EQUAL (got.zone, sent.zone);
-  CU_ASSERT_EQUAL (got.slots, sent.slots);
-  CU_ASSERT_EQUAL (got.draining, sent.draining);
+  CU_ASSERT_EQUAL (replica_entry_unpack (bytes, n_bytes, &unpacked), ERROR_NONE);
+  CU_ASSERT_STRING_EQUAL (unpacked.id, sent.id);
+  CU_ASSERT_STRING_EQUAL (unpacked.service, sent.service);
+  CU_ASSERT_STRING_EQUAL (unpacked.address, sent.address);
+  CU_ASSERT_STRING_EQUAL (unpacked.zone, sent.zone);
+  CU_ASSERT_EQUAL (unpacked.slots, sent.slots);
+  CU_ASSERT_EQUAL (unpacked.draining, sent.draining);
   for (size_t cut = 0; cut < n_bytes; cut++)
-    CU_ASSERT_EQUAL (replica_entry_unpack (bytes, cut, &got), ERROR_INVALID);
+    CU_ASSERT_EQUAL (replica_entry_unpack (bytes, cut, &unpacked), ERROR_INVALID);
   talloc_free (bytes);
 }
 
@@ -376,23 +379,24 @@
 
 const char test_suite_name[] = "replica_set";
 const struct TestCase test_cases[] = {
-  { "the own zone goes first and load moves it", test_the_own_zone_goes_first_and_load_moves_it },
+  { "the own zone is preferred unless it is loaded",
+    test_the_own_zone_is_preferred_unless_it_is_loaded },
   { "a turn goes where its history is cached", test_a_turn_goes_where_its_history_is_cached },
-  { "shared parts draw requests", test_shared_parts_draw_requests_to_who_read_them },
-  { "a server that fails quickly does not draw requests",
-    test_a_server_that_fails_quickly_does_not_draw_requests },
-  { "what was tried or drains is left out", test_what_was_tried_or_drains_is_left_out },
-  { "lapsed entries are kept for a while",
-    test_entries_that_lapsed_with_the_store_are_kept_for_a_while },
-  { "a missing entry is believed at once", test_a_missing_entry_is_believed_at_once },
+  { "shared parts attract requests", test_shared_parts_attract_requests },
+  { "a server that fails quickly does not attract requests",
+    test_a_server_that_fails_quickly_does_not_attract_requests },
+  { "tried and draining servers are excluded", test_tried_and_draining_servers_are_excluded },
+  { "expired entries are kept after an outage", test_expired_entries_are_kept_after_an_outage },
+  { "a missing server gets no new requests", test_a_missing_server_gets_no_new_requests },
   { "a failing server is the last resort", test_a_failing_server_is_the_last_resort },
-  { "entries travel", test_entries_travel },
+  { "entries are packed and unpacked", test_entries_are_packed_and_unpacked },
   { "equal servers take turns", test_equal_servers_take_turns },
-  { "a leaving server that starts again is a new one",
-    test_a_leaving_server_that_starts_again_is_a_new_one },
-  { "a server that starts again is a new one", test_a_server_that_starts_again_is_a_new_one },
+  { "a draining server that restarts is reset", test_a_draining_server_that_restarts_is_reset },
+  { "a server that restarts is reset", test_a_server_that_restarts_is_reset },
   { "an object stays with its server", test_an_object_stays_with_its_server },
-  { "what is switched off does not decide", test_what_is_switched_off_does_not_decide },
-  { "a kept connection is used among equals", test_a_kept_connection_is_used_among_equals },
+  { "disabled mechanisms do not affect the choice",
+    test_disabled_mechanisms_do_not_affect_the_choice },
+  { "an idle connection decides among equal servers",
+    test_an_idle_connection_decides_among_equals },
   { NULL, NULL },
 };
