--- a/core/scheduling/server_subset.c
+++ b/core/scheduling/server_subset.c
@@ -12,29 +12,29 @@
 
 enum
 {
-  NO_GROUP = UINT32_MAX /* of an entry that can not be read */
+  NO_GROUP = UINT32_MAX /* the entry is malformed, or there was no memory for its group */
 };
 
-/* The servers of one service in one zone. */
+/* A service in one zone. */
 struct ServerGroup
 {
-  char key[2 * NAME_MAX_BYTES + 2]; /* zone, a blank, service */
+  char key[2 * NAME_MAX_BYTES + 2]; /* zone and service, separated by a space */
   char zone[NAME_MAX_BYTES + 1];
   uint32_t number;
   UT_hash_handle hh;
 };
 
-/* One server, at the place that it has in the list. */
+/* The parsed entry of one server, at its position in the list. */
 struct ServerRow
 {
-  uint64_t rank;
+  uint64_t rank; /* hash of the server's id; lower ones are selected first */
   uint32_t group;
 };
 
 struct ServerIndex
 {
   struct ServerGroup *by_key;
-  struct ServerGroup **groups; /* by number */
+  struct ServerGroup **groups; /* by .number */
   uint32_t n_groups;
   struct ServerRow *rows;
   uint64_t n_read;
@@ -58,7 +58,7 @@
 }
 
 static uint32_t
-group_need (struct ServerIndex *index, const struct ReplicaEntry *entry)
+group_get_or_add (struct ServerIndex *index, const struct ReplicaEntry *entry)
 {
   struct ServerGroup *group, **grown;
   char key[2 * NAME_MAX_BYTES + 2];
@@ -85,7 +85,7 @@
 }
 
 static struct ServerRow
-row_read (struct ServerIndex *index, const struct SnapshotItem *item)
+row_parse (struct ServerIndex *index, const struct SnapshotItem *item)
 {
   struct ServerRow row = { .group = NO_GROUP };
   struct ReplicaEntry entry;
@@ -94,7 +94,7 @@
   if (replica_entry_unpack (item->value, item->value_bytes, &entry) != ERROR_NONE)
     return row;
   row.rank = XXH64 (entry.id, strlen (entry.id), 0);
-  row.group = group_need (index, &entry);
+  row.group = group_get_or_add (index, &entry);
   return row;
 }
 
@@ -119,7 +119,7 @@
         at++;
       rows[i] = at < n_before && snapshot_item_is_equal (&before->items[at], item)
                     ? index->rows[at]
-                    : row_read (index, item);
+                    : row_parse (index, item);
     }
   talloc_free (index->rows);
   index->rows = rows;
@@ -143,7 +143,7 @@
 }
 
 static size_t
-index_n_other_zones (const struct ServerIndex *index, const char *zone)
+index_count_other_zones (const struct ServerIndex *index, const char *zone)
 {
   size_t n = 0;
 
@@ -158,11 +158,14 @@
   return n;
 }
 
-/* How many servers of the group gateways of zone know. */
+/* Returns the number of the group's servers in the subset of zone. */
 static size_t
-group_quota (const struct ServerGroup *group, const char *zone, size_t n_others, uint32_t level)
+group_quota (const struct ServerGroup *group,
+             const char *zone,
+             size_t n_other_zones,
+             uint32_t level)
 {
-  size_t n = SUBSET_OTHER_ZONES / (n_others > 0 ? n_others : 1);
+  size_t n = SUBSET_OTHER_ZONES / (n_other_zones > 0 ? n_other_zones : 1);
 
   if (strcmp (group->zone, zone) == 0)
     n = SUBSET_OWN_ZONE;
@@ -171,7 +174,8 @@
   return n << (level < SUBSET_LEVEL_MAX ? level : SUBSET_LEVEL_MAX);
 }
 
-/* The highest rank of each group that is within its quota; belongs to ctx. NULL without memory. */
+/* Returns for each group the highest rank within its quota; allocated on ctx, NULL without
+ * memory. */
 static uint64_t *
 index_thresholds (const struct ServerIndex *index,
                   TALLOC_CTX *ctx,
@@ -181,7 +185,7 @@
 {
   uint64_t *thresholds = talloc_zero_array (ctx, uint64_t, index->n_groups);
   struct ServerRow *sorted = talloc_memdup (ctx, index->rows, n_rows * sizeof *sorted);
-  size_t n_others = index_n_other_zones (index, zone), n_in_group = 0;
+  size_t n_other_zones = index_count_other_zones (index, zone), n_in_group = 0;
 
   if (thresholds == NULL || sorted == NULL)
     {
@@ -195,7 +199,7 @@
       const struct ServerGroup *group = index->groups[sorted[i].group];
 
       n_in_group = i > 0 && sorted[i - 1].group == sorted[i].group ? n_in_group + 1 : 1;
-      if (n_in_group <= group_quota (group, zone, n_others, level))
+      if (n_in_group <= group_quota (group, zone, n_other_zones, level))
         thresholds[sorted[i].group] = sorted[i].rank;
     }
   talloc_free (sorted);
@@ -238,13 +242,13 @@
                      int64_t now_ms)
 {
   if (used_permille >= SUBSET_LOWER_PERMILLE)
-    demand->calm_since_ms = 0;
-  else if (demand->calm_since_ms == 0)
-    demand->calm_since_ms = now_ms;
+    demand->low_since_ms = 0;
+  else if (demand->low_since_ms == 0)
+    demand->low_since_ms = now_ms;
   if (used_permille >= SUBSET_RAISE_PERMILLE)
     return level < SUBSET_LEVEL_MAX ? level + 1 : SUBSET_LEVEL_MAX;
-  if (level > 0 && demand->calm_since_ms > 0
-      && now_ms - demand->calm_since_ms >= SUBSET_LOWER_AFTER_MS)
+  if (level > 0 && demand->low_since_ms > 0
+      && now_ms - demand->low_since_ms >= SUBSET_LOWER_AFTER_MS)
     return level - 1;
   return level;
 }
--- a/core/scheduling/session_places.c
+++ b/core/scheduling/session_places.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  /* Sessions of one program: the main line and sub-agents that run or wait. The sheets have eight
-   * or so at once; a program that loops starts them without end. */
+  /* Sessions tracked per program: its main session and the sub-agents that run or wait. Programs of
+   * the deployments have about eight at once; one that loops starts them without bound. */
   PLACES_MAX = 32
 };
 
@@ -41,7 +41,7 @@
 
   if (session == 0 || server[0] == '\0')
     return ERROR_NONE;
-  /* A turn that ends late says less than the one that was sent after it. */
+  /* An older turn that ends late doesn't replace a newer one. */
   if (at < places->n && places->items[at].tokens > tokens)
     return ERROR_NONE;
   if (at < places->n)
--- a/include/buckthornhead/scheduling/server_subset.h
+++ b/include/buckthornhead/scheduling/server_subset.h
@@ -1,11 +1,11 @@
-/* Which of the fleet's backend servers the gateways of one availability zone use.
+/* Selection of the backend servers that the gateways of one availability zone use.
  *
- * A gateway that knows ten thousand servers spends its memory and its processor on rows that it
- * never chooses. All gateways of a zone know the same few of each service: those that come first by
- * a hash of their ids, most of them of their own zone and some of each other zone, for when their
- * own have failed. Their number doubles with each level, which follows from how much of what is
- * known is in use, so that the whole fleet is used where it is needed. A service with fewer servers
- * than that is known whole. Pure. */
+ * A gateway that tracked ten thousand servers would spend memory and processor time on entries that
+ * it never chooses. Instead, all gateways of a zone use the same subset of each service: the
+ * servers with the lowest hashes of their ids, most of them in the own zone and some in each other
+ * zone, as a reserve for when the own ones have failed. The subset doubles with each level, and the
+ * level follows the share of its slots that is in use, so that under enough load all servers are
+ * used. A service with fewer servers than the subset's size is included whole. No I/O. */
 #pragma once
 
 #include <buckthornhead/gateway_message.h>
@@ -13,36 +13,40 @@
 enum
 {
   SUBSET_OWN_ZONE = 64,     /* servers of a service at level 0 */
-  SUBSET_OTHER_ZONES = 128, /* in all other zones together */
-  SUBSET_ZONE_MIN = 16,     /* in each of them */
-  SUBSET_LEVEL_MAX = 12,    /* 64 servers doubled so often are more than any fleet has */
-  /* Of the slots that are known. Well below full: the next level takes a heartbeat or two to
-   * arrive, in which load may double. */
+  SUBSET_OTHER_ZONES = 128, /* the same, in all other zones together */
+  SUBSET_ZONE_MIN = 16,     /* in each other zone, at least */
+  SUBSET_LEVEL_MAX = 12,    /* 64 servers doubled 12 times exceed the size of any fleet */
+  /* Share of the subset's slots in use from which the level is raised. Well below full: the next
+   * level takes one or two heartbeats to arrive, in which load may double. */
   SUBSET_RAISE_PERMILLE = 250,
-  /* Half of it at the level below would still be calm. */
+  /* Share below which the level is lowered. With half of the servers it doubles, which must stay
+   * well below SUBSET_RAISE_PERMILLE. */
   SUBSET_LOWER_PERMILLE = 60,
+  /* How long the share must stay low before the level is lowered. */
   SUBSET_LOWER_AFTER_MS = 30 * 1000
 };
 
-/* What a list of servers says of each, read once. */
+/* The parsed entries of a server list. */
 struct ServerIndex;
 
 struct ServerIndex *
 server_index_new (TALLOC_CTX *ctx);
 
-/* Follows from before, which the index was made for, to after; before is NULL the first time. Only
- * entries that differ are read. ERROR_NO_MEMORY: the index is for nothing. */
+/* Updates the index from list before, which it was built for, to list after; before is NULL the
+ * first time. Only entries that differ are parsed. Returns ERROR_NO_MEMORY on failure, after which
+ * the index must not be used. */
 int32_t
 server_index_update (struct ServerIndex *index,
                      const struct Snapshot *before,
                      const struct Snapshot *after);
 
-/* Entries that were read so far. */
+/* Returns the number of entries parsed so far. */
 uint64_t
 server_index_n_read (const struct ServerIndex *index);
 
-/* The servers that gateways of zone use at level, out of the list that the index is for; belongs to
- * ctx, values are the list's. NULL without memory. */
+/* Returns the subset of servers that gateways of zone use at level; servers is the list that the
+ * index was last updated to. The subset is allocated on ctx; its values point into the list.
+ * Returns NULL without memory. */
 struct Snapshot *
 server_index_subset (const struct ServerIndex *index,
                      TALLOC_CTX *ctx,
@@ -50,14 +54,14 @@
                      const char *zone,
                      uint32_t level);
 
-/* Which level one gateway would have. */
+/* One gateway's demand for servers. */
 struct SubsetDemand
 {
-  int64_t calm_since_ms; /* 0: it is not calm */
+  int64_t low_since_ms; /* start of the period of low usage; 0: usage is not low */
 };
 
-/* The level that is wanted while the servers of level are known, and permille of their slots are in
- * use. */
+/* Returns the level that this gateway needs, given its current level and the permille of that
+ * subset's slots that are in use. */
 uint32_t
 subset_wanted_level (struct SubsetDemand *demand,
                      uint32_t level,
--- a/include/buckthornhead/scheduling/session_places.h
+++ b/include/buckthornhead/scheduling/session_places.h
@@ -1,22 +1,23 @@
-/* Which servers hold the sessions of one program in their caches, as its turns last said.
+/* Tracks which backend servers have the sessions of one program in their caches, as reported when
+ * its turns end.
  *
- * Gains the reading of what a server holds already: where turns are not kept, nobody else
- * remembers which server ran the turn before, and a session's next turn comes through any gateway.
- * On the smaller sheet of operators' questions 4,606 of 8,668 later turns went to another server
- * than the one before, and 15 of the 33 million prompt tokens that were read had been read before.
- * Pure. */
+ * Saves prompt tokens from being read twice. A session's next turn may arrive at any gateway, and
+ * where turns are not kept, nothing else records which server ran the previous one. In the smaller
+ * deployment of the operators' questions 4,606 of 8,668 later turns went to another server than the
+ * turn before, and 15 of 33 million prompt tokens read had been read before. No I/O. */
 #pragma once
 
 #include <buckthornhead/turn.h>
 
-/* Zeroed it knows nothing. */
+/* Zero-initialised, it is empty. */
 struct SessionPlaces
 {
-  struct SessionPlace *items; /* talloc array; the one noted last at the end */
+  struct SessionPlace *items; /* talloc array, least recently updated first */
   size_t n;
 };
 
-/* A turn of session has ended at server; its prompt had tokens of the session. ERROR_NO_MEMORY. */
+/* Records that a turn of session ended at server; tokens is the length of the session's part of its
+ * prompt. Returns ERROR_NO_MEMORY on failure. */
 int32_t
 session_places_note (TALLOC_CTX *ctx,
                      struct SessionPlaces *places,
@@ -24,13 +25,13 @@
                      uint32_t tokens,
                      const char *server);
 
-/* The place of the first of sessions that is known; session 0 when none is. */
+/* Returns the place of the first of sessions that is recorded; its .session is 0 when none is. */
 struct SessionPlace
 session_places_find (const struct SessionPlaces *places,
                      const uint64_t sessions[TURN_SESSIONS_MAX]);
 
-/* The better of two answers to the same question: the first session that was asked for, and of one
- * session the place that knows more of it. */
+/* Merges the responses of two archives to one query: prefers the session that comes first in
+ * sessions, and for the same session the place with more tokens. */
 struct SessionPlace
 session_place_better (const struct SessionPlace *a,
                       const struct SessionPlace *b,
--- a/tests/test_server_subset.c
+++ b/tests/test_server_subset.c
@@ -13,9 +13,9 @@
   NOW_MS = 1000
 };
 
-/* n servers, one in nine of them a desk, over the zones in turn. */
+/* A list of n servers over the zones in turn; one in nine belongs to service "desk". */
 static struct Snapshot *
-servers_of (TALLOC_CTX *ctx, uint32_t n)
+make_servers (TALLOC_CTX *ctx, uint32_t n)
 {
   struct Snapshot *s = talloc_zero (ctx, struct Snapshot);
 
@@ -38,7 +38,7 @@
 }
 
 static struct ServerIndex *
-index_of (TALLOC_CTX *ctx, const struct Snapshot *servers)
+make_index (TALLOC_CTX *ctx, const struct Snapshot *servers)
 {
   struct ServerIndex *index = server_index_new (ctx);
 
@@ -55,14 +55,13 @@
   return false;
 }
 
-/* Where there are a few dozen servers each gateway chooses among all of them, as it does without a
- * subset. */
+/* With a few dozen servers the subset contains all of them. */
 static void
-test_a_small_fleet_is_known_whole (void)
+test_a_small_fleet_is_included_whole (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
-  struct Snapshot *servers = servers_of (ctx, 66), *subset;
-  struct ServerIndex *index = index_of (ctx, servers);
+  struct Snapshot *servers = make_servers (ctx, 66), *subset;
+  struct ServerIndex *index = make_index (ctx, servers);
 
   subset = server_index_subset (index, ctx, servers, "zone-2", 0);
   CU_ASSERT_EQUAL (subset->n_items, servers->n_items);
@@ -70,32 +69,32 @@
   talloc_free (ctx);
 }
 
-/* Ten thousand servers at each of a thousand gateways: 9 MB and a choice among all. What a gateway
- * holds and looks at does not grow with the fleet. */
+/* The subset's size must not grow with the fleet: the full list of ten thousand servers takes 9 MB
+ * at each of a thousand gateways, and every choice would scan it. */
 static void
-test_a_large_fleet_costs_a_gateway_no_more_at_twice_the_size (void)
+test_the_subset_does_not_grow_with_the_fleet (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   size_t n[2];
 
   for (uint32_t i = 0; i < 2; i++)
     {
-      struct Snapshot *servers = servers_of (ctx, 10000 << i);
+      struct Snapshot *servers = make_servers (ctx, 10000 << i);
 
-      n[i] = server_index_subset (index_of (ctx, servers), ctx, servers, "zone-0", 0)->n_items;
+      n[i] = server_index_subset (make_index (ctx, servers), ctx, servers, "zone-0", 0)->n_items;
     }
   CU_ASSERT_EQUAL (n[0], 2 * (SUBSET_OWN_ZONE + SUBSET_OTHER_ZONES));
   CU_ASSERT_EQUAL (n[1], n[0]);
   talloc_free (ctx);
 }
 
-/* Each level has the servers of the one below, and twice as many. */
+/* Each level contains the servers of the level below. */
 static void
 test_levels_are_nested (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
-  struct Snapshot *servers = servers_of (ctx, 10000), *below = NULL, *subset;
-  struct ServerIndex *index = index_of (ctx, servers);
+  struct Snapshot *servers = make_servers (ctx, 10000), *below = NULL, *subset;
+  struct ServerIndex *index = make_index (ctx, servers);
 
   for (uint32_t level = 0; level <= SUBSET_LEVEL_MAX; level++)
     {
@@ -109,17 +108,17 @@
   talloc_free (ctx);
 }
 
-/* Two aggregators of a zone, one that followed the list for long and one that got it just now, tell
- * their members the same. A server that leaves makes room for one other. */
+/* Two aggregators of a zone, one with an incrementally updated index and one with a new index, must
+ * select the same subset. A server that leaves is replaced by exactly one other. */
 static void
-test_a_change_moves_one_server (void)
+test_a_removed_server_is_replaced_by_one (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
-  struct Snapshot *before = servers_of (ctx, 10000), *after = servers_of (ctx, 10000);
-  struct ServerIndex *index = index_of (ctx, before);
+  struct Snapshot *before = make_servers (ctx, 10000), *after = make_servers (ctx, 10000);
+  struct ServerIndex *index = make_index (ctx, before);
   struct Snapshot *subset = server_index_subset (index, ctx, before, "zone-0", 0), *next, *fresh;
   uint64_t n_read = server_index_n_read (index);
-  size_t n_gone = 0, n_come = 0, at = 0;
+  size_t n_removed = 0, n_added = 0, at = 0;
 
   while (strcmp (after->items[at].key, subset->items[7].key) != 0)
     at++;
@@ -129,25 +128,25 @@
   CU_ASSERT_EQUAL (server_index_update (index, before, after), ERROR_NONE);
   CU_ASSERT_EQUAL (server_index_n_read (index), n_read);
   next = server_index_subset (index, ctx, after, "zone-0", 0);
-  fresh = server_index_subset (index_of (ctx, after), ctx, after, "zone-0", 0);
+  fresh = server_index_subset (make_index (ctx, after), ctx, after, "zone-0", 0);
   CU_ASSERT_EQUAL (snapshot_content (next->items, next->n_items),
                    snapshot_content (fresh->items, fresh->n_items));
   for (size_t i = 0; i < subset->n_items; i++)
-    n_gone += !has_key (next, subset->items[i].key);
+    n_removed += !has_key (next, subset->items[i].key);
   for (size_t i = 0; i < next->n_items; i++)
-    n_come += !has_key (subset, next->items[i].key);
-  CU_ASSERT_EQUAL (n_gone, 1);
-  CU_ASSERT_EQUAL (n_come, 1);
+    n_added += !has_key (subset, next->items[i].key);
+  CU_ASSERT_EQUAL (n_removed, 1);
+  CU_ASSERT_EQUAL (n_added, 1);
   talloc_free (ctx);
 }
 
-/* A list is followed by reading what differs, not each entry again. */
+/* An update parses only the entries that differ. */
 static void
-test_only_what_differs_is_read (void)
+test_only_changed_entries_are_parsed (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
-  struct Snapshot *before = servers_of (ctx, 10000), *after = servers_of (ctx, 10000);
-  struct ServerIndex *index = index_of (ctx, before);
+  struct Snapshot *before = make_servers (ctx, 10000), *after = make_servers (ctx, 10000);
+  struct ServerIndex *index = make_index (ctx, before);
 
   CU_ASSERT_EQUAL (server_index_n_read (index), 10000);
   after->items[77].value = after->items[78].value;
@@ -157,8 +156,8 @@
   talloc_free (ctx);
 }
 
-/* Callers come that need more than the servers that are known. More are asked for well before these
- * are full, and let go only once it has been calm for long. */
+/* The level is raised well before the subset's servers are full, and lowered only after usage has
+ * been low for SUBSET_LOWER_AFTER_MS. */
 static void
 test_the_level_follows_demand (void)
 {
@@ -173,19 +172,18 @@
   now_ms += SUBSET_LOWER_AFTER_MS - 1;
   CU_ASSERT_EQUAL (subset_wanted_level (&demand, 2, 0, now_ms), 2);
   CU_ASSERT_EQUAL (subset_wanted_level (&demand, 2, 0, now_ms + 1), 1);
-  /* Half of the servers carry the same load at twice the share. */
+  /* With half of the servers the same load takes twice the share of their slots. */
   CU_ASSERT (2 * SUBSET_LOWER_PERMILLE < SUBSET_RAISE_PERMILLE);
   CU_ASSERT_EQUAL (subset_wanted_level (&demand, SUBSET_LEVEL_MAX, 1000, now_ms), SUBSET_LEVEL_MAX);
 }
 
 const char test_suite_name[] = "server subset";
 const struct TestCase test_cases[] = {
-  { "a small fleet is known whole", test_a_small_fleet_is_known_whole },
-  { "a large fleet costs a gateway no more at twice the size",
-    test_a_large_fleet_costs_a_gateway_no_more_at_twice_the_size },
+  { "a small fleet is included whole", test_a_small_fleet_is_included_whole },
+  { "the subset does not grow with the fleet", test_the_subset_does_not_grow_with_the_fleet },
   { "levels are nested", test_levels_are_nested },
-  { "a change moves one server", test_a_change_moves_one_server },
-  { "only what differs is read", test_only_what_differs_is_read },
+  { "a removed server is replaced by one", test_a_removed_server_is_replaced_by_one },
+  { "only changed entries are parsed", test_only_changed_entries_are_parsed },
   { "the level follows demand", test_the_level_follows_demand },
   { NULL, NULL },
 };
--- a/tests/test_session_places.c
+++ b/tests/test_session_places.c
@@ -5,7 +5,8 @@
 
 #include <string.h>
 
-/* A turn ends late, after the next one of its session was sent elsewhere: the newer place stays. */
+/* A turn that ends after the session's next one, sent to another server, must not replace the newer
+ * place. */
 static void
 test_an_older_turn_does_not_move_a_session (void)
 {
@@ -19,17 +20,17 @@
   CU_ASSERT_EQUAL (session_places_note (ctx, &places, 1, 600, "next"), ERROR_NONE);
   CU_ASSERT_STRING_EQUAL (session_places_find (&places, wanted).server, "next");
   CU_ASSERT_EQUAL (places.n, 1);
-  /* Nothing is known of a turn without a session, or without a server. */
+  /* Turns without a session or a server are ignored. */
   session_places_note (ctx, &places, 0, 600, "x");
   session_places_note (ctx, &places, 2, 600, "");
   CU_ASSERT_EQUAL (places.n, 1);
   talloc_free (ctx);
 }
 
-/* A program loops without end and starts sub-agents all the while: what is known of it stays
- * bounded, and is of the sessions that had a turn last. */
+/* A program that loops and keeps starting sub-agents must not use unbounded memory: the least
+ * recently updated sessions are dropped. */
 static void
-test_what_is_known_of_a_program_is_bounded (void)
+test_the_places_of_a_program_are_bounded (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct SessionPlaces places = { 0 };
@@ -49,10 +50,10 @@
   talloc_free (ctx);
 }
 
-/* Archives answer with what each has synced: the session's own place goes before that of the one
- * that started it, and of one session the later turn's. */
+/* Archives respond with what each has synced, so responses may differ: a session's own place is
+ * preferred to its parent session's, and a later turn's place to an earlier one's. */
 static void
-test_the_better_of_two_answers (void)
+test_the_better_of_two_responses (void)
 {
   const uint64_t wanted[TURN_SESSIONS_MAX] = { 6, 5 };
   const struct SessionPlace none = { .session = 0 };
@@ -70,7 +71,7 @@
 const char test_suite_name[] = "session_places";
 const struct TestCase test_cases[] = {
   { "an older turn does not move a session", test_an_older_turn_does_not_move_a_session },
-  { "what is known of a program is bounded", test_what_is_known_of_a_program_is_bounded },
-  { "the better of two answers", test_the_better_of_two_answers },
+  { "the places of a program are bounded", test_the_places_of_a_program_are_bounded },
+  { "the better of two responses", test_the_better_of_two_responses },
   { NULL, NULL },
 };
