--- a/core/scheduling/slot_queue.c
+++ b/core/scheduling/slot_queue.c
@@ -8,23 +8,24 @@
 
 enum
 {
-  /* Beside the slots: the next request is on its way while the one before it ends, a way of two
-   * milliseconds or so that the server would else stand idle. */
-  ON_THE_WAY = 1,
-  /* Weight of the last request in the mean time at the server: 1 of 16. */
-  SERVICE_WEIGHT = 16,
-  /* A grant whose end was never reported is forgotten this long after its caller has left. */
-  FORGET_MS = 1000,
-  /* An engine without requests keeps its cache; it is remembered for longer than a lull of traffic
-   * or a program's pause. */
-  SERVER_KEEP_MS = 30 * 1000,
-  /* Of a server's memory that shared parts are taken to hold: those used last stay, the rest is
-   * for the sessions that run or pause. A batch of 12 and as many paused ones of 5,000 to 10,000
-   * tokens take the other half on the tightest sheet. */
+  /* Grants beyond the slots: the next request is already in transit while the previous one ends.
+   * Otherwise the server would be idle for the transit time of about 2 ms. */
+  GRANTS_IN_TRANSIT = 1,
+  /* The moving average of the service time gives the latest request a weight of 1/16. */
+  SERVICE_AVERAGE_DIVISOR = 16,
+  /* A request whose end was never reported is dropped this long after its caller's deadline. */
+  EXPIRE_GRACE_MS = 1000,
+  /* An engine keeps its cache while it has no requests, so its queue is retained for longer than a
+   * gap in traffic or a program's pause. */
+  SERVER_RETENTION_MS = 30 * 1000,
+  /* Share of a server's cache assumed to contain shared parts, of which the most recently used
+   * stay; the rest is for the sessions that run or pause. In the deployment with the least cache a
+   * batch of 12 sessions and as many paused ones, of 5,000 to 10,000 tokens each, take the other
+   * half. */
   SHARED_PERCENT = 50
 };
 
-/* A shared part that the server was sent. */
+/* A shared part of a prompt that was sent to the server. */
 struct SlotPart
 {
   uint64_t id;
@@ -34,7 +35,7 @@
 struct SlotEntry
 {
   struct SlotAsk ask;
-  bool granted; /* else it waits */
+  bool granted; /* false: waiting */
   int64_t granted_ms;
 };
 
@@ -46,9 +47,9 @@
   struct SlotEntry *entries;
   size_t n_entries, n_granted;
   uint64_t capacity_tokens;
-  struct SlotPart parts[SLOT_PARTS_MAX]; /* the one used last first */
+  struct SlotPart parts[SLOT_PARTS_MAX]; /* most recently used first */
   uint32_t n_parts;
-  int64_t asked_ms; /* last */
+  int64_t last_ask_ms;
   struct FailureRate failures;
   UT_hash_handle hh;
 };
@@ -85,7 +86,7 @@
 }
 
 static struct SlotQueue *
-queue_need (struct SlotQueues *queues, const char *server)
+queue_get_or_add (struct SlotQueues *queues, const char *server)
 {
   struct SlotQueue *queue = queue_find (queues, server);
 
@@ -125,9 +126,9 @@
 
 /* Order. */
 
-/* A program that has no time left for one more turn is late whatever is done. */
+/* Returns whether the program misses its deadline even if its turn starts now. */
 static bool
-ask_is_hopeless (const struct SlotAsk *ask, int64_t now_ms, uint32_t service_ms)
+ask_misses_deadline (const struct SlotAsk *ask, int64_t now_ms, uint32_t service_ms)
 {
   return ask->program_due_ms - now_ms < (int64_t)service_ms;
 }
@@ -138,16 +139,17 @@
                  int64_t now_ms,
                  uint32_t service_ms)
 {
-  bool a_hopeless = ask_is_hopeless (a, now_ms, service_ms);
-  bool b_hopeless = ask_is_hopeless (b, now_ms, service_ms);
-
-  /* What can still be in time goes before what can not. */
-  if (a_hopeless != b_hopeless)
-    return b_hopeless;
-  /* A program under way before one that has not begun: what it had would be lost. */
+  bool a_late = ask_misses_deadline (a, now_ms, service_ms);
+  bool b_late = ask_misses_deadline (b, now_ms, service_ms);
+
+  /* Programs that can still meet their deadlines go first. */
+  if (a_late != b_late)
+    return b_late;
+  /* Programs under way go before those that have not begun: if late, their finished turns would be
+   * lost. */
   if (a->continues != b->continues)
     return a->continues;
-  /* Whose it is, before what it is. */
+  /* The customer's priority goes before the program's deadline and the route's priority. */
   if (a->customer_priority != b->customer_priority)
     return a->customer_priority < b->customer_priority;
   if (a->program_due_ms != b->program_due_ms)
@@ -157,10 +159,10 @@
   return a->id < b->id;
 }
 
-/* The server's cache. */
+/* Cache contents of the server. */
 
 static void
-queue_note_part (struct SlotQueue *queue, uint64_t id, uint32_t tokens)
+queue_add_part (struct SlotQueue *queue, uint64_t id, uint32_t tokens)
 {
   uint32_t at = 0;
 
@@ -177,9 +179,9 @@
   queue->parts[0].tokens = tokens;
 }
 
-/* Caches give up what was used least recently. */
+/* Removes the least recently used parts, which the server's cache is assumed to have evicted. */
 static void
-queue_drop_parts (struct SlotQueue *queue)
+queue_evict_parts (struct SlotQueue *queue)
 {
   uint64_t room_tokens = queue->capacity_tokens * SHARED_PERCENT / 100;
   uint64_t n_tokens = 0;
@@ -197,14 +199,14 @@
 static bool
 queue_has_room (const struct SlotQueue *queue)
 {
-  return queue->n_granted < queue->slots + ON_THE_WAY;
+  return queue->n_granted < queue->slots + GRANTS_IN_TRANSIT;
 }
 
 static void
-queue_state (const struct SlotQueue *queue,
-             const struct SlotEntry *entry,
-             int64_t now_ms,
-             struct SlotState *state)
+queue_get_state (const struct SlotQueue *queue,
+                 const struct SlotEntry *entry,
+                 int64_t now_ms,
+                 struct SlotState *state)
 {
   memset (state, 0, sizeof *state);
   state->granted = entry->granted;
@@ -223,8 +225,8 @@
 {
   entry->granted = true;
   entry->granted_ms = now_ms;
-  queue_note_part (queue, entry->ask.part, entry->ask.part_tokens);
-  queue_drop_parts (queue);
+  queue_add_part (queue, entry->ask.part, entry->ask.part_tokens);
+  queue_evict_parts (queue);
   queue->n_granted++;
 }
 
@@ -235,14 +237,14 @@
                 int64_t now_ms,
                 struct SlotState *state)
 {
-  struct SlotQueue *queue = queue_need (queues, server->id);
+  struct SlotQueue *queue = queue_get_or_add (queues, server->id);
   struct SlotEntry *entry, *grown;
 
   if (queue == NULL)
     return ERROR_NO_MEMORY;
   queue->slots = server->slots;
   queue->capacity_tokens = server->capacity_tokens;
-  queue->asked_ms = now_ms;
+  queue->last_ask_ms = now_ms;
   entry = entry_find (queue, ask->asker, ask->id);
   if (entry == NULL)
     {
@@ -253,20 +255,21 @@
       entry = &grown[queue->n_entries++];
       entry->ask = *ask;
       entry->granted = false;
-      /* Nobody waits while there is room: whoever leaves is followed at once. */
+      /* While there is room no other request waits: freed slots are granted at once. */
       if (queue_has_room (queue))
         entry_grant (queue, entry, now_ms);
     }
-  queue_state (queue, entry, now_ms, state);
+  queue_get_state (queue, entry, now_ms, state);
   return ERROR_NONE;
 }
 
-/* What a request took says something of the server only if it was served. */
+/* Updates the mean service time. Only for served requests, as the duration of a failed or cancelled
+ * one doesn't show the server's speed. */
 static void
-queue_note_served (struct SlotQueue *queue, int64_t took_ms)
+queue_note_service_time (struct SlotQueue *queue, int64_t took_ms)
 {
-  queue->service_ms =
-      (uint32_t)((queue->service_ms * (SERVICE_WEIGHT - 1) + took_ms) / SERVICE_WEIGHT);
+  queue->service_ms = (uint32_t)((queue->service_ms * (SERVICE_AVERAGE_DIVISOR - 1) + took_ms)
+                                 / SERVICE_AVERAGE_DIVISOR);
 }
 
 void
@@ -286,7 +289,7 @@
     {
     case SLOT_SERVED:
       if (entry->granted)
-        queue_note_served (queue, now_ms - entry->granted_ms);
+        queue_note_service_time (queue, now_ms - entry->granted_ms);
       failure_rate_note (&queue->failures, false, now_ms);
       break;
     case SLOT_FAILED:
@@ -334,7 +337,7 @@
     return false;
   entry_grant (queue, best, now_ms);
   *ask = best->ask;
-  queue_state (queue, best, now_ms, state);
+  queue_get_state (queue, best, now_ms, state);
   return true;
 }
 
@@ -352,14 +355,14 @@
     size_t i = 0;
 
     while (i < queue->n_entries)
-      if (queue->entries[i].ask.due_ms + FORGET_MS < now_ms
+      if (queue->entries[i].ask.due_ms + EXPIRE_GRACE_MS < now_ms
           || !is_live (data, queue->entries[i].ask.asker))
         entry_remove (queue, &queue->entries[i]);
       else
         i++;
     if (queue->n_entries > 0)
       each (data, queue->server);
-    if (queue->n_entries > 0 || now_ms - queue->asked_ms < SERVER_KEEP_MS)
+    if (queue->n_entries > 0 || now_ms - queue->last_ask_ms < SERVER_RETENTION_MS)
       continue;
     HASH_DEL (queues->by_server, queue);
     talloc_free (queue);
--- a/include/buckthornhead/scheduling/slot_queue.h
+++ b/include/buckthornhead/scheduling/slot_queue.h
@@ -1,11 +1,12 @@
-/* The owner's side of a backend server: who may be sent to it now, and who waits in which order.
+/* Request queues of the backend servers that this gateway owns: which requests may be sent now, and
+ * in which order the others wait.
  *
- * Engines run a fixed number of requests at once and admit the rest in order of arrival, knowing
- * neither programs nor priorities. So waiting happens here, at the one gateway that owns the
- * server. Answers the load of more turns than the engines can run, for some seconds: in order of
- * arrival all programs are late, those that were nearly done, too; in this order as many as there
- * is room for end in time. A wrong view of who owns a server only admits too many for a moment.
- * Pure. */
+ * Engines run a fixed number of requests concurrently and admit the rest in order of arrival, since
+ * they have no notion of programs or priorities. Requests therefore wait at the one gateway that
+ * owns the server. This matters when turns exceed the engines' capacity for some seconds: in order
+ * of arrival all programs are late, even those that were nearly done; in this order as many as the
+ * engines have capacity for end in time. While gateways disagree on a server's owner, it is briefly
+ * sent more requests than it has slots. No I/O. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -15,63 +16,64 @@
 
 struct SlotQueues;
 
-/* A request that wants to be sent to a server. */
+/* A request to send to a server, which asks for a slot there. */
 struct SlotAsk
 {
-  char asker[NAME_MAX_BYTES + 1]; /* gateway that will send it */
-  uint64_t id;                    /* of the request, unique at its gateway */
-  uint32_t customer_priority;     /* 0: the most urgent, and where customers have none */
-  uint32_t priority;              /* of its route, 0: the most urgent */
-  bool continues;                 /* its program has had something already */
-  int64_t program_due_ms;         /* when its program should be finished; INT64_MAX: not known */
-  int64_t due_ms;                 /* when its caller has left at the latest */
-  uint64_t part;                  /* largest part of its prompt that others share; 0: none */
+  char asker[NAME_MAX_BYTES + 1]; /* gateway that sends the request */
+  uint64_t id;                    /* unique per gateway */
+  uint32_t customer_priority;     /* 0: highest, and for customers without one */
+  uint32_t priority;              /* of the route; 0: highest */
+  bool continues;                 /* the program is under way */
+  int64_t program_due_ms;         /* deadline of the program; INT64_MAX: none known */
+  int64_t due_ms;                 /* deadline of the request's caller */
+  uint64_t part;                  /* id of the prompt's largest shared part; 0: none */
   uint32_t part_tokens;
 };
 
 enum
 {
-  SLOT_PARTS_MAX = 24 /* shared parts that are remembered of one server */
+  SLOT_PARTS_MAX = 24 /* shared parts tracked per server */
 };
 
-/* What the owner reports of a server to all gateways. */
+/* The state of a server, as its owner reports it to the other gateways. */
 struct SlotDigest
 {
   char server[NAME_MAX_BYTES + 1];
-  uint32_t total;                 /* requests that run or wait there */
-  uint32_t failed_permille;       /* of what it was sent lately */
-  uint64_t parts[SLOT_PARTS_MAX]; /* shared parts that its cache holds, as far as the owner knows */
+  uint32_t total;                 /* requests running or waiting */
+  uint32_t failed_permille;       /* recent failure rate */
+  uint64_t parts[SLOT_PARTS_MAX]; /* shared parts assumed to be in the server's cache */
   uint32_t n_parts;
 };
 
-/* What the asker gets. */
+/* The response to a SlotAsk. */
 struct SlotState
 {
   bool granted;
-  uint32_t total;   /* requests that run or wait at the server, this one included */
-  uint32_t ahead;   /* of them, those that wait and go before */
-  uint32_t wait_ms; /* that it will probably wait */
+  uint32_t total;   /* requests running or waiting at the server, including this one */
+  uint32_t ahead;   /* waiting requests that go before this one */
+  uint32_t wait_ms; /* estimated wait */
 };
 
-/* How long a turn takes that finds a free slot, until the owner has seen some. */
 enum
 {
-  SLOT_FIRST_SERVICE_MS = 350 /* 250 tokens of 1.2 ms each, and reading what is new of the prompt */
+  /* Initial service time of a turn, until measured ones replace it: 250 tokens of 1.2 ms each, and
+   * reading the new part of the prompt. */
+  SLOT_FIRST_SERVICE_MS = 350
 };
 
 struct SlotQueues *
 slot_queues_new (TALLOC_CTX *ctx);
 
-/* A server as it is configured. */
+/* The configuration of a server. */
 struct SlotServer
 {
   const char *id;
   uint32_t slots;
-  uint64_t capacity_tokens; /* of its memory for prompts; 0: not known */
+  uint64_t capacity_tokens; /* size of its prompt cache; 0: unknown */
 };
 
-/* A request that is not known yet is queued, or granted if there is room among slots; one that is
- * known is told its state. ERROR_NO_MEMORY. */
+/* Grants a new request if there is room, or else queues it. A repeated ask returns the current
+ * state of its request and takes no second slot. Returns ERROR_NO_MEMORY on failure. */
 int32_t
 slot_queue_ask (struct SlotQueues *queues,
                 const struct SlotServer *server,
@@ -81,12 +83,12 @@
 
 enum SlotOutcome
 {
-  SLOT_NOT_USED, /* it was not sent, or its caller left */
+  SLOT_NOT_USED, /* it was not sent, or its caller disconnected */
   SLOT_SERVED,
-  SLOT_FAILED /* the server answered with a failure, or not at all */
+  SLOT_FAILED /* the server responded with a failure or not at all */
 };
 
-/* The request has ended, or does not want to be sent any more. */
+/* Removes a request that has ended or was cancelled. */
 void
 slot_queue_done (struct SlotQueues *queues,
                  const char *server,
@@ -95,13 +97,13 @@
                  enum SlotOutcome outcome,
                  int64_t now_ms);
 
-/* The server has started again: what was known of its cache, its pace and its failures is void.
- * Requests that it was sent end as their connections do. */
+/* Resets the server's tracked cache contents, service time and failure rate after a restart. The
+ * requests sent to the previous process stay until they end with their connections. */
 void
 slot_queue_restarted (struct SlotQueues *queues, const char *server);
 
-/* Grants the next request that there is room for; false when there is none. *state is what its
- * asker is told. */
+/* Grants the next waiting request if there is room; false if there is none. *ask receives the
+ * request, *state the response for its gateway. */
 bool
 slot_queue_next (struct SlotQueues *queues,
                  const char *server,
@@ -109,9 +111,9 @@
                  struct SlotAsk *ask,
                  struct SlotState *state);
 
-/* Drops what is over, and all requests of gateways that is_live does not know: their end was never
- * told. Servers that nobody asked for lately are forgotten. each is called for every server that
- * may have room again. */
+/* Drops requests whose deadline has passed, and all requests of gateways for which is_live returns
+ * false: their ends are never reported. Removes servers without recent requests. Calls each for
+ * every server with remaining requests, as it may have room again. */
 void
 slot_queues_expire (struct SlotQueues *queues,
                     int64_t now_ms,
@@ -119,13 +121,13 @@
                     void (*each) (void *data, const char *server),
                     void *data);
 
-/* All servers that were asked for lately, or those of them of whose slots half or more are taken;
- * the array belongs to ctx, NULL without memory. */
+/* Returns the digests of all servers with recent requests, or with busy_only just of those with at
+ * least half as many requests as slots. The array is allocated on ctx; NULL without memory. */
 struct SlotDigest *
 slot_queues_digest (
     struct SlotQueues *queues, TALLOC_CTX *ctx, bool busy_only, int64_t now_ms, size_t *n_digests);
 
-/* Whether a goes before b. */
+/* Returns whether a goes before b. */
 bool
 slot_ask_before (const struct SlotAsk *a,
                  const struct SlotAsk *b,
--- a/tests/test_slot_queue.c
+++ b/tests/test_slot_queue.c
@@ -9,11 +9,11 @@
 enum
 {
   SLOTS = 2,
-  GRANTED = SLOTS + 1 /* and one that is on its way */
+  GRANTED = SLOTS + 1 /* and one in transit */
 };
 
 static struct SlotAsk
-ask_of (const char *asker, uint64_t id, bool continues, int64_t program_due_ms)
+make_ask (const char *asker, uint64_t id, bool continues, int64_t program_due_ms)
 {
   struct SlotAsk ask = {
     .id = id, .continues = continues, .program_due_ms = program_due_ms, .due_ms = 3000
@@ -41,7 +41,7 @@
 
   for (uint64_t id = 1; id <= GRANTED; id++)
     {
-      struct SlotAsk a = ask_of ("g", id, true, 2000);
+      struct SlotAsk a = make_ask ("g", id, true, 2000);
 
       CU_ASSERT_TRUE (ask (queues, &a).granted);
     }
@@ -57,17 +57,17 @@
   return slot_queue_next (queues, "e", now_ms, &granted, &state) ? granted.id : 0;
 }
 
-/* More turns than the engine can run: programs that are nearly done wait behind new ones and behind
- * those that are late already, and all end late. Here the turn of a program that can still be in
- * time goes first, a late one last. */
+/* When turns exceed the engine's capacity, order of arrival makes all programs late: those that are
+ * nearly done wait behind new ones and behind late ones. Turns of programs that can still meet
+ * their deadlines must go first, and late ones last. */
 static void
-test_what_can_be_in_time_goes_first (void)
+test_programs_that_can_end_in_time_go_first (void)
 {
   struct SlotQueues *queues = full_server ();
-  const struct SlotAsk late = ask_of ("g", 10, true, 100);
-  const struct SlotAsk fresh = ask_of ("g", 11, false, 1200);
-  const struct SlotAsk slack = ask_of ("h", 12, true, 2500);
-  const struct SlotAsk urgent = ask_of ("h", 13, true, 900);
+  const struct SlotAsk late = make_ask ("g", 10, true, 100);
+  const struct SlotAsk fresh = make_ask ("g", 11, false, 1200);
+  const struct SlotAsk slack = make_ask ("h", 12, true, 2500);
+  const struct SlotAsk urgent = make_ask ("h", 13, true, 900);
 
   CU_ASSERT_FALSE (ask (queues, &late).granted);
   CU_ASSERT_EQUAL (ask (queues, &fresh).ahead, 0);
@@ -86,17 +86,15 @@
   talloc_free (queues);
 }
 
-/* A grant is lost with its link. The asker asks again, and is told that it may send; it does not
- * take a second slot. */
-/* Two customers wait for the same engine, and the operators have ranked them. The one ranked first
- * goes first, also when the other's program is due sooner; but not before a program under way,
- * whose turns would be lost, nor when it is late whatever happens. */
+/* Requests of a customer with a higher priority go first, even if another customer's program has an
+ * earlier deadline; but not before programs under way, whose work would be lost, nor when their own
+ * program can't meet its deadline. */
 static void
-test_a_customers_rank_goes_before_its_programs_time (void)
+test_a_customers_priority_goes_before_a_programs_deadline (void)
 {
   struct SlotQueues *queues = full_server ();
-  struct SlotAsk low = ask_of ("h", 20, false, 1500), high = ask_of ("h", 21, false, 2500);
-  struct SlotAsk under_way = ask_of ("h", 22, true, 2800), late = ask_of ("h", 23, false, 10);
+  struct SlotAsk low = make_ask ("h", 20, false, 1500), high = make_ask ("h", 21, false, 2500);
+  struct SlotAsk under_way = make_ask ("h", 22, true, 2800), late = make_ask ("h", 23, false, 10);
 
   low.customer_priority = 2;
   under_way.customer_priority = 2;
@@ -113,12 +111,14 @@
   talloc_free (queues);
 }
 
+/* A grant may be lost with its connection. The gateway then repeats the ask and receives the grant
+ * again, without taking a second slot. */
 static void
 test_asking_again_takes_no_second_slot (void)
 {
   struct SlotQueues *queues = full_server ();
-  const struct SlotAsk waiting = ask_of ("h", 10, true, 2000);
-  const struct SlotAsk first = ask_of ("g", 1, true, 2000);
+  const struct SlotAsk waiting = make_ask ("h", 10, true, 2000);
+  const struct SlotAsk first = make_ask ("g", 1, true, 2000);
 
   CU_ASSERT_FALSE (ask (queues, &waiting).granted);
   slot_queue_done (queues, "e", "g", 2, SLOT_SERVED, 300);
@@ -126,13 +126,13 @@
   CU_ASSERT_TRUE (ask (queues, &waiting).granted);
   CU_ASSERT_TRUE (ask (queues, &first).granted);
   CU_ASSERT_EQUAL (ask (queues, &first).total, GRANTED);
-  /* The same id of another gateway is another request. */
+  /* Ids are per gateway: the same id of another gateway is a different request. */
   slot_queue_done (queues, "e", "h", 1, SLOT_SERVED, 300);
   CU_ASSERT_EQUAL (ask (queues, &first).total, GRANTED);
   talloc_free (queues);
 }
 
-struct Live
+struct LiveGateway
 {
   const char *name;
   uint32_t n_each;
@@ -141,7 +141,7 @@
 static bool
 is_live (void *data, const char *asker)
 {
-  struct Live *live = data;
+  struct LiveGateway *live = data;
 
   return strcmp (asker, live->name) == 0;
 }
@@ -149,44 +149,44 @@
 static void
 on_each (void *data, const char *server)
 {
-  struct Live *live = data;
+  struct LiveGateway *live = data;
 
   CU_ASSERT_STRING_EQUAL (server, "e");
   live->n_each++;
 }
 
-/* A gateway dies with all its requests: the ends are never told. Its slots are free again once it
- * counts as gone, and whoever waits is granted. */
+/* A gateway that crashes never reports the ends of its requests. Its slots must be freed once it is
+ * no longer live, and granted to waiting requests. */
 static void
-test_a_dead_gateways_slots_are_free_again (void)
+test_a_crashed_gateways_slots_are_freed (void)
 {
   struct SlotQueues *queues = full_server ();
-  struct Live live = { "h", 0 };
-  const struct SlotAsk waiting = ask_of ("h", 10, true, 2000);
+  struct LiveGateway live = { "h", 0 };
+  const struct SlotAsk waiting = make_ask ("h", 10, true, 2000);
 
   CU_ASSERT_FALSE (ask (queues, &waiting).granted);
   slot_queues_expire (queues, 100, is_live, on_each, &live);
   CU_ASSERT_EQUAL (live.n_each, 1);
   CU_ASSERT_EQUAL (next_id (queues, 100), 10);
-  /* One that lives but never tells is forgotten after its caller's time. */
+  /* A request of a live gateway that never reports its end expires after its caller's deadline. */
   slot_queues_expire (queues, 4001, is_live, on_each, &live);
   CU_ASSERT_EQUAL (live.n_each, 1);
   CU_ASSERT_EQUAL (ask (queues, &waiting).total, 1);
   talloc_free (queues);
 }
 
-/* What cannot be served in the time that its caller waits is told so at once, by what requests have
- * taken lately. */
+/* The estimated wait follows the measured service times, so that a request that can't be served
+ * before its deadline can be rejected at once. */
 static void
-test_the_wait_follows_what_requests_take (void)
+test_the_wait_follows_the_service_time (void)
 {
   struct SlotQueues *queues = full_server ();
-  struct SlotAsk waiting = ask_of ("h", 10, true, 2000);
+  struct SlotAsk waiting = make_ask ("h", 10, true, 2000);
 
   CU_ASSERT_EQUAL (ask (queues, &waiting).wait_ms, SLOT_FIRST_SERVICE_MS / SLOTS);
   for (uint64_t id = 20; id < 200; id++)
     {
-      struct SlotAsk other = ask_of ("g", id, true, 1000);
+      struct SlotAsk other = make_ask ("g", id, true, 1000);
 
       slot_queue_done (queues, "e", "g", id < 23 ? id - 19 : id - 3, SLOT_SERVED, 1000);
       ask (queues, &other);
@@ -195,10 +195,11 @@
   talloc_free (queues);
 }
 
-/* An engine's cache has room for some shared parts. Its owner tells everyone which it has been sent
- * last: a gateway that never sent there itself must not make others read what lies here. */
+/* An engine's cache has room for some shared parts, and its owner reports the most recently sent
+ * ones. Otherwise a gateway that never used the engine would have other engines read these parts
+ * again. */
 static void
-test_the_digest_tells_what_the_cache_holds (void)
+test_the_digest_reports_the_cache_contents (void)
 {
   struct SlotQueues *queues = slot_queues_new (NULL);
   struct SlotDigest *digests;
@@ -206,7 +207,7 @@
 
   for (uint64_t id = 1; id <= 5; id++)
     {
-      struct SlotAsk a = ask_of ("g", id, true, 2000);
+      struct SlotAsk a = make_ask ("g", id, true, 2000);
 
       a.part = id <= 4 ? id : 3;
       a.part_tokens = 500;
@@ -220,7 +221,7 @@
   CU_ASSERT_EQUAL_FATAL (n, 1);
   CU_ASSERT_STRING_EQUAL (digests[0].server, "e");
   CU_ASSERT_EQUAL (digests[0].total, 0);
-  /* Half of 3,000 tokens: three parts, 3 again after 4. */
+  /* Half of 3,000 tokens is room for three parts; part 3 was sent again after part 4. */
   CU_ASSERT_EQUAL_FATAL (digests[0].n_parts, 3);
   CU_ASSERT_EQUAL (digests[0].parts[0], 3);
   CU_ASSERT_EQUAL (digests[0].parts[1], 4);
@@ -229,10 +230,10 @@
   talloc_free (queues);
 }
 
-/* An engine answers everything at once with failures. Its owner hears of it from whoever sent
- * there, and tells all; a request that was never sent says nothing of the engine. */
+/* When an engine fails all requests, the gateways that sent them report this to its owner, which
+ * reports the failure rate to all gateways. Requests that were never sent don't count. */
 static void
-test_the_digest_tells_how_often_the_server_fails (void)
+test_the_digest_reports_the_failure_rate (void)
 {
   struct SlotQueues *queues = full_server ();
   struct SlotDigest *digests;
@@ -251,13 +252,13 @@
   talloc_free (queues);
 }
 
-/* An engine crashes and is back under its id, its cache empty. Its owner must not go on reporting
- * all gateways that it holds what the process before it held. */
+/* An engine that crashes and restarts under its id has an empty cache. Its owner must stop
+ * reporting the cache contents of the previous process. */
 static void
-test_a_restarted_server_holds_nothing (void)
+test_a_restarted_server_is_reset (void)
 {
   struct SlotQueues *queues = slot_queues_new (NULL);
-  struct SlotAsk a = ask_of ("g", 1, true, 2000);
+  struct SlotAsk a = make_ask ("g", 1, true, 2000);
   struct SlotDigest *digests;
   size_t n;
 
@@ -269,7 +270,7 @@
   CU_ASSERT_EQUAL (digests[0].n_parts, 1);
   CU_ASSERT (digests[0].failed_permille > 0);
   slot_queue_restarted (queues, "e");
-  slot_queue_restarted (queues, "never asked for");
+  slot_queue_restarted (queues, "never used");
   digests = slot_queues_digest (queues, queues, false, 10, &n);
   CU_ASSERT_EQUAL (n, 1);
   CU_ASSERT_EQUAL (digests[0].n_parts, 0);
@@ -279,15 +280,14 @@
 
 const char test_suite_name[] = "slot_queue";
 const struct TestCase test_cases[] = {
-  { "what can be in time goes first", test_what_can_be_in_time_goes_first },
+  { "programs that can end in time go first", test_programs_that_can_end_in_time_go_first },
   { "asking again takes no second slot", test_asking_again_takes_no_second_slot },
-  { "a dead gateway's slots are free again", test_a_dead_gateways_slots_are_free_again },
-  { "the digest tells what the cache holds", test_the_digest_tells_what_the_cache_holds },
-  { "the digest tells how often the server fails",
-    test_the_digest_tells_how_often_the_server_fails },
-  { "the wait follows what requests take", test_the_wait_follows_what_requests_take },
-  { "a restarted server holds nothing", test_a_restarted_server_holds_nothing },
-  { "a customer's rank goes before its program's time",
-    test_a_customers_rank_goes_before_its_programs_time },
+  { "a crashed gateway's slots are freed", test_a_crashed_gateways_slots_are_freed },
+  { "the digest reports the cache contents", test_the_digest_reports_the_cache_contents },
+  { "the digest reports the failure rate", test_the_digest_reports_the_failure_rate },
+  { "the wait follows the service time", test_the_wait_follows_the_service_time },
+  { "a restarted server is reset", test_a_restarted_server_is_reset },
+  { "a customer's priority goes before a program's deadline",
+    test_a_customers_priority_goes_before_a_programs_deadline },
   { NULL, NULL },
 };
