--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -23,7 +23,7 @@
   struct Request *request = data;
   const struct Dialect *dialect = request->front->node->dialect;
 
-  TALLOC_FREE (request->patience);
+  TALLOC_FREE (request->silence_timer);
   histogram_add (HISTOGRAM_SERVER_HEAD,
                  timer_now_ms (request->front->node->timers) - request->sent_ms);
   dialect->read_answer (head, &request->answer);
@@ -47,12 +47,12 @@
 }
 
 static void
-stream_pass (struct Request *request, const uint8_t *bytes, size_t n_bytes)
+stream_forward (struct Request *request, const uint8_t *bytes, size_t n_bytes)
 {
   if (n_bytes == 0)
     return;
   if (!request->wrote_any)
-    histogram_add (HISTOGRAM_FIRST_EVENT, request_took_ms (request));
+    histogram_add (HISTOGRAM_FIRST_EVENT, request_elapsed_ms (request));
   request->wrote_any = true;
   http_exchange_write (request->exchange, bytes, n_bytes);
 }
@@ -60,11 +60,11 @@
 /* Of a stream that may go on at another server only whole events are handed out: half of one that
  * breaks off could not be taken back. */
 static void
-stream_pass_whole (struct Request *request, const uint8_t *bytes, size_t n_bytes)
+stream_forward_whole_events (struct Request *request, const uint8_t *bytes, size_t n_bytes)
 {
   size_t n_whole;
 
-  if (byte_queue_add (request, &request->open_event, bytes, n_bytes) != ERROR_NONE)
+  if (byte_queue_add (request, &request->partial_event, bytes, n_bytes) != ERROR_NONE)
     {
       request_fail (request, FAILURE_BROKEN, "no memory for the stream");
       return;
@@ -74,9 +74,9 @@
       request_fail (request, FAILURE_BROKEN, "the server began the stream anew");
       return;
     }
-  n_whole = byte_queue_length (&request->open_event) - request->events.open_bytes;
-  stream_pass (request, byte_queue_head (&request->open_event), n_whole);
-  byte_queue_drop (&request->open_event, n_whole);
+  n_whole = byte_queue_length (&request->partial_event) - request->events.open_bytes;
+  stream_forward (request, byte_queue_head (&request->partial_event), n_whole);
+  byte_queue_drop (&request->partial_event, n_whole);
 }
 
 static void
@@ -96,21 +96,21 @@
   if (event_stream_take (request, &request->events, bytes, n_bytes) != ERROR_NONE)
     request_fail (request, FAILURE_BROKEN, "no memory for the stream");
   else if (request->route.resumable)
-    stream_pass_whole (request, bytes, n_bytes);
+    stream_forward_whole_events (request, bytes, n_bytes);
   else
-    stream_pass (request, bytes, n_bytes);
+    stream_forward (request, bytes, n_bytes);
 }
 
 static void
-request_answer_whole (struct Request *request)
+request_finish_response (struct Request *request)
 {
   struct HttpExchange *exchange = request->exchange;
 
   log_request (LOG_LEVEL_INFO, "answered", request->caller.id, request->caller.program,
                "status %u from %s", request->answer.status, request->tried[request->n_tried - 1]);
-  request_note_answered (request, request->route.kind == ROUTE_REPEATABLE
-                                      ? HISTOGRAM_ANSWER_REPEATABLE
-                                      : HISTOGRAM_ANSWER_ONCE);
+  request_record_answered (request, request->route.kind == ROUTE_REPEATABLE
+                                        ? HISTOGRAM_ANSWER_REPEATABLE
+                                        : HISTOGRAM_ANSWER_ONCE);
   if (request->turn != NULL)
     turn_abandon (request);
   request->exchange = NULL;
@@ -126,7 +126,7 @@
 {
   struct HttpExchange *exchange = request->exchange;
 
-  request_note_answered (request, HISTOGRAM_ANSWER_STREAM);
+  request_record_answered (request, HISTOGRAM_ANSWER_STREAM);
   request->exchange = NULL;
   exchange->gone = NULL;
   http_exchange_end (exchange);
@@ -135,10 +135,10 @@
 
 /* The stream is whole. Bytes after its last event are part of the answer. */
 static void
-request_on_stream_whole (struct Request *request)
+request_on_stream_complete (struct Request *request)
 {
-  stream_pass (request, byte_queue_head (&request->open_event),
-               byte_queue_length (&request->open_event));
+  stream_forward (request, byte_queue_head (&request->partial_event),
+                  byte_queue_length (&request->partial_event));
   if (request->turn != NULL && request->route.keeps_turns)
     {
       turn_finish (request);
@@ -152,25 +152,25 @@
 }
 
 static void
-request_on_whole (struct Request *request)
+request_on_complete (struct Request *request)
 {
   if (request->streaming)
-    request_on_stream_whole (request);
+    request_on_stream_complete (request);
   else if (http_exchange_has_begun (request->exchange))
     request_fail (request, FAILURE_BROKEN, "the next server did not go on with the stream");
   else if (answer_is_success (request) && !request->answer.genuine)
     {
       /* A success without the server's proof is not its answer: a spoiled one is never passed on.
        */
-      if (request_may_repeat (request))
+      if (request_claim_repeat (request))
         request_retry (request, "an answer without proof");
       else
         request_fail (request, FAILURE_BROKEN, "an answer without proof");
     }
-  else if (request->answer.status >= 500 && request_may_repeat (request))
+  else if (request->answer.status >= 500 && request_claim_repeat (request))
     request_retry (request, "the server failed");
   else
-    request_answer_whole (request);
+    request_finish_response (request);
 }
 
 /* The stream goes on at another server, after the last event that was handed out. */
@@ -183,7 +183,7 @@
                (unsigned long long)request->events.last_id);
   counter_add (COUNTER_STREAMS_RESUMED, 1);
   event_stream_resume (&request->events);
-  byte_queue_drop (&request->open_event, byte_queue_length (&request->open_event));
+  byte_queue_drop (&request->partial_event, byte_queue_length (&request->partial_event));
   request_retry (request, "the stream broke off");
 }
 
@@ -226,13 +226,13 @@
   request->n_sent++;
   if (end == HTTP_END_WHOLE)
     {
-      request_on_whole (request);
+      request_on_complete (request);
       return;
     }
   request->may_have_run = true;
-  if (request_may_resume (request))
+  if (request_claim_resume (request))
     request_resume (request);
-  else if (request_may_repeat (request))
+  else if (request_claim_repeat (request))
     request_retry (request, "the connection broke");
   else
     request_fail (request, FAILURE_BROKEN,
@@ -240,7 +240,7 @@
 }
 
 struct HttpCallHandler
-answer_handler (struct Request *request)
+response_handler (struct Request *request)
 {
   return (struct HttpCallHandler){ call_on_head, call_on_body, call_on_end, request };
 }
--- a/gateway/credential.c
+++ b/gateway/credential.c
@@ -4,7 +4,7 @@
 
 /* The customer whose key it is; NULL: nobody's. *needs_key: a request without one may not pass. */
 static const struct Customer *
-credential_owner (const struct Request *request, bool *needs_key)
+credential_customer (const struct Request *request, bool *needs_key)
 {
   const struct RouteTable *table = request->front->table;
   const struct CallerRequest *caller = &request->caller;
@@ -19,18 +19,18 @@
 credential_check (struct Request *request)
 {
   bool needs_key;
-  const struct Customer *customer = credential_owner (request, &needs_key);
+  const struct Customer *customer = credential_customer (request, &needs_key);
 
   request->key_checked = true;
   request->key_version = request->front->table->version;
-  request->key_holds = customer != NULL || !needs_key;
+  request->key_valid = customer != NULL || !needs_key;
   if (customer != NULL)
     request->customer = *customer;
-  return request->key_holds;
+  return request->key_valid;
 }
 
 const char *
-credential_words (const struct CallerRequest *caller)
+credential_problem (const struct CallerRequest *caller)
 {
   switch (caller->credential)
     {
@@ -45,18 +45,18 @@
 }
 
 bool
-credential_holds (struct Request *request)
+credential_is_valid (struct Request *request)
 {
   bool needs_key;
   const struct Customer *customer;
 
   if (!request->key_checked)
     return credential_check (request);
-  if (request->key_version == request->front->table->version || !request->key_holds)
-    return request->key_holds;
-  customer = credential_owner (request, &needs_key);
+  if (request->key_version == request->front->table->version || !request->key_valid)
+    return request->key_valid;
+  customer = credential_customer (request, &needs_key);
   request->key_version = request->front->table->version;
-  request->key_holds = strcmp (customer != NULL ? customer->name : "", request->customer.name) == 0
+  request->key_valid = strcmp (customer != NULL ? customer->name : "", request->customer.name) == 0
                        && (customer != NULL || !needs_key);
-  return request->key_holds;
+  return request->key_valid;
 }
--- a/gateway/credential.h
+++ b/gateway/credential.h
@@ -10,9 +10,9 @@
 
 /* What is wrong with what the caller shows, for the log; the key itself is never told. */
 const char *
-credential_words (const struct CallerRequest *caller);
+credential_problem (const struct CallerRequest *caller);
 
 /* Guards against a key that was taken away while its request waited for a server: the request would
  * run for a customer who has withdrawn it. False: the key is not that customer's any more. */
 bool
-credential_holds (struct Request *request);
+credential_is_valid (struct Request *request);
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -18,29 +18,29 @@
 {
   /* While a planned stop runs: requests are still taken for this long, since callers keep an old
    * list of addresses for a few seconds; what comes later is sent back. */
-  STOP_TAKES_MS = 3000,
+  STOP_ACCEPT_MS = 3000,
   /* A stop without requests in flight lasts this long, for callers with an old list. */
   STOP_LINGER_MS = 5000,
   /* Before the machine kills the process, what is left is answered. */
   STOP_MARGIN_MS = 400,
   /* Until the operators' configuration says otherwise. */
-  FIRST_HEADER_BYTES = 16 * 1024,
-  FIRST_BODY_BYTES = 4 * 1024 * 1024,
-  FIRST_HEADER_MS = 3000,
-  FIRST_IDLE_MS = 15000,
-  TICK_MS = 250, /* half a heartbeat */
-  DIGEST_MS = 120,
-  DIGESTS_OF_ALL_EVERY = 4, /* times DIGEST_MS: as often as heartbeats */
+  INITIAL_HEADER_BYTES = 16 * 1024,
+  INITIAL_BODY_BYTES = 4 * 1024 * 1024,
+  INITIAL_HEADER_TIMEOUT_MS = 3000,
+  INITIAL_IDLE_TIMEOUT_MS = 15000,
+  TICK_INTERVAL_MS = 250, /* half a heartbeat */
+  DIGEST_INTERVAL_MS = 120,
+  FULL_DIGEST_TICKS = 4, /* times DIGEST_INTERVAL_MS: as often as heartbeats */
   /* Where there are more processes than these, only the gateways of an engine's zone, who send
    * there before others, get its digests: at 300 gateways with 9 engines each, all to all would
    * be 1.4 MB a second at each of them. */
-  DIGESTS_TO_ALL_MAX = 120,
+  DIGESTS_TO_ALL_PEERS_MAX = 120,
   /* From the start of the process: links to archives and peers are up within some 300 ms where
    * 80 processes start together, on an eighth of a core. */
   STARTING_MS = 1200,
   START_CHECK_MS = 20,
   /* Own listeners: few, small and short. */
-  OWN_CONNECTIONS = 1000,
+  OWN_CONNECTIONS_MAX = 1000,
   /* A server's idle connection that has no stated end. */
   SERVER_IDLE_MS = 1000,
   /* Of a server's connections that all gateways together may use. */
@@ -49,11 +49,11 @@
   SERVER_CONNECTIONS_MAX = 24 /* where nothing is configured */
 };
 
-static const struct HttpLimits first_limits = {
-  .header_max_bytes = FIRST_HEADER_BYTES,
-  .body_max_bytes = FIRST_BODY_BYTES,
-  .header_timeout_ms = FIRST_HEADER_MS,
-  .idle_timeout_ms = FIRST_IDLE_MS,
+static const struct HttpLimits initial_limits = {
+  .header_max_bytes = INITIAL_HEADER_BYTES,
+  .body_max_bytes = INITIAL_BODY_BYTES,
+  .header_timeout_ms = INITIAL_HEADER_TIMEOUT_MS,
+  .idle_timeout_ms = INITIAL_IDLE_TIMEOUT_MS,
 };
 
 /* Callers. */
@@ -70,7 +70,7 @@
 }
 
 static void
-request_on_gone (struct HttpExchange *exchange)
+request_on_caller_left (struct HttpExchange *exchange)
 {
   struct Request *request = exchange->handler_data;
 
@@ -79,7 +79,7 @@
                (long long)(timer_now_ms (request->front->node->timers) - request->arrived_ms));
   counter_add (COUNTER_REQUESTS_LEFT, 1);
   if (request->n_tried == 0)
-    quotas_give_back (request);
+    quotas_refund (request);
   if (request->turn != NULL)
     turn_abandon (request);
   request->exchange = NULL;
@@ -96,17 +96,17 @@
   request->front = front;
   request->exchange = exchange;
   request->arrived_ms = exchange->arrived_ms;
-  request->due_ms = exchange->arrived_ms;
+  request->deadline_ms = exchange->arrived_ms;
   request->cached_at = "";
   request->next = front->requests;
-  request->at = &front->requests;
+  request->pprev = &front->requests;
   if (request->next != NULL)
-    request->next->at = &request->next;
+    request->next->pprev = &request->next;
   front->requests = request;
   request->body = exchange->body;
   request->body_bytes = exchange->body_bytes;
   exchange->handler_data = request;
-  exchange->gone = request_on_gone;
+  exchange->gone = request_on_caller_left;
   return request;
 }
 
@@ -138,7 +138,7 @@
     return false;
   request->route = *route;
   snprintf (request->service, sizeof request->service, "%s",
-            route_choose_service (route, front->draws++ * 2654435761U >> 7));
+            route_choose_service (route, front->n_draws++ * 2654435761U >> 7));
   request->events.keeps_data = route->keeps_turns;
   if (!route->keeps_turns)
     request->caller.previous = "";
@@ -147,18 +147,18 @@
   request->capacity_tokens = service != NULL ? service->capacity_tokens : 0;
   if (route->warms_up && request->caller.object[0] != '\0')
     request->object = request->caller.object;
-  request->takes_slot = front->node->settings->decisions.owners && service != NULL
+  request->needs_slot = front->node->settings->decisions.owners && service != NULL
                         && service->is_engine && route->kind == ROUTE_STREAM;
-  request->program_due_ms = request->caller.has_program_left
-                                ? request->arrived_ms + request->caller.program_left_ms
-                                : INT64_MAX;
+  request->program_deadline_ms = request->caller.has_program_left
+                                     ? request->arrived_ms + request->caller.program_left_ms
+                                     : INT64_MAX;
   request->connections_max = connections_share (service, front->n_gateways);
   time_ms = route->timeout_ms;
   if (request->caller.timeout_ms > 0 && request->caller.timeout_ms < time_ms)
     time_ms = request->caller.timeout_ms;
-  request->due_ms = request->arrived_ms + time_ms;
+  request->deadline_ms = request->arrived_ms + time_ms;
   request->timeout = timer_subscribe (request, front->node->timers,
-                                      request->due_ms - timer_now_ms (front->node->timers), 0,
+                                      request->deadline_ms - timer_now_ms (front->node->timers), 0,
                                       request_on_timeout, request);
   return request->timeout != NULL;
 }
@@ -172,9 +172,10 @@
 }
 
 static bool
-front_is_refusing (const struct Front *front)
+front_rejects_requests (const struct Front *front)
 {
-  return front->stop_ms != 0 && timer_now_ms (front->node->timers) - front->stop_ms > STOP_TAKES_MS;
+  return front->stop_ms != 0
+         && timer_now_ms (front->node->timers) - front->stop_ms > STOP_ACCEPT_MS;
 }
 
 bool
@@ -184,38 +185,38 @@
 }
 
 static void
-front_take (struct Request *request);
+front_dispatch (struct Request *request);
 
 static void
-request_on_start (void *data)
+request_on_defer_timer (void *data)
 {
   struct Request *request = data;
 
-  request->hold = NULL;
-  front_take (request);
+  request->defer_timer = NULL;
+  front_dispatch (request);
 }
 
 /* Holds the request for a moment while the gateway starts, else it fails. */
 static void
-front_hold (struct Request *request, enum RequestFailure failure, const char *detail)
+front_defer (struct Request *request, enum RequestFailure failure, const char *detail)
 {
   struct Front *front = request->front;
 
   if (front_is_starting (front))
-    request->hold = timer_subscribe (request, front->node->timers, START_CHECK_MS, 0,
-                                     request_on_start, request);
-  if (request->hold == NULL)
+    request->defer_timer = timer_subscribe (request, front->node->timers, START_CHECK_MS, 0,
+                                            request_on_defer_timer, request);
+  if (request->defer_timer == NULL)
     request_fail (request, failure, detail);
 }
 
 /* Without a key nobody learns which routes there are. */
 static void
-front_refuse_unrouted (struct Request *request)
+front_reject_unrouted (struct Request *request)
 {
   if (credential_check (request))
     request_fail (request, FAILURE_NO_ROUTE, request->exchange->target);
   else
-    request_fail (request, FAILURE_NO_KEY, credential_words (&request->caller));
+    request_fail (request, FAILURE_NO_KEY, credential_problem (&request->caller));
 }
 
 static void
@@ -228,25 +229,25 @@
 }
 
 static void
-front_take (struct Request *request)
+front_dispatch (struct Request *request)
 {
   struct Front *front = request->front;
   bool routed = request->timeout != NULL;
 
   if (front->table == NULL)
-    front_hold (request, FAILURE_NO_CONFIG, "started lately, and nobody could say");
+    front_defer (request, FAILURE_NO_CONFIG, "started lately, and nobody could say");
   else if (!routed && !request_route (request))
-    front_refuse_unrouted (request);
-  else if (!credential_holds (request))
-    request_fail (request, FAILURE_NO_KEY, credential_words (&request->caller));
+    front_reject_unrouted (request);
+  else if (!credential_is_valid (request))
+    request_fail (request, FAILURE_NO_KEY, credential_problem (&request->caller));
   else if (front->replicas->n_replicas == 0)
-    front_hold (request, FAILURE_NO_SERVER, "no server is listed");
+    front_defer (request, FAILURE_NO_SERVER, "no server is listed");
   else if (request_is_turn (request) && !turn_may_start (front))
-    front_hold (request, FAILURE_UNCERTAIN, "too few archives answer, and no gateway can relay");
+    front_defer (request, FAILURE_UNCERTAIN, "too few archives answer, and no gateway can relay");
   else if (quotas_must_wait (request))
-    front_hold (request, FAILURE_UNCERTAIN,
-                "started lately, and nobody has reported what customers use");
-  else if (quotas_take (request))
+    front_defer (request, FAILURE_UNCERTAIN,
+                 "started lately, and nobody has reported what customers use");
+  else if (quotas_admit (request))
     front_start (request);
 }
 
@@ -266,10 +267,10 @@
   if (front->node->dialect->read_request (request, exchange, &request->caller, &fault)
       != ERROR_NONE)
     request_fail (request, FAILURE_MALFORMED, fault.message);
-  else if (front_is_refusing (front))
+  else if (front_rejects_requests (front))
     request_fail (request, FAILURE_STOPPING, "planned stop");
   else
-    front_take (request);
+    front_dispatch (request);
 }
 
 /* Own paths. */
@@ -277,12 +278,12 @@
 bool
 front_is_ready (const struct Front *front)
 {
-  return front->stop_ms == 0 && front->table != NULL && front->knows_servers
+  return front->stop_ms == 0 && front->table != NULL && front->has_server_list
          && (node_reaches_archives (front->node) || node_has_relay (front->node));
 }
 
 static void
-front_on_own (void *data, struct HttpExchange *exchange)
+front_on_own_path (void *data, struct HttpExchange *exchange)
 {
   struct Front *front = data;
 
@@ -303,7 +304,7 @@
 /* What the store says. */
 
 static void
-front_take_routes (struct Front *front, const struct Snapshot *snapshot)
+front_apply_routes (struct Front *front, const struct Snapshot *snapshot)
 {
   struct RouteTable *table;
   struct Fault fault;
@@ -347,7 +348,7 @@
 }
 
 static void
-front_note_restarts (struct Front *front)
+front_handle_restarts (struct Front *front)
 {
   struct Replica *replica;
 
@@ -361,7 +362,7 @@
 }
 
 static void
-front_take_servers (struct Front *front, const struct Snapshot *snapshot, bool after_gap)
+front_apply_servers (struct Front *front, const struct Snapshot *snapshot, bool after_gap)
 {
   struct ReplicaEntry *entries = talloc_array (front, struct ReplicaEntry, snapshot->n_items);
   size_t n = 0, n_changed;
@@ -378,9 +379,9 @@
     }
   n_changed = replica_set_apply (front->replicas, entries, n, after_gap,
                                  timer_now_ms (front->node->timers));
-  front->knows_servers = true;
+  front->has_server_list = true;
   front->server_level = snapshot->level;
-  front_note_restarts (front);
+  front_handle_restarts (front);
   if (n_changed > 0)
     log_event (LOG_LEVEL_INFO, "servers_changed", NULL, NULL,
                "%zu changes, %zu listed at revision %lld%s", n_changed, n,
@@ -394,10 +395,10 @@
   switch (snapshot->kind)
     {
     case SNAPSHOT_ROUTES:
-      front_take_routes (data, snapshot);
+      front_apply_routes (data, snapshot);
       break;
     case SNAPSHOT_SUBSET:
-      front_take_servers (data, snapshot, after_gap);
+      front_apply_servers (data, snapshot, after_gap);
       break;
     case SNAPSHOT_SERVERS:
     case SNAPSHOT_NODES:
@@ -412,7 +413,7 @@
 /* Peers. */
 
 static void
-front_take_digests (struct Front *front, const struct SlotDigest *digests, size_t n_digests)
+front_apply_digests (struct Front *front, const struct SlotDigest *digests, size_t n_digests)
 {
   for (size_t i = 0; i < n_digests; i++)
     {
@@ -449,7 +450,7 @@
       slots_on_done (front->slots, sender, &message->slot_done);
       break;
     case GATEWAY_DIGESTS:
-      front_take_digests (front, message->digests.items, message->digests.n_items);
+      front_apply_digests (front, message->digests.items, message->digests.n_items);
       break;
     case GATEWAY_USES:
       quotas_on_report (front->quotas, sender, &message->uses);
@@ -517,7 +518,7 @@
   struct Digests *digests = &message.digests;
 
   digests->items = slots_digest (front->slots, front, busy_only, &digests->n_items);
-  front_take_digests (front, digests->items, digests->n_items);
+  front_apply_digests (front, digests->items, digests->n_items);
   if (digests->n_items > 0)
     node_send_some (front->node, &message, to);
   talloc_free (digests->items);
@@ -533,8 +534,8 @@
 front_on_digest_tick (void *data)
 {
   struct Front *front = data;
-  bool all = front->n_digest_ticks++ % DIGESTS_OF_ALL_EVERY == 0;
-  bool few = front->node->peers->n_peers <= DIGESTS_TO_ALL_MAX;
+  bool all = front->n_digest_ticks++ % FULL_DIGEST_TICKS == 0;
+  bool few = front->node->peers->n_peers <= DIGESTS_TO_ALL_PEERS_MAX;
 
   front_send_digests (front, !all, all && few ? PEERS_GATEWAYS : PEERS_GATEWAYS_OF_ZONE);
 }
@@ -601,7 +602,7 @@
   struct HttpServerOptions options = {
     .listen = address,
     .setting = setting,
-    .limits = first_limits,
+    .limits = initial_limits,
     .connections_max = connections_max,
     .request = request,
     .data = front,
@@ -620,11 +621,11 @@
                                 s->connections_max, &front->callers, fault);
 
   if (error == ERROR_NONE)
-    error = front_listen (front, s->ready_listen, "[listen] ready", front_on_own, OWN_CONNECTIONS,
-                          &front->ready, fault);
+    error = front_listen (front, s->ready_listen, "[listen] ready", front_on_own_path,
+                          OWN_CONNECTIONS_MAX, &front->ready, fault);
   if (error == ERROR_NONE)
-    error = front_listen (front, s->directory_listen, "[listen] directory", front_on_own,
-                          OWN_CONNECTIONS, &front->directory, fault);
+    error = front_listen (front, s->directory_listen, "[listen] directory", front_on_own_path,
+                          OWN_CONNECTIONS_MAX, &front->directory, fault);
   return error;
 }
 
@@ -651,8 +652,9 @@
   error = front_listen_all (f, fault);
   if (error != ERROR_NONE)
     return error;
-  timer_subscribe (f, node->timers, TICK_MS, TICK_MS, front_on_tick, f);
-  timer_subscribe (f, node->timers, DIGEST_MS, DIGEST_MS, front_on_digest_tick, f);
+  timer_subscribe (f, node->timers, TICK_INTERVAL_MS, TICK_INTERVAL_MS, front_on_tick, f);
+  timer_subscribe (f, node->timers, DIGEST_INTERVAL_MS, DIGEST_INTERVAL_MS, front_on_digest_tick,
+                   f);
   node->handler.message = front_on_message;
   node->handler.snapshot = front_on_snapshot;
   node->handler.set_changed = front_on_set;
--- a/gateway/front.h
+++ b/gateway/front.h
@@ -45,52 +45,53 @@
 
 struct Request
 {
-  struct Request *next, **at;
+  struct Request *next, **pprev;
   struct Front *front;
   struct HttpExchange *exchange; /* NULL once the caller has its answer or has left */
   struct CallerRequest caller;
   struct Route route;       /* a copy: the table may change meanwhile */
   struct Customer customer; /* a copy, too; no name: nobody's */
-  bool quota_wanted;        /* it counts as its customer's demand */
-  int64_t quota_ms; /* when its customer's limit let it through; 0: not yet, or taken back */
-  bool key_checked, key_holds;
+  bool demand_counted;      /* it counts as its customer's demand */
+  int64_t admitted_ms; /* when its customer's limit let it through; 0: not yet, or taken back */
+  bool key_checked, key_valid;
   uint64_t key_version; /* of the configuration in which its key was looked up */
   char service[NAME_MAX_BYTES + 1];
   uint32_t tokens_per_event;
-  uint64_t capacity_tokens; /* of one server's memory for prompts; 0: not known */
-  bool under_way;           /* its program has had turns before */
-  bool takes_slot;          /* its server's owner says when it may be sent */
-  int64_t program_due_ms;   /* when its program should be finished; INT64_MAX: not known */
-  uint32_t connections_max; /* of this gateway to one server of the service */
-  int64_t arrived_ms;       /* when it was whole */
-  int64_t due_ms;           /* the end of its time, the caller's or the route's */
+  uint64_t capacity_tokens;    /* of one server's memory for prompts; 0: not known */
+  bool continues_program;      /* its program has had turns before */
+  bool needs_slot;             /* its server's owner says when it may be sent */
+  int64_t program_deadline_ms; /* when its program should be finished; INT64_MAX: not known */
+  uint32_t connections_max;    /* of this gateway to one server of the service */
+  int64_t arrived_ms;          /* when it was whole */
+  int64_t deadline_ms;         /* the end of its time, the caller's or the route's */
   struct Timer *timeout;
-  struct Timer *hold; /* while the gateway starts; NULL: not held */
-  struct Turn *turn;  /* NULL for anything but a turn: it has a budget, or is kept, or both */
+  struct Timer *defer_timer; /* while the gateway starts; NULL: not held */
+  struct Turn *turn; /* NULL for anything but a turn: it has a budget, or is kept, or both */
   const uint8_t *body;
   size_t body_bytes;
   const char *object;    /* what it concerns, where servers warm up for it; NULL: nothing */
   const char *cached_at; /* server that ran the turn before; "" for none */
 
   /* The attempt at a server. */
-  struct SlotWait *slot; /* with the server's owner; NULL: none was asked */
+  struct SlotWait *slot_wait; /* with the server's owner; NULL: none was asked */
   struct HttpCall *call;
   struct Replica *replica;
   char *tried[TRIED_MAX];
   size_t n_tried;
   uint32_t n_sent; /* attempts that a server may have run */
   bool may_have_run;
-  struct Timer *patience;   /* until another server is asked; NULL when none will be */
-  enum SlotOutcome outcome; /* of this attempt */
-  bool refused;             /* this attempt's answer says that it did not run */
-  bool streaming;           /* the answer goes to the caller as it comes */
-  bool wrote_any;           /* of a streaming answer */
-  int64_t sent_ms;          /* when this attempt was */
+  struct Timer *silence_timer; /* until another server is asked; NULL when none will be */
+  enum SlotOutcome outcome;    /* of this attempt */
+  bool refused;                /* this attempt's answer says that it did not run */
+  bool streaming;              /* the answer goes to the caller as it comes */
+  bool wrote_any;              /* of a streaming answer */
+  int64_t sent_ms;             /* when this attempt was */
   struct ReplicaAnswer answer;
   struct HttpHeaders answer_headers;
   struct ByteQueue answer_body;
   struct EventStream events;
-  struct ByteQueue open_event; /* of a resumable stream: what came of an event that has not ended */
+  struct ByteQueue
+      partial_event; /* of a resumable stream: what came of an event that has not ended */
 };
 
 struct Front
@@ -105,10 +106,10 @@
   struct Request *requests;
   int64_t started_ms;
   int64_t stop_ms; /* when the planned stop was asked for; 0: none */
-  uint64_t draws;
+  uint64_t n_draws;
   struct SubsetDemand demand;
   uint32_t server_level; /* of the servers that are known */
-  bool knows_servers;    /* a list of them came, be it empty */
+  bool has_server_list;  /* a list of them came, be it empty */
   struct LoopEcho *echo;
   uint32_t n_digest_ticks;
   uint32_t n_gateways; /* live ones, this one included */
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -10,13 +10,13 @@
 
 enum
 {
-  LOOK_MS = 100, /* between two looks at what was told */
+  CHECK_INTERVAL_MS = 100, /* between two looks at what was told */
   /* Between two tellings, by urgency: as heartbeats; when what passes meanwhile counts; and while
    * all let a surge through that do not know of it. */
-  TELL_MS = 500,
-  TELL_NEAR_MS = 300,
-  TELL_SURGE_MS = 100,
-  FLEET_LOOKS = 6, /* who there is changes less often */
+  REPORT_INTERVAL_MS = 500,
+  REPORT_NEAR_LIMIT_MS = 300,
+  REPORT_SURGE_MS = 100,
+  FLEET_CHECK_EVERY = 6, /* who there is changes less often */
   /* After a start a gateway tells each time it looks: when all have stopped, nobody knows what was
    * spent until they have told each other, and callers all come again. */
   STARTING_MS = 3000,
@@ -29,11 +29,11 @@
 {
   struct Front *front;
   struct QuotaLedger *ledger;
-  struct UseBoard *board;
+  struct UseBoard *usage_table;
   int64_t reported_ms;       /* own use */
   int64_t fleet_reported_ms; /* sums, as an aggregator */
   enum QuotaUrgency urgency;
-  uint32_t n_looks;
+  uint32_t n_checks;
 };
 
 static int64_t
@@ -51,7 +51,7 @@
 /* Asking. */
 
 static enum QuotaAsk
-quota_ask_of (const struct Request *request)
+quota_ask_kind (const struct Request *request)
 {
   if (request->route.keeps_turns)
     return request->caller.previous[0] == '\0' ? QUOTA_ASK_BEGIN : QUOTA_ASK_UNDER_WAY;
@@ -65,31 +65,31 @@
 quotas_must_wait (struct Request *request)
 {
   struct Quotas *quotas = request->front->quotas;
-  enum QuotaAsk ask = quota_ask_of (request);
+  enum QuotaAsk ask = quota_ask_kind (request);
   int64_t now_ms = quotas_now_ms (quotas);
 
   if (request->customer.name[0] == '\0')
     return false;
-  if (!request->quota_wanted)
+  if (!request->demand_counted)
     quota_want (quotas->ledger, request->customer.name, ask, now_ms);
-  request->quota_wanted = true;
+  request->demand_counted = true;
   return quota_must_wait (quotas->ledger, request->customer.name, ask, now_ms);
 }
 
 bool
-quotas_take (struct Request *request)
+quotas_admit (struct Request *request)
 {
   struct Quotas *quotas = request->front->quotas;
   int64_t now_ms = quotas_now_ms (quotas);
   struct QuotaVerdict verdict;
   char detail[160];
 
-  if (request->quota_ms != 0 || request->customer.name[0] == '\0')
+  if (request->admitted_ms != 0 || request->customer.name[0] == '\0')
     return true;
-  verdict = quota_ask (quotas->ledger, request->customer.name, quota_ask_of (request), now_ms);
+  verdict = quota_ask (quotas->ledger, request->customer.name, quota_ask_kind (request), now_ms);
   if (verdict.taken)
     {
-      request->quota_ms = now_ms;
+      request->admitted_ms = now_ms;
       return true;
     }
   counter_add (COUNTER_REQUESTS_OVER_LIMIT, 1);
@@ -108,15 +108,15 @@
 }
 
 void
-quotas_give_back (struct Request *request)
+quotas_refund (struct Request *request)
 {
   struct Quotas *quotas = request->front->quotas;
 
-  if (request->quota_ms == 0)
+  if (request->admitted_ms == 0)
     return;
-  quota_give_back (quotas->ledger, request->customer.name, quota_ask_of (request),
-                   request->quota_ms, quotas_now_ms (quotas));
-  request->quota_ms = 0;
+  quota_give_back (quotas->ledger, request->customer.name, quota_ask_kind (request),
+                   request->admitted_ms, quotas_now_ms (quotas));
+  request->admitted_ms = 0;
 }
 
 /* Telling. */
@@ -124,27 +124,27 @@
 /* After a start; and in a small fleet, where each gateway sees much of a surge, and words are few.
  */
 static bool
-quotas_hurries (const struct Quotas *quotas, int64_t now_ms)
+quotas_reports_often (const struct Quotas *quotas, int64_t now_ms)
 {
   return now_ms - quotas->front->started_ms < STARTING_MS
          || quotas->front->n_gateways <= SMALL_FLEET;
 }
 
 static int64_t
-quotas_report_again_ms (const struct Quotas *quotas, int64_t now_ms)
+quotas_report_interval_ms (const struct Quotas *quotas, int64_t now_ms)
 {
-  if (quotas_hurries (quotas, now_ms))
-    return LOOK_MS;
+  if (quotas_reports_often (quotas, now_ms))
+    return CHECK_INTERVAL_MS;
   switch (quotas->urgency)
     {
     case QUOTA_CALM:
-      return TELL_MS;
+      return REPORT_INTERVAL_MS;
     case QUOTA_NEAR:
-      return TELL_NEAR_MS;
+      return REPORT_NEAR_LIMIT_MS;
     case QUOTA_SURGE:
-      return TELL_SURGE_MS;
+      return REPORT_SURGE_MS;
     }
-  return TELL_MS;
+  return REPORT_INTERVAL_MS;
 }
 
 static void
@@ -178,9 +178,9 @@
   struct CustomerUse *zone;
   size_t n_zone;
 
-  if (since_ms < quotas_report_again_ms (quotas, now_ms))
+  if (since_ms < quotas_report_interval_ms (quotas, now_ms))
     return;
-  zone = use_board_sum (quotas->board, fleet, USE_OF_ZONE, own, n_own, now_ms, &n_zone);
+  zone = use_board_sum (quotas->usage_table, fleet, USE_OF_ZONE, own, n_own, now_ms, &n_zone);
   quotas_send (quotas, USE_OF_ZONE, zone, n_zone, PEERS_OTHER_ZONES);
   quotas->fleet_reported_ms = now_ms;
   quotas_send (quotas, USE_OF_FLEET, fleet, n_fleet, PEERS_SERVED);
@@ -188,11 +188,11 @@
 
 /* What the fleet used, from what reports here. */
 static void
-quotas_sum_up (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
+quotas_sum_usage (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
 {
   size_t n_fleet;
   struct CustomerUse *fleet =
-      use_board_sum (quotas->board, own, USE_OF_FLEET, own, n_own, now_ms, &n_fleet);
+      use_board_sum (quotas->usage_table, own, USE_OF_FLEET, own, n_own, now_ms, &n_fleet);
 
   if (fleet == NULL)
     return;
@@ -204,9 +204,9 @@
 
 /* The same, as an aggregator said. */
 static void
-quotas_take_report (struct Quotas *quotas, int64_t now_ms)
+quotas_apply_report (struct Quotas *quotas, int64_t now_ms)
 {
-  const struct UseReport *report = use_board_fleet (quotas->board, now_ms);
+  const struct UseReport *report = use_board_fleet (quotas->usage_table, now_ms);
 
   if (report == NULL)
     {
@@ -219,12 +219,12 @@
 
 /* Those that are leaving take no callers any more. */
 static void
-quotas_note_fleet (struct Quotas *quotas, int64_t now_ms)
+quotas_update_fleet (struct Quotas *quotas, int64_t now_ms)
 {
   const struct Node *node = quotas->front->node;
   const struct PeerTable *table = node->peers;
   struct QuotaFleet fleet = { .n_known = 1, .n_received = 1 };
-  int64_t received_ms = use_board_received_ms (quotas->board);
+  int64_t received_ms = use_board_received_ms (quotas->usage_table);
 
   for (size_t i = 0; i < table->n_peers; i++)
     {
@@ -242,51 +242,51 @@
 }
 
 static void
-quotas_send_own (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
+quotas_send_own_usage (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
 {
   quotas->reported_ms = now_ms;
   quotas_send (quotas, USE_OF_GATEWAY, own, n_own, PEERS_OWN_AGGREGATORS);
 }
 
 static void
-quotas_look (struct Quotas *quotas, int64_t now_ms)
+quotas_check (struct Quotas *quotas, int64_t now_ms)
 {
   bool aggregates = peer_table_is_aggregator (quotas->front->node->peers, now_ms);
-  bool reports = now_ms - quotas->reported_ms >= quotas_report_again_ms (quotas, now_ms);
+  bool reports = now_ms - quotas->reported_ms >= quotas_report_interval_ms (quotas, now_ms);
   struct CustomerUse *own = NULL;
   size_t n_own;
 
   if (aggregates || reports)
     own = quota_ledger_uses (quotas->ledger, quotas, now_ms, &n_own);
   if (own != NULL && reports)
-    quotas_send_own (quotas, own, n_own, now_ms);
+    quotas_send_own_usage (quotas, own, n_own, now_ms);
   if (!aggregates)
-    quotas_take_report (quotas, now_ms);
+    quotas_apply_report (quotas, now_ms);
   else if (own != NULL)
-    quotas_sum_up (quotas, own, n_own, now_ms);
+    quotas_sum_usage (quotas, own, n_own, now_ms);
   talloc_free (own);
 }
 
 /* In a hurry at each look, else at every second one. */
 static void
-quotas_on_look (void *data)
+quotas_on_timer (void *data)
 {
   struct Quotas *quotas = data;
   int64_t now_ms = quotas_now_ms (quotas);
-  bool hurries = quotas->urgency == QUOTA_SURGE || quotas_hurries (quotas, now_ms);
-  uint32_t look = quotas->n_looks++;
+  bool hurries = quotas->urgency == QUOTA_SURGE || quotas_reports_often (quotas, now_ms);
+  uint32_t look = quotas->n_checks++;
 
   if (quotas_customers (quotas) == NULL || (!hurries && look % 2 != 0))
     return;
-  if (hurries || look % FLEET_LOOKS == 0)
-    quotas_note_fleet (quotas, now_ms);
-  quotas_look (quotas, now_ms);
+  if (hurries || look % FLEET_CHECK_EVERY == 0)
+    quotas_update_fleet (quotas, now_ms);
+  quotas_check (quotas, now_ms);
 }
 
 void
 quotas_on_report (struct Quotas *quotas, const char *sender, const struct UseReport *report)
 {
-  use_board_take (quotas->board, sender, report, quotas_now_ms (quotas));
+  use_board_take (quotas->usage_table, sender, report, quotas_now_ms (quotas));
 }
 
 void
@@ -311,13 +311,14 @@
     return NULL;
   quotas->front = front;
   quotas->ledger = quota_ledger_new (quotas, &rules, settings->instance, front->started_ms);
-  quotas->board = use_board_new (quotas);
-  if (quotas->ledger == NULL || quotas->board == NULL)
+  quotas->usage_table = use_board_new (quotas);
+  if (quotas->ledger == NULL || quotas->usage_table == NULL)
     {
       talloc_free (quotas);
       return NULL;
     }
-  timer_subscribe (quotas, front->node->timers, LOOK_MS, LOOK_MS, quotas_on_look, quotas);
+  timer_subscribe (quotas, front->node->timers, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS,
+                   quotas_on_timer, quotas);
   return quotas;
 }
 
--- a/gateway/quotas.h
+++ b/gateway/quotas.h
@@ -18,11 +18,11 @@
 /* Counts the request against its customer's limit, once. False: it is over the limit and was sent
  * back; it exists no more. */
 bool
-quotas_take (struct Request *request);
+quotas_admit (struct Request *request);
 
 /* The request ends without having run: its place in the limit is free again. */
 void
-quotas_give_back (struct Request *request);
+quotas_refund (struct Request *request);
 
 /* How customers stand with their limits, as JSON; belongs to ctx. NULL without memory. */
 char *
--- a/gateway/relay.c
+++ b/gateway/relay.c
@@ -95,7 +95,7 @@
 }
 
 static uint64_t
-relay_note_origin (uint64_t link, const char *from)
+relay_store_origin (uint64_t link, const char *from)
 {
   uint64_t slot = n_origins++;
 
@@ -132,7 +132,7 @@
   if (gateway_message_unpack (node->net, relay->message, relay->message_bytes, &message)
       != ERROR_NONE)
     return;
-  node->handler.message (node->handler.data, relay_note_origin (link, relay->from), relay->from,
+  node->handler.message (node->handler.data, relay_store_origin (link, relay->from), relay->from,
                          message);
   talloc_free (message);
 }
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -24,7 +24,7 @@
 #define RETRY_AFTER_SHORT "0.1"
 #define RETRY_AFTER_UNCERTAIN "0.3"
 
-struct FailureWords
+struct FailureReply
 {
   uint32_t status;
   const char *retry_after; /* NULL: none */
@@ -32,7 +32,7 @@
   enum LogLevel level;
 };
 
-static const struct FailureWords failure_words[] = {
+static const struct FailureReply failure_words[] = {
   [FAILURE_NO_CONFIG] = { 503, RETRY_AFTER_UNCERTAIN, "no_configuration", LOG_LEVEL_WARNING },
   [FAILURE_NO_KEY] = { 401, NULL, "no_key", LOG_LEVEL_INFO },
   [FAILURE_OVER_LIMIT] = { 429, NULL, "over_limit", LOG_LEVEL_INFO },
@@ -50,26 +50,26 @@
 };
 
 static int64_t
-request_left_ms (const struct Request *request)
+request_remaining_ms (const struct Request *request)
 {
-  return request->due_ms - timer_now_ms (request->front->node->timers);
+  return request->deadline_ms - timer_now_ms (request->front->node->timers);
 }
 
 int64_t
-request_took_ms (const struct Request *request)
+request_elapsed_ms (const struct Request *request)
 {
   return timer_now_ms (request->front->node->timers) - request->arrived_ms;
 }
 
 void
-request_note_answered (const struct Request *request, enum Histogram histogram)
+request_record_answered (const struct Request *request, enum Histogram histogram)
 {
   counter_add (COUNTER_REQUESTS_ANSWERED, 1);
-  histogram_add (histogram, request_took_ms (request));
+  histogram_add (histogram, request_elapsed_ms (request));
 }
 
 static void
-request_note_failed (const struct Request *request, uint32_t status)
+request_record_failed (const struct Request *request, uint32_t status)
 {
   enum Counter counter = COUNTER_REQUESTS_REJECTED;
 
@@ -78,13 +78,13 @@
   else if (status >= 500)
     counter = COUNTER_REQUESTS_BROKEN;
   counter_add (counter, 1);
-  histogram_add (HISTOGRAM_REFUSAL, request_took_ms (request));
+  histogram_add (HISTOGRAM_REFUSAL, request_elapsed_ms (request));
 }
 
 void
 attempt_release (struct Request *request)
 {
-  TALLOC_FREE (request->patience);
+  TALLOC_FREE (request->silence_timer);
   slots_release (request);
   request->outcome = SLOT_NOT_USED;
   if (request->replica != NULL)
@@ -105,20 +105,20 @@
   attempt_release (request);
   if (request->exchange != NULL)
     request->exchange->gone = NULL;
-  *request->at = request->next;
+  *request->pprev = request->next;
   if (request->next != NULL)
-    request->next->at = request->at;
+    request->next->pprev = request->pprev;
   talloc_free (request);
 }
 
 /* Sends the caller the failure's answer; retry_after in seconds, NULL for none. */
 static void
-request_fail_until (struct Request *request,
-                    enum RequestFailure failure,
-                    const char *retry_after,
-                    const char *detail)
+request_fail_with_retry (struct Request *request,
+                         enum RequestFailure failure,
+                         const char *retry_after,
+                         const char *detail)
 {
-  const struct FailureWords *words = &failure_words[failure];
+  const struct FailureReply *words = &failure_words[failure];
   struct HttpExchange *exchange = request->exchange;
   struct HttpHeader items[2];
   struct HttpHeaders headers = { items, 0 };
@@ -130,15 +130,15 @@
       request->route.name, request->service,
       request->customer.name[0] != '\0' ? request->customer.name : "-",
       (unsigned long long)(request->front->table != NULL ? request->front->table->version : 0),
-      (long long)request_left_ms (request), request->n_tried,
+      (long long)request_remaining_ms (request), request->n_tried,
       request->may_have_run ? ", may have run" : "", detail);
   if (retry_after != NULL)
     items[headers.n_items++] = (struct HttpHeader){ "Retry-After", retry_after };
   if (words->status == 401)
     items[headers.n_items++] = (struct HttpHeader){ "WWW-Authenticate", "Bearer" };
   if (!request->may_have_run && request->call == NULL)
-    quotas_give_back (request);
-  request_note_failed (request, words->status);
+    quotas_refund (request);
+  request_record_failed (request, words->status);
   if (request->turn != NULL)
     turn_abandon (request);
   request->exchange = NULL;
@@ -156,25 +156,25 @@
 void
 request_fail (struct Request *request, enum RequestFailure failure, const char *detail)
 {
-  request_fail_until (request, failure, failure_words[failure].retry_after, detail);
+  request_fail_with_retry (request, failure, failure_words[failure].retry_after, detail);
 }
 
 static void
-request_fail_for (struct Request *request,
-                  enum RequestFailure failure,
-                  uint32_t wait_ms,
-                  const char *detail)
+request_fail_with_wait_ms (struct Request *request,
+                           enum RequestFailure failure,
+                           uint32_t wait_ms,
+                           const char *detail)
 {
   char seconds[24];
 
   snprintf (seconds, sizeof seconds, "%u.%03u", wait_ms / 1000, wait_ms % 1000);
-  request_fail_until (request, failure, seconds, detail);
+  request_fail_with_retry (request, failure, seconds, detail);
 }
 
 void
 request_over_limit (struct Request *request, uint32_t wait_ms, const char *detail)
 {
-  request_fail_for (request, FAILURE_OVER_LIMIT, wait_ms, detail);
+  request_fail_with_wait_ms (request, FAILURE_OVER_LIMIT, wait_ms, detail);
 }
 
 void
@@ -184,7 +184,7 @@
 
   snprintf (detail, sizeof detail, "%s would take it in %u ms", request->replica->entry.id,
             wait_ms);
-  request_fail_for (request, FAILURE_BUSY, wait_ms, detail);
+  request_fail_with_wait_ms (request, FAILURE_BUSY, wait_ms, detail);
 }
 
 void
@@ -194,7 +194,7 @@
   request->answer_headers.n_items = 0;
   byte_queue_drop (&request->answer_body, byte_queue_length (&request->answer_body));
   request->refused = false;
-  if (request_left_ms (request) < SHORTEST_ATTEMPT_MS)
+  if (request_remaining_ms (request) < SHORTEST_ATTEMPT_MS)
     request_fail (request, request->may_have_run ? FAILURE_TIMEOUT : FAILURE_OUT_OF_TIME, detail);
   else if (request->n_tried == TRIED_MAX || request->n_sent >= request->route.max_attempts)
     request_fail (request, request->may_have_run ? FAILURE_BROKEN : FAILURE_NO_SERVER, detail);
@@ -203,28 +203,28 @@
 }
 
 static bool
-request_has_attempts (struct Request *request)
+request_claim_attempt (struct Request *request)
 {
   return request->n_sent < request->route.max_attempts && request->n_tried < TRIED_MAX
-         && request_left_ms (request) >= SHORTEST_ATTEMPT_MS
+         && request_remaining_ms (request) >= SHORTEST_ATTEMPT_MS
          && retry_allowance_take (&request->front->retries);
 }
 
 bool
-request_may_repeat (struct Request *request)
+request_claim_repeat (struct Request *request)
 {
   return route_is_idempotent (&request->route) && !http_exchange_has_begun (request->exchange)
-         && request_has_attempts (request);
+         && request_claim_attempt (request);
 }
 
 bool
-request_may_resume (struct Request *request)
+request_claim_resume (struct Request *request)
 {
   const struct EventStream *events = &request->events;
 
   return request->front->node->settings->decisions.resume && request->route.resumable
          && http_exchange_has_begun (request->exchange)
-         && (events->n_events == 0 || events->has_last_id) && request_has_attempts (request);
+         && (events->n_events == 0 || events->has_last_id) && request_claim_attempt (request);
 }
 
 /* Sending. */
@@ -243,7 +243,7 @@
     .object = request->object,
     .tried = (const char *const *)request->tried,
     .n_tried = request->n_tried,
-    .draw = front->draws++,
+    .draw = front->n_draws++,
     .now_ms = timer_now_ms (front->node->timers),
   };
 
@@ -255,11 +255,11 @@
 request_submit (struct Request *request, struct Replica *replica)
 {
   struct Front *front = request->front;
-  const struct HttpCallHandler handler = answer_handler (request);
+  const struct HttpCallHandler handler = response_handler (request);
   struct UpstreamTarget target = {
     .replica = replica->entry.id,
     .address = replica->entry.address,
-    .left_ms = request_left_ms (request),
+    .left_ms = request_remaining_ms (request),
     .body_bytes = request->body_bytes,
     .customer = front->table->customers != NULL ? request->customer.name : NULL,
   };
@@ -300,9 +300,9 @@
 {
   struct Request *request = data;
 
-  TALLOC_FREE (request->patience);
+  TALLOC_FREE (request->silence_timer);
   request->n_sent++;
-  if (!request_may_repeat (request))
+  if (!request_claim_repeat (request))
     {
       request->n_sent--;
       return;
@@ -310,7 +310,7 @@
   request->may_have_run = true;
   log_request (LOG_LEVEL_INFO, "server_silent", request->caller.id, request->caller.program,
                "%s, %lld ms left: another one is asked", request->replica->entry.id,
-               (long long)request_left_ms (request));
+               (long long)request_remaining_ms (request));
   replica_note_failure (request->replica, timer_now_ms (request->front->node->timers));
   TALLOC_FREE (request->call);
   attempt_release (request);
@@ -318,17 +318,17 @@
 }
 
 static void
-request_be_patient (struct Request *request)
+request_start_silence_timer (struct Request *request)
 {
   int64_t patience_ms;
 
   if (!request->front->node->settings->decisions.patience || request->route.kind != ROUTE_REPEATABLE
       || request->n_sent + 1 >= request->route.max_attempts)
     return;
-  patience_ms = retry_patience_ms (request->route.objective_ms, request_left_ms (request));
+  patience_ms = retry_patience_ms (request->route.objective_ms, request_remaining_ms (request));
   if (patience_ms > 0)
-    request->patience = timer_subscribe (request, request->front->node->timers, patience_ms, 0,
-                                         request_on_silence, request);
+    request->silence_timer = timer_subscribe (request, request->front->node->timers, patience_ms, 0,
+                                              request_on_silence, request);
 }
 
 /* Sends the request to .replica; false when there was no connection to be had. */
@@ -344,7 +344,7 @@
   if (request->n_tried > 1)
     counter_add (COUNTER_REQUESTS_SENT_AGAIN, 1);
   replica_note_sent (replica, request->caller.parts, request->caller.n_parts);
-  request_be_patient (request);
+  request_start_silence_timer (request);
   return true;
 }
 
@@ -353,7 +353,7 @@
 {
   /* While it waited, the server may have begun to leave, or used up its connections, or its key was
    * taken away. */
-  if (!request->replica->entry.draining && credential_holds (request)
+  if (!request->replica->entry.draining && credential_is_valid (request)
       && request_send_to_replica (request))
     return;
   attempt_release (request);
@@ -363,7 +363,7 @@
 void
 request_send (struct Request *request)
 {
-  if (!credential_holds (request))
+  if (!credential_is_valid (request))
     {
       request_fail (request, FAILURE_NO_KEY, "its key was taken away while it waited");
       return;
@@ -376,9 +376,9 @@
         break;
       request->replica = replica;
       replica->in_flight++;
-      if (request->takes_slot)
+      if (request->needs_slot)
         {
-          slots_ask (request);
+          slots_request (request);
           return;
         }
       if (request_send_to_replica (request))
--- a/gateway/request.h
+++ b/gateway/request.h
@@ -8,10 +8,10 @@
 
 /* What the client calls as the server's answer comes. */
 struct HttpCallHandler
-answer_handler (struct Request *request);
+response_handler (struct Request *request);
 
 void
-request_note_answered (const struct Request *request, enum Histogram histogram);
+request_record_answered (const struct Request *request, enum Histogram histogram);
 
 /* The attempt at a server is over, one way or the other. */
 void
@@ -23,12 +23,12 @@
 
 /* Whether an attempt that may have run may be made again; takes a retry from the allowance. */
 bool
-request_may_repeat (struct Request *request);
+request_claim_repeat (struct Request *request);
 
 /* Whether a stream that broke off may go on at another server; takes a retry, too. */
 bool
-request_may_resume (struct Request *request);
+request_claim_resume (struct Request *request);
 
 /* Time since the caller's request was whole. */
 int64_t
-request_took_ms (const struct Request *request);
+request_elapsed_ms (const struct Request *request);
--- a/gateway/settle.c
+++ b/gateway/settle.c
@@ -4,7 +4,7 @@
 {
   /* Until it is sent again; doubled each time. A sync and its way take 10 ms, a dropped link is
    * dialled anew within 200 ms. */
-  AGAIN_FIRST_MS = 300,
+  RETRY_FIRST_MS = 300,
   /* 300 ms to 9.6 s: as long as an archive takes to start again, or a partition of the sheets
    * lasts. */
   TRIES_MAX = 6,
@@ -14,7 +14,7 @@
 
 struct Settlement
 {
-  struct Settlement *next, **at;
+  struct Settlement *next, **pprev;
   struct Front *front;
   struct TurnClose close;
   struct ArchiveNames answered;
@@ -25,9 +25,9 @@
 static int
 settlement_free (struct Settlement *settlement)
 {
-  *settlement->at = settlement->next;
+  *settlement->pprev = settlement->next;
   if (settlement->next != NULL)
-    settlement->next->at = settlement->at;
+    settlement->next->pprev = settlement->pprev;
   settlement->front->n_settlements--;
   return 0;
 }
@@ -58,7 +58,7 @@
   message.close = settlement->close;
   node_send_set (node, &message, &settlement->answered);
   settlement->timer =
-      timer_subscribe (settlement, node->timers, (int64_t)AGAIN_FIRST_MS << settlement->n_tries, 0,
+      timer_subscribe (settlement, node->timers, (int64_t)RETRY_FIRST_MS << settlement->n_tries, 0,
                        settlement_on_timer, settlement);
   settlement->n_tries++;
 }
@@ -80,9 +80,9 @@
   settlement->front = front;
   settlement->close = *close;
   settlement->next = front->settlements;
-  settlement->at = &front->settlements;
+  settlement->pprev = &front->settlements;
   if (settlement->next != NULL)
-    settlement->next->at = &settlement->next;
+    settlement->next->pprev = &settlement->next;
   front->settlements = settlement;
   front->n_settlements++;
   talloc_set_destructor (settlement, settlement_free);
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -11,12 +11,12 @@
 {
   /* An owner answers within a millisecond or two; one that does not for this long is gone, or so
    * short of processor that waiting for it would cost more than the engine's own queue. */
-  OWNER_ANSWERS_MS = 60,
+  OWNER_TIMEOUT_MS = 60,
   /* Between two questions of a request that waits: a lost answer or a new owner costs this much. */
-  ASK_AGAIN_MS = 200,
+  ASK_INTERVAL_MS = 200,
   /* Callers give up a stream whose first event does not come for two seconds; what would wait
    * longer is sent back while there is time to come again. */
-  CALLER_PATIENCE_MS = 2000,
+  CALLER_FIRST_EVENT_MS = 2000,
   /* Servers that a request goes over to while it waits, since another is less busy. */
   MOVES_MAX = 2
 };
@@ -64,7 +64,7 @@
 };
 
 static void
-owner_offer (struct OwnerChoice *choice, const char *name, uint64_t server_hash)
+owner_choice_consider (struct OwnerChoice *choice, const char *name, uint64_t server_hash)
 {
   uint64_t score = XXH64 (name, strlen (name), server_hash);
 
@@ -83,7 +83,7 @@
   struct OwnerChoice choice = { NULL, 0 };
 
   if (front->stop_ms == 0 && (zone == NULL || strcmp (node->settings->zone, zone) == 0))
-    owner_offer (&choice, node->settings->instance, server_hash);
+    owner_choice_consider (&choice, node->settings->instance, server_hash);
   for (size_t i = 0; i < node->peers->n_peers; i++)
     {
       const struct NodeStatus *status = &node->peers->peers[i]->status;
@@ -91,7 +91,7 @@
       if (status->ready && status->caller_address[0] != '\0'
           && (zone == NULL || strcmp (status->zone, zone) == 0)
           && node_peer_answers (node, node->peers->peers[i]))
-        owner_offer (&choice, status->node, server_hash);
+        owner_choice_consider (&choice, status->node, server_hash);
     }
   return choice.name;
 }
@@ -110,7 +110,7 @@
 slots_send_ask (struct Request *request)
 {
   struct Node *node = request->front->node;
-  struct SlotWait *wait = request->slot;
+  struct SlotWait *wait = request->slot_wait;
   struct GatewayMessage message = { .kind = GATEWAY_SLOT_ASK };
   struct SlotAskMessage *ask = &message.slot_ask;
   const struct PrefixPart *shared =
@@ -122,10 +122,10 @@
   ask->slots = request->replica->entry.slots;
   ask->customer_priority = request->customer.priority;
   ask->priority = request->route.priority;
-  ask->continues = request->under_way;
-  ask->has_program_due = request->program_due_ms != INT64_MAX;
-  ask->program_left_ms = ask->has_program_due ? request->program_due_ms - now_ms : 0;
-  ask->left_ms = request->due_ms - now_ms;
+  ask->continues = request->continues_program;
+  ask->has_program_due = request->program_deadline_ms != INT64_MAX;
+  ask->program_left_ms = ask->has_program_due ? request->program_deadline_ms - now_ms : 0;
+  ask->left_ms = request->deadline_ms - now_ms;
   ask->capacity_tokens = request->capacity_tokens;
   if (!request->front->node->settings->decisions.order)
     {
@@ -146,7 +146,7 @@
 static void
 slots_send_done (struct Request *request)
 {
-  struct SlotWait *wait = request->slot;
+  struct SlotWait *wait = request->slot_wait;
   struct GatewayMessage message = { .kind = GATEWAY_SLOT_DONE };
 
   message.slot_done.id = wait->id;
@@ -156,9 +156,9 @@
 }
 
 static void
-slots_go (struct Request *request)
+slots_send_request (struct Request *request)
 {
-  struct SlotWait *wait = request->slot;
+  struct SlotWait *wait = request->slot_wait;
 
   TALLOC_FREE (wait->timer);
   wait->granted = true;
@@ -172,7 +172,7 @@
 static void
 slots_wait (struct Request *request, int64_t wait_ms)
 {
-  struct SlotWait *wait = request->slot;
+  struct SlotWait *wait = request->slot_wait;
 
   TALLOC_FREE (wait->timer);
   wait->timer =
@@ -181,9 +181,9 @@
 
 /* Asks whoever owns the server now. */
 static void
-slots_ask_owner (struct Request *request)
+slots_query_owner (struct Request *request)
 {
-  struct SlotWait *wait = request->slot;
+  struct SlotWait *wait = request->slot_wait;
   const char *owner = slots_owner (request->front, request->replica);
 
   if (owner != NULL && strcmp (owner, wait->owner) != 0)
@@ -193,9 +193,9 @@
       snprintf (wait->owner, sizeof wait->owner, "%s", owner);
     }
   if (owner == NULL || slots_send_ask (request) != ERROR_NONE)
-    slots_go (request);
+    slots_send_request (request);
   else
-    slots_wait (request, OWNER_ANSWERS_MS);
+    slots_wait (request, OWNER_TIMEOUT_MS);
 }
 
 /* The owner did not answer, or it is time to ask again. */
@@ -203,17 +203,17 @@
 slots_on_timer (void *data)
 {
   struct Request *request = data;
-  struct SlotWait *wait = request->slot;
+  struct SlotWait *wait = request->slot_wait;
 
   wait->timer = NULL;
   if (wait->answered)
     {
-      slots_ask_owner (request);
+      slots_query_owner (request);
       return;
     }
   log_request (LOG_LEVEL_INFO, "owner_silent", request->caller.id, request->caller.program,
                "%s owns %s: sent without it", wait->owner, wait->server);
-  slots_go (request);
+  slots_send_request (request);
 }
 
 /* The request may have ended when this returns. */
@@ -222,7 +222,7 @@
 {
   struct SlotWait *wait = talloc_zero (request, struct SlotWait);
 
-  request->slot = wait;
+  request->slot_wait = wait;
   if (wait == NULL)
     {
       request_granted (request);
@@ -232,11 +232,11 @@
   wait->asked_ms = timer_now_ms (request->front->node->timers);
   wait->id = node_next_id (request->front->node);
   snprintf (wait->server, sizeof wait->server, "%s", request->replica->entry.id);
-  slots_ask_owner (request);
+  slots_query_owner (request);
 }
 
 void
-slots_ask (struct Request *request)
+slots_request (struct Request *request)
 {
   slots_begin (request, 0);
 }
@@ -244,16 +244,16 @@
 void
 slots_release (struct Request *request)
 {
-  if (request->slot == NULL)
+  if (request->slot_wait == NULL)
     return;
-  if (request->slot->owner[0] != '\0')
+  if (request->slot_wait->owner[0] != '\0')
     slots_send_done (request);
-  TALLOC_FREE (request->slot);
+  TALLOC_FREE (request->slot_wait);
 }
 
 /* What the owner has sent is newer than what heartbeats said. */
 static void
-slots_note_total (struct Request *request, const struct SlotState *state)
+slots_update_total (struct Request *request, const struct SlotState *state)
 {
   struct Replica *replica = request->replica;
 
@@ -266,7 +266,7 @@
 slots_move (struct Request *request)
 {
   struct Replica *from = request->replica;
-  uint32_t n_moves = request->slot->n_moves;
+  uint32_t n_moves = request->slot_wait->n_moves;
   struct Replica *best;
 
   if (n_moves >= MOVES_MAX)
@@ -288,31 +288,32 @@
 static void
 slots_log_queued (struct Request *request, const struct SlotState *state)
 {
-  if (request->slot->logged_queued)
+  if (request->slot_wait->logged_queued)
     return;
-  request->slot->logged_queued = true;
+  request->slot_wait->logged_queued = true;
   log_request (
       LOG_LEVEL_INFO, "queued", request->caller.id, request->caller.program,
       "%s, by %s: %u there, %u go before, some %u ms; %lld ms left to its program",
-      request->slot->server, request->slot->owner, state->total, state->ahead, state->wait_ms,
-      request->program_due_ms != INT64_MAX
-          ? (long long)(request->program_due_ms - timer_now_ms (request->front->node->timers))
+      request->slot_wait->server, request->slot_wait->owner, state->total, state->ahead,
+      state->wait_ms,
+      request->program_deadline_ms != INT64_MAX
+          ? (long long)(request->program_deadline_ms - timer_now_ms (request->front->node->timers))
           : -1LL);
 }
 
 static void
-slots_take_state (struct Request *request, const struct SlotState *state)
+slots_handle_state (struct Request *request, const struct SlotState *state)
 {
   const struct Front *front = request->front;
   int64_t now_ms = timer_now_ms (front->node->timers);
-  int64_t left_ms = request->due_ms - now_ms;
-  int64_t patience_ms = request->arrived_ms + CALLER_PATIENCE_MS - now_ms;
+  int64_t left_ms = request->deadline_ms - now_ms;
+  int64_t patience_ms = request->arrived_ms + CALLER_FIRST_EVENT_MS - now_ms;
 
-  request->slot->answered = true;
-  slots_note_total (request, state);
+  request->slot_wait->answered = true;
+  slots_update_total (request, state);
   if (state->granted)
     {
-      slots_go (request);
+      slots_send_request (request);
       return;
     }
   if (slots_move (request))
@@ -321,17 +322,17 @@
   if (state->wait_ms > (left_ms < patience_ms ? left_ms : patience_ms))
     request_busy (request, state->wait_ms);
   else
-    slots_wait (request, ASK_AGAIN_MS);
+    slots_wait (request, ASK_INTERVAL_MS);
 }
 
 void
 slots_on_state (struct Front *front, const struct SlotStateMessage *message)
 {
   for (struct Request *r = front->requests; r != NULL; r = r->next)
-    if (r->slot != NULL && r->slot->id == message->id)
+    if (r->slot_wait != NULL && r->slot_wait->id == message->id)
       {
-        if (!r->slot->granted)
-          slots_take_state (r, &message->state);
+        if (!r->slot_wait->granted)
+          slots_handle_state (r, &message->state);
         return;
       }
 }
@@ -405,7 +406,7 @@
 }
 
 static bool
-slots_asker_is_live (void *data, const char *asker)
+slots_requester_is_live (void *data, const char *asker)
 {
   const struct Slots *slots = data;
   const struct Node *node = slots->front->node;
@@ -418,6 +419,6 @@
 void
 slots_expire (struct Slots *slots)
 {
-  slot_queues_expire (slots->queues, timer_now_ms (slots->front->node->timers), slots_asker_is_live,
-                      slots_grant, slots);
+  slot_queues_expire (slots->queues, timer_now_ms (slots->front->node->timers),
+                      slots_requester_is_live, slots_grant, slots);
 }
--- a/gateway/slots.h
+++ b/gateway/slots.h
@@ -14,7 +14,7 @@
 
 /* Asks the owner of request->replica; request_granted is called once it may be sent. */
 void
-slots_ask (struct Request *request);
+slots_request (struct Request *request);
 
 /* The request has ended at its server, or does not wait for it any more. */
 void
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -17,7 +17,7 @@
    * long, too few archives live; the caller does better to come back. */
   OPEN_TIMEOUT_MS = 800,
   /* Twenty times what it takes on a calm day. */
-  OPEN_AGAIN_MS = 150,
+  OPEN_RETRY_MS = 150,
   /* One archive's share of the history, before the next one is asked. */
   READ_TIMEOUT_MS = 250,
   /* After the others' answers, before another archive is asked for the history: a sync that just
@@ -27,7 +27,8 @@
 };
 
 size_t
-turn_archives (const struct Request *request, struct ArchiveCandidate candidates[ARCHIVE_SET_MAX])
+turn_sort_archives (const struct Request *request,
+                    struct ArchiveCandidate candidates[ARCHIVE_SET_MAX])
 {
   const struct Node *node = request->front->node;
   struct ArchiveNames asked = archive_set_asked (&node->set);
@@ -50,7 +51,7 @@
 {
   const struct Node *node = request->front->node;
   struct ArchiveCandidate candidates[ARCHIVE_SET_MAX];
-  size_t n = turn_archives (request, candidates);
+  size_t n = turn_sort_archives (request, candidates);
 
   for (size_t i = 0; i < n; i++)
     {
@@ -75,18 +76,18 @@
 }
 
 void
-turn_ask (struct Request *request, struct Turn *turn, enum TurnPhase phase)
+turn_begin_phase (struct Request *request, struct Turn *turn, enum TurnPhase phase)
 {
   turn->phase = phase;
   turn->phase_ms = timer_now_ms (request->front->node->timers);
-  turn->question = node_next_id (request->front->node);
+  turn->query_id = node_next_id (request->front->node);
   turn->answered.n = 0;
   turn->complete.n = 0;
   TALLOC_FREE (turn->timer);
 }
 
 bool
-turn_note_answer (struct Turn *turn, const char *archive)
+turn_record_response (struct Turn *turn, const char *archive)
 {
   if (archive_names_have (&turn->answered, archive))
     return false;
@@ -103,7 +104,7 @@
   struct TurnOpen *open = &message->open;
 
   message->kind = GATEWAY_TURN_OPEN;
-  open->id = request->turn->question;
+  open->id = request->turn->query_id;
   open->generation = request->front->node->set.generation;
   snprintf (open->customer, sizeof open->customer, "%s", request->customer.name);
   snprintf (open->turn, sizeof open->turn, "%s", request->caller.id);
@@ -137,11 +138,11 @@
   struct Turn *turn = request->turn;
   char detail[96];
 
-  if (!turn->asked_again)
+  if (!turn->retried)
     {
-      turn->asked_again = true;
+      turn->retried = true;
       turn->timer =
-          timer_subscribe (turn, request->front->node->timers, OPEN_TIMEOUT_MS - OPEN_AGAIN_MS, 0,
+          timer_subscribe (turn, request->front->node->timers, OPEN_TIMEOUT_MS - OPEN_RETRY_MS, 0,
                            turn_on_open_timeout, request);
       turn_relay_open (request);
       return;
@@ -195,44 +196,44 @@
   turn->started_ms = timer_now_ms (front->node->timers);
   if (request->caller.program[0] == '\0')
     request->caller.program = request->caller.id;
-  turn_ask (request, turn, TURN_OPENING);
+  turn_begin_phase (request, turn, TURN_OPENING);
   turn_send_open (request);
   turn->timer =
-      timer_subscribe (turn, front->node->timers, OPEN_AGAIN_MS, 0, turn_on_open_timeout, request);
+      timer_subscribe (turn, front->node->timers, OPEN_RETRY_MS, 0, turn_on_open_timeout, request);
 }
 
 /* History. */
 
 static const struct TurnText *
-turn_piece (const struct Turn *turn, const char *id)
+turn_history_text (const struct Turn *turn, const char *id)
 {
-  for (size_t i = 0; i < turn->n_pieces; i++)
-    if (strcmp (turn->pieces[i].turn, id) == 0)
-      return &turn->pieces[i];
+  for (size_t i = 0; i < turn->n_history; i++)
+    if (strcmp (turn->history[i].turn, id) == 0)
+      return &turn->history[i];
   return NULL;
 }
 
 static bool
-turn_add_pieces (struct Turn *turn, const struct TurnText *more, size_t n_more)
+turn_add_history (struct Turn *turn, const struct TurnText *more, size_t n_more)
 {
   struct TurnText *grown;
 
   if (n_more == 0)
     return true;
-  grown = talloc_realloc (turn, turn->pieces, struct TurnText, turn->n_pieces + n_more);
+  grown = talloc_realloc (turn, turn->history, struct TurnText, turn->n_history + n_more);
   if (grown == NULL)
     return false;
-  turn->pieces = grown;
+  turn->history = grown;
   for (size_t i = 0; i < n_more; i++)
     {
-      struct TurnText *piece = &grown[turn->n_pieces];
+      struct TurnText *piece = &grown[turn->n_history];
 
-      if (turn_piece (turn, more[i].turn) != NULL)
+      if (turn_history_text (turn, more[i].turn) != NULL)
         continue;
       *piece = more[i];
       piece->input = talloc_memdup (turn, more[i].input, more[i].input_bytes);
       piece->output = talloc_memdup (turn, more[i].output, more[i].output_bytes);
-      turn->n_pieces++;
+      turn->n_history++;
     }
   return true;
 }
@@ -247,7 +248,7 @@
   *total_bytes = 0;
   while (newest[0] != '\0')
     {
-      piece = turn_piece (turn, newest);
+      piece = turn_history_text (turn, newest);
       if (piece == NULL)
         return newest;
       *total_bytes += piece->input_bytes + piece->output_bytes;
@@ -270,7 +271,7 @@
     memcpy (end, request->exchange->body, request->exchange->body_bytes);
   for (const char *id = request->caller.previous; id[0] != '\0';)
     {
-      const struct TurnText *piece = turn_piece (request->turn, id);
+      const struct TurnText *piece = turn_history_text (request->turn, id);
 
       end -= piece->output_bytes;
       if (piece->output_bytes > 0)
@@ -304,12 +305,12 @@
   struct ArchiveCandidate candidates[ARCHIVE_SET_MAX];
   size_t n;
 
-  turn_ask (request, turn, TURN_READING);
+  turn_begin_phase (request, turn, TURN_READING);
   snprintf (turn->missing, sizeof turn->missing, "%s", missing);
-  message.read.id = turn->question;
+  message.read.id = turn->query_id;
   snprintf (message.read.customer, sizeof message.read.customer, "%s", request->customer.name);
   snprintf (message.read.turn, sizeof message.read.turn, "%s", missing);
-  n = turn_archives (request, candidates);
+  n = turn_sort_archives (request, candidates);
   for (size_t i = 0; i < n && turn->n_reads < READS_MAX; i++)
     {
       const char *archive = candidates[turn->next_reader++ % n].name;
@@ -344,22 +345,22 @@
       request_fail (request, FAILURE_UNCERTAIN, "no memory for the history");
       return;
     }
-  request->under_way =
+  request->continues_program =
       request->caller.previous[0] != '\0' || turn_charges_any (turn->charges, turn->n_charges);
-  newest = turn_piece (turn, request->caller.previous);
+  newest = turn_history_text (turn, request->caller.previous);
   if (!request->front->node->settings->decisions.sessions)
     request->cached_at = "";
   else if (newest != NULL)
     request->cached_at = talloc_strdup (request, newest->server);
   else if (turn->place.session != 0)
     request->cached_at = turn->place.server;
-  for (size_t i = 0; i < turn->n_pieces; i++)
+  for (size_t i = 0; i < turn->n_history; i++)
     {
-      talloc_free ((void *)turn->pieces[i].input);
-      talloc_free ((void *)turn->pieces[i].output);
+      talloc_free ((void *)turn->history[i].input);
+      talloc_free ((void *)turn->history[i].output);
     }
-  TALLOC_FREE (turn->pieces);
-  turn->n_pieces = 0;
+  TALLOC_FREE (turn->history);
+  turn->n_history = 0;
   turn->phase = TURN_RUNNING;
   histogram_add (HISTOGRAM_TURN_OPEN,
                  timer_now_ms (request->front->node->timers) - turn->started_ms);
@@ -395,7 +396,7 @@
 /* Enough archives have answered, but the one that reads the history from its disk is still at it:
  * asking another one at once would send the texts twice, the second time from another zone. */
 static bool
-turn_history_comes (const struct Request *request)
+turn_history_pending (const struct Request *request)
 {
   const struct Turn *turn = request->turn;
   size_t n_bytes;
@@ -429,15 +430,15 @@
 }
 
 static void
-turn_take_opened (struct Request *request, const char *archive, const struct TurnOpened *opened)
+turn_handle_opened (struct Request *request, const char *archive, const struct TurnOpened *opened)
 {
   const struct Node *node = request->front->node;
   struct Turn *turn = request->turn;
   uint64_t sessions[TURN_SESSIONS_MAX];
 
-  if (opened->error != ERROR_NONE || !turn_note_answer (turn, archive))
+  if (opened->error != ERROR_NONE || !turn_record_response (turn, archive))
     return;
-  if (!turn_add_pieces (turn, opened->history, opened->n_history)
+  if (!turn_add_history (turn, opened->history, opened->n_history)
       || turn_charges_merge (turn, &turn->charges, &turn->n_charges, opened->charges,
                              opened->n_charges)
              != ERROR_NONE)
@@ -453,16 +454,16 @@
   if (!archive_set_is_read (&node->set, node->settings->tolerated, &turn->complete)
       || !archive_set_is_written (&node->set, node->settings->tolerated, &turn->answered))
     return;
-  if (turn_history_comes (request))
+  if (turn_history_pending (request))
     turn_wait_for_reader (request);
   else
     turn_decide (request);
 }
 
 static void
-turn_take_read (struct Request *request, const struct TurnOpened *opened)
+turn_handle_read (struct Request *request, const struct TurnOpened *opened)
 {
-  if (!turn_add_pieces (request->turn, opened->history, opened->n_history))
+  if (!turn_add_history (request->turn, opened->history, opened->n_history))
     request_fail (request, FAILURE_UNCERTAIN, "no memory for the history");
   else
     turn_assemble (request);
@@ -472,7 +473,7 @@
 turn_find (struct Front *front, uint64_t question)
 {
   for (struct Request *r = front->requests; r != NULL; r = r->next)
-    if (r->turn != NULL && r->turn->question == question)
+    if (r->turn != NULL && r->turn->query_id == question)
       return r;
   return NULL;
 }
@@ -487,10 +488,10 @@
   switch (request->turn->phase)
     {
     case TURN_OPENING:
-      turn_take_opened (request, archive, opened);
+      turn_handle_opened (request, archive, opened);
       break;
     case TURN_READING:
-      turn_take_read (request, opened);
+      turn_handle_read (request, opened);
       break;
     case TURN_RUNNING:
     case TURN_CLOSING:
@@ -509,7 +510,7 @@
       /* Answers to the old set's question say nothing about the new one. */
       turn->answered.n = 0;
       turn->complete.n = 0;
-      turn->question = node_next_id (request->front->node);
+      turn->query_id = node_next_id (request->front->node);
       turn_send_open (request);
       break;
     case TURN_CLOSING:
--- a/gateway/turn_close.c
+++ b/gateway/turn_close.c
@@ -15,7 +15,7 @@
    * then the other archives get the texts, too. */
   CLOSE_WIDEN_MS = 40,
   /* Asked again once, and given up when a program would rather start anew. */
-  CLOSE_AGAIN_MS = 250,
+  CLOSE_RETRY_MS = 250,
   CLOSE_TIMEOUT_MS = 2500
 };
 
@@ -41,7 +41,7 @@
   struct TurnClose *close = &message->close;
 
   message->kind = GATEWAY_TURN_CLOSE;
-  close->id = request->turn->question;
+  close->id = request->turn->query_id;
   close->generation = request->front->node->set.generation;
   snprintf (close->customer, sizeof close->customer, "%s", request->customer.name);
   snprintf (close->program, sizeof close->program, "%s", request->caller.program);
@@ -67,12 +67,12 @@
   struct Node *node = request->front->node;
   struct GatewayMessage message = { 0 };
   struct ArchiveCandidate candidates[ARCHIVE_SET_MAX];
-  size_t n = turn_archives (request, candidates);
+  size_t n = turn_sort_archives (request, candidates);
   struct ArchiveNames first =
       archive_order_write (&node->set, node->settings->tolerated, candidates, n);
 
   turn_fill_close (request, true, &message);
-  request->turn->settled = true;
+  request->turn->close_sent = true;
   request->turn->sent = first;
   for (uint32_t i = 0; i < first.n; i++)
     node_send_archive (node, first.names[i], &message);
@@ -95,7 +95,7 @@
   struct Turn *turn = request->turn;
 
   turn_fill_close (request, true, &message);
-  turn->settled = true;
+  turn->close_sent = true;
   node_send_set (request->front->node, &message, &turn->answered);
 }
 
@@ -120,24 +120,24 @@
   struct Turn *turn = request->turn;
   char detail[64];
 
-  if (!turn->widened)
+  if (!turn->sent_to_all)
     {
-      turn->widened = true;
+      turn->sent_to_all = true;
       turn_widen_close (request);
       TALLOC_FREE (turn->timer);
       turn->timer =
-          timer_subscribe (turn, request->front->node->timers, CLOSE_AGAIN_MS - CLOSE_WIDEN_MS, 0,
+          timer_subscribe (turn, request->front->node->timers, CLOSE_RETRY_MS - CLOSE_WIDEN_MS, 0,
                            turn_on_close_timeout, request);
       return;
     }
-  if (!turn->asked_again)
+  if (!turn->retried)
     {
-      turn->asked_again = true;
+      turn->retried = true;
       /* Once more to those that have not answered, by another way if there is one. */
       turn_relay_close (request);
       TALLOC_FREE (turn->timer);
       turn->timer =
-          timer_subscribe (turn, request->front->node->timers, CLOSE_TIMEOUT_MS - CLOSE_AGAIN_MS, 0,
+          timer_subscribe (turn, request->front->node->timers, CLOSE_TIMEOUT_MS - CLOSE_RETRY_MS, 0,
                            turn_on_close_timeout, request);
       return;
     }
@@ -150,8 +150,8 @@
 {
   struct Turn *turn = request->turn;
 
-  turn_ask (request, turn, TURN_CLOSING);
-  turn->asked_again = false;
+  turn_begin_phase (request, turn, TURN_CLOSING);
+  turn->retried = false;
   turn_send_close_first (request);
   turn->timer = timer_subscribe (turn, request->front->node->timers, CLOSE_WIDEN_MS, 0,
                                  turn_on_close_timeout, request);
@@ -168,7 +168,7 @@
       return;
     }
   if (request->turn->phase != TURN_CLOSING || closed->error != ERROR_NONE
-      || !turn_note_answer (request->turn, archive)
+      || !turn_record_response (request->turn, archive)
       || !archive_set_is_written (&front->node->set, front->node->settings->tolerated,
                                   &request->turn->answered))
     return;
@@ -187,10 +187,10 @@
   struct Turn *turn = request->turn;
   struct GatewayMessage message = { 0 };
 
-  if (turn->settled)
+  if (turn->close_sent)
     return;
-  turn_ask (request, turn, TURN_CLOSING);
+  turn_begin_phase (request, turn, TURN_CLOSING);
   turn_fill_close (request, false, &message);
-  turn->settled = true;
+  turn->close_sent = true;
   settle_turn (request->front, &message.close);
 }
--- a/tests/test_credential.c
+++ b/tests/test_credential.c
@@ -38,13 +38,13 @@
   struct Request known = request_of (&front, "k1"), unknown = request_of (&front, "k2");
   struct Request none = request_of (&front, NULL), open = request_of (&front, NULL);
 
-  CU_ASSERT_TRUE (credential_holds (&known));
+  CU_ASSERT_TRUE (credential_is_valid (&known));
   CU_ASSERT_STRING_EQUAL (known.customer.name, "alma");
   CU_ASSERT_EQUAL (known.customer.priority, 3);
-  CU_ASSERT_FALSE (credential_holds (&unknown));
-  CU_ASSERT_FALSE (credential_holds (&none));
+  CU_ASSERT_FALSE (credential_is_valid (&unknown));
+  CU_ASSERT_FALSE (credential_is_valid (&none));
   open.route.is_public = true;
-  CU_ASSERT_TRUE (credential_holds (&open));
+  CU_ASSERT_TRUE (credential_is_valid (&open));
   CU_ASSERT_STRING_EQUAL (open.customer.name, "");
   talloc_free (front.table);
 }
@@ -61,10 +61,10 @@
   struct RouteTable *first = front.table;
   struct Request request = request_of (&front, "k1");
 
-  CU_ASSERT_TRUE (credential_holds (&request));
+  CU_ASSERT_TRUE (credential_is_valid (&request));
   front.table = table_of (2, "alma", "k9");
-  CU_ASSERT_FALSE (credential_holds (&request));
-  CU_ASSERT_FALSE (credential_holds (&request));
+  CU_ASSERT_FALSE (credential_is_valid (&request));
+  CU_ASSERT_FALSE (credential_is_valid (&request));
   talloc_free (front.table);
   talloc_free (first);
 }
@@ -78,9 +78,9 @@
   struct RouteTable *first = front.table;
   struct Request request = request_of (&front, "k1");
 
-  CU_ASSERT_TRUE (credential_holds (&request));
+  CU_ASSERT_TRUE (credential_is_valid (&request));
   front.table = table_of (2, "bela", "k1");
-  CU_ASSERT_FALSE (credential_holds (&request));
+  CU_ASSERT_FALSE (credential_is_valid (&request));
   CU_ASSERT_STRING_EQUAL (request.customer.name, "alma");
   talloc_free (front.table);
   talloc_free (first);
@@ -94,9 +94,9 @@
   struct Front front = { .table = &without };
   struct Request request = request_of (&front, NULL);
 
-  CU_ASSERT_TRUE (credential_holds (&request));
+  CU_ASSERT_TRUE (credential_is_valid (&request));
   front.table = table_of (2, "alma", "k1");
-  CU_ASSERT_FALSE (credential_holds (&request));
+  CU_ASSERT_FALSE (credential_is_valid (&request));
   talloc_free (front.table);
 }
 
