--- a/gateway/credential.c
+++ b/gateway/credential.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* The customer whose key it is; NULL: nobody's. *needs_key: a request without one may not pass. */
+/* Returns the customer that owns the caller's key; NULL when there is none. Sets *needs_key when
+ * the request must not pass without a customer. */
 static const struct Customer *
 credential_customer (const struct Request *request, bool *needs_key)
 {
@@ -35,11 +36,11 @@
   switch (caller->credential)
     {
     case CREDENTIAL_NONE:
-      return "no key";
+      return "the request has no key";
     case CREDENTIAL_KEY:
-      return "a key that no customer has";
+      return "no customer has this key";
     case CREDENTIAL_UNREADABLE:
-      return "no single key can be read";
+      return "several keys, or a malformed one";
     }
   return "";
 }
--- a/gateway/credential.h
+++ b/gateway/credential.h
@@ -1,18 +1,19 @@
-/* Whose request it is, by the key that its caller shows. */
+/* Authentication of requests: maps the caller's key to a customer. */
 #pragma once
 
 #include "front.h"
 
-/* Looks the key up in the present configuration. False: the request needs a key, and its caller
- * shows none that a customer has. */
+/* Looks up the caller's key in the current configuration and sets the request's customer. Returns
+ * false when the request needs a key and the caller presents none that belongs to a customer. */
 bool
 credential_check (struct Request *request);
 
-/* What is wrong with what the caller shows, for the log; the key itself is never told. */
+/* Describes what is wrong with the caller's credential, for the log; never includes the key. */
 const char *
 credential_problem (const struct CallerRequest *caller);
 
-/* Guards against a key that was taken away while its request waited for a server: the request would
- * run for a customer who has withdrawn it. False: the key is not that customer's any more. */
+/* Rechecks the key after a configuration change, so that a request whose key was revoked while it
+ * waited for a server does not run. Returns false once the key no longer belongs to the same
+ * customer. */
 bool
 credential_is_valid (struct Request *request);
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -16,37 +16,38 @@
 
 enum
 {
-  /* While a planned stop runs: requests are still taken for this long, since callers keep an old
-   * list of addresses for a few seconds; what comes later is sent back. */
+  /* Requests are still accepted for this long after a planned stop was requested, since callers
+   * cache the list of addresses for a few seconds; later ones are rejected with Retry-After. */
   STOP_ACCEPT_MS = 3000,
-  /* A stop without requests in flight lasts this long, for callers with an old list. */
+  /* Minimum duration of a planned stop without requests in flight, for callers with an old list. */
   STOP_LINGER_MS = 5000,
-  /* Before the machine kills the process, what is left is answered. */
+  /* The process exits this long before the end of its grace period, when the platform would kill
+   * it, so that the remaining requests still get a response. */
   STOP_MARGIN_MS = 400,
-  /* Until the operators' configuration says otherwise. */
+  /* Limits of caller requests until a configuration is received. */
   INITIAL_HEADER_BYTES = 16 * 1024,
   INITIAL_BODY_BYTES = 4 * 1024 * 1024,
   INITIAL_HEADER_TIMEOUT_MS = 3000,
   INITIAL_IDLE_TIMEOUT_MS = 15000,
-  TICK_INTERVAL_MS = 250, /* half a heartbeat */
+  TICK_INTERVAL_MS = 250, /* half a heartbeat interval */
   DIGEST_INTERVAL_MS = 120,
-  FULL_DIGEST_TICKS = 4, /* times DIGEST_INTERVAL_MS: as often as heartbeats */
-  /* Where there are more processes than these, only the gateways of an engine's zone, who send
-   * there before others, get its digests: at 300 gateways with 9 engines each, all to all would
-   * be 1.4 MB a second at each of them. */
+  FULL_DIGEST_TICKS = 4, /* digest intervals between digests of all engines: a heartbeat interval */
+  /* With more peers than this, only the gateways of an engine's zone, which prefer it over engines
+   * of other zones, receive its digests: with 300 gateways and 9 engines each, sending all digests
+   * to all gateways would cost each of them 1.4 MB per second. */
   DIGESTS_TO_ALL_PEERS_MAX = 120,
-  /* From the start of the process: links to archives and peers are up within some 300 ms where
-   * 80 processes start together, on an eighth of a core. */
-  STARTING_MS = 1200,
+  /* How long after the start requests are deferred. Links to archives and peers are up within about
+   * 300 ms when 80 processes start together on an eighth of a core each. */
+  START_DEFER_MS = 1200,
   START_CHECK_MS = 20,
-  /* Own listeners: few, small and short. */
+  /* On each of the ready and directory listeners, whose requests are few, small and short. */
   OWN_CONNECTIONS_MAX = 1000,
-  /* A server's idle connection that has no stated end. */
+  /* How long an idle connection is reused when its server advertises no keep-alive timeout. */
   SERVER_IDLE_MS = 1000,
-  /* Of a server's connections that all gateways together may use. */
+  /* Share of a server's connection limit that all gateways together may use. */
   CONNECTIONS_USED_PERCENT = 90,
   SERVER_CONNECTIONS_MIN = 2,
-  SERVER_CONNECTIONS_MAX = 24 /* where nothing is configured */
+  SERVER_CONNECTIONS_MAX = 24 /* default per server */
 };
 
 static const struct HttpLimits initial_limits = {
@@ -66,7 +67,7 @@
   request_fail (request,
                 request->may_have_run || request->call != NULL ? FAILURE_TIMEOUT
                                                                : FAILURE_OUT_OF_TIME,
-                "its time is over");
+                "the deadline has passed");
 }
 
 static void
@@ -75,7 +76,7 @@
   struct Request *request = exchange->handler_data;
 
   log_request (LOG_LEVEL_INFO, "caller_left", request->caller.id, request->caller.program,
-               "%lld ms after its request",
+               "caller disconnected %lld ms after its request",
                (long long)(timer_now_ms (request->front->node->timers) - request->arrived_ms));
   counter_add (COUNTER_REQUESTS_LEFT, 1);
   if (request->n_tried == 0)
@@ -110,8 +111,8 @@
   return request;
 }
 
-/* A server takes so many connections from all callers together and resets the others: each gateway
- * has its share, and a margin for those that come and go. */
+/* Returns this gateway's share of a server's connections. A server resets connections beyond its
+ * limit for all clients together; the margin allows for gateways that start or stop. */
 static uint32_t
 connections_share (const struct Service *service, uint32_t n_gateways)
 {
@@ -123,7 +124,7 @@
   return share > SERVER_CONNECTIONS_MIN ? share : SERVER_CONNECTIONS_MIN;
 }
 
-/* The route that the request takes, and how long it may. */
+/* Finds the request's route and service, and sets its deadline. Returns false without a route. */
 static bool
 request_route (struct Request *request)
 {
@@ -132,7 +133,7 @@
   const struct Route *route =
       route_table_find (front->table, request->caller.host, exchange->target);
   const struct Service *service;
-  int64_t time_ms;
+  int64_t timeout_ms;
 
   if (route == NULL)
     return false;
@@ -153,17 +154,17 @@
                                      ? request->arrived_ms + request->caller.program_left_ms
                                      : INT64_MAX;
   request->connections_max = connections_share (service, front->n_gateways);
-  time_ms = route->timeout_ms;
-  if (request->caller.timeout_ms > 0 && request->caller.timeout_ms < time_ms)
-    time_ms = request->caller.timeout_ms;
-  request->deadline_ms = request->arrived_ms + time_ms;
+  timeout_ms = route->timeout_ms;
+  if (request->caller.timeout_ms > 0 && request->caller.timeout_ms < timeout_ms)
+    timeout_ms = request->caller.timeout_ms;
+  request->deadline_ms = request->arrived_ms + timeout_ms;
   request->timeout = timer_subscribe (request, front->node->timers,
                                       request->deadline_ms - timer_now_ms (front->node->timers), 0,
                                       request_on_timeout, request);
   return request->timeout != NULL;
 }
 
-/* A turn of a program has a budget that holds over all gateways, or is kept, or both. */
+/* A turn has a budget that is enforced across all gateways, or its answer is kept, or both. */
 static bool
 request_is_turn (const struct Request *request)
 {
@@ -181,7 +182,7 @@
 bool
 front_is_starting (const struct Front *front)
 {
-  return timer_now_ms (front->node->timers) - front->started_ms < STARTING_MS;
+  return timer_now_ms (front->node->timers) - front->started_ms < START_DEFER_MS;
 }
 
 static void
@@ -196,7 +197,7 @@
   front_dispatch (request);
 }
 
-/* Holds the request for a moment while the gateway starts, else it fails. */
+/* Defers the request for a moment while the gateway starts; fails it otherwise. */
 static void
 front_defer (struct Request *request, enum RequestFailure failure, const char *detail)
 {
@@ -209,7 +210,7 @@
     request_fail (request, failure, detail);
 }
 
-/* Without a key nobody learns which routes there are. */
+/* Checks the key first: a caller without a valid one must not find out which routes exist. */
 static void
 front_reject_unrouted (struct Request *request)
 {
@@ -235,18 +236,17 @@
   bool routed = request->timeout != NULL;
 
   if (front->table == NULL)
-    front_defer (request, FAILURE_NO_CONFIG, "started lately, and nobody could say");
+    front_defer (request, FAILURE_NO_CONFIG, "no configuration received since the start");
   else if (!routed && !request_route (request))
     front_reject_unrouted (request);
   else if (!credential_is_valid (request))
     request_fail (request, FAILURE_NO_KEY, credential_problem (&request->caller));
   else if (front->replicas->n_replicas == 0)
-    front_defer (request, FAILURE_NO_SERVER, "no server is listed");
+    front_defer (request, FAILURE_NO_SERVER, "the server list is empty");
   else if (request_is_turn (request) && !turn_may_start (front))
-    front_defer (request, FAILURE_UNCERTAIN, "too few archives answer, and no gateway can relay");
+    front_defer (request, FAILURE_UNCERTAIN, "too few archives respond, and no gateway can relay");
   else if (quotas_must_wait (request))
-    front_defer (request, FAILURE_UNCERTAIN,
-                 "started lately, and nobody has reported what customers use");
+    front_defer (request, FAILURE_UNCERTAIN, "no usage report received since the start");
   else if (quotas_admit (request))
     front_start (request);
 }
@@ -273,7 +273,7 @@
     front_dispatch (request);
 }
 
-/* Own paths. */
+/* The gateway's own paths. */
 
 bool
 front_is_ready (const struct Front *front)
@@ -301,7 +301,7 @@
     }
 }
 
-/* What the store says. */
+/* Snapshots of the store. */
 
 static void
 front_apply_routes (struct Front *front, const struct Snapshot *snapshot)
@@ -318,9 +318,9 @@
                      &text_bytes)
       != ERROR_NONE)
     {
-      log_event (LOG_LEVEL_ERROR, "configuration_unreadable", NULL,
-                 "bring the processes to one version", "%zu bytes do not inflate",
-                 snapshot->items[0].value_bytes);
+      log_event (
+          LOG_LEVEL_ERROR, "configuration_unreadable", NULL, "bring the processes to one version",
+          "%zu bytes of compressed configuration do not inflate", snapshot->items[0].value_bytes);
       return;
     }
   error = front->node->dialect->read_routes (front, text, text_bytes, &table, &fault);
@@ -331,7 +331,7 @@
                  fault.message);
       return;
     }
-  /* An old state that arrives late must not undo a newer one. */
+  /* An older configuration that arrives late must not replace a newer one. */
   if (front->table != NULL && table->version <= front->table->version)
     {
       talloc_free (table);
@@ -354,7 +354,7 @@
 
   while ((replica = replica_set_take_restarted (front->replicas)) != NULL)
     {
-      log_event (LOG_LEVEL_NOTICE, "server_restarted", NULL, NULL, "%s, started at %llu",
+      log_event (LOG_LEVEL_NOTICE, "server_restarted", NULL, NULL, "%s, start time %llu",
                  replica->entry.id, (unsigned long long)replica->entry.started_unix_ms);
       http_client_forget (front->client, replica->entry.address);
       slots_server_restarted (front->slots, replica->entry.id);
@@ -385,7 +385,8 @@
   if (n_changed > 0)
     log_event (LOG_LEVEL_INFO, "servers_changed", NULL, NULL,
                "%zu changes, %zu listed at revision %lld%s", n_changed, n,
-               (long long)snapshot->revision, after_gap ? ", first list after a gap" : "");
+               (long long)snapshot->revision,
+               after_gap ? ", first list after an outage of the store" : "");
   talloc_free (entries);
 }
 
@@ -524,24 +525,24 @@
   talloc_free (digests->items);
 }
 
-/* The gateways of the zone, who send to these engines before others, get digests of busy ones four
- * times as often as of all. Not the others: if all knew at once that one engine is idle, all would
- * send there; at 14 to 25 turns a second and engine, half a second is half of its queue. Days of
- * load of the two largest sheets then, worth: 0.672 and 0.800 every half second; 0.711 and 0.851
- * with all engines every 120 ms; 0.859 to 0.885 and 0.874 with the busy ones (one or two runs
- * each). */
+/* Sends the gateways of the zone, which prefer its engines, digests of busy engines four times as
+ * often as of all engines: at 14 to 25 turns per second and engine, half a second is half of its
+ * queue. Idle engines are left out of the frequent digests, since every gateway would send to an
+ * engine as soon as it is reported idle. Scores in simulated days of load on the two largest
+ * deployments: 0.672 and 0.800 with digests every 500 ms; 0.711 and 0.851 with all engines every
+ * 120 ms; 0.859 to 0.885 and 0.874 with busy engines every 120 ms (one or two runs each). */
 static void
 front_on_digest_tick (void *data)
 {
   struct Front *front = data;
-  bool all = front->n_digest_ticks++ % FULL_DIGEST_TICKS == 0;
-  bool few = front->node->peers->n_peers <= DIGESTS_TO_ALL_PEERS_MAX;
+  bool full = front->n_digest_ticks++ % FULL_DIGEST_TICKS == 0;
+  bool to_all = front->node->peers->n_peers <= DIGESTS_TO_ALL_PEERS_MAX;
 
-  front_send_digests (front, !all, all && few ? PEERS_GATEWAYS : PEERS_GATEWAYS_OF_ZONE);
+  front_send_digests (front, !full, full && to_all ? PEERS_GATEWAYS : PEERS_GATEWAYS_OF_ZONE);
 }
 
-/* What others have on their way to servers that have no owner: the sum that the aggregator sends
- * has this process's own in it, as it reported them last. */
+/* Updates the numbers of requests that other gateways have in flight to servers without an owner.
+ * Sums received from an aggregator include this gateway's own requests as it last reported them. */
 static void
 front_sum_loads (struct Front *front)
 {
--- a/tests/test_credential.c
+++ b/tests/test_credential.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static struct RouteTable *
-table_of (uint64_t version, const char *customer, const char *key)
+make_table (uint64_t version, const char *customer, const char *key)
 {
   struct RouteTable *table = talloc_zero (NULL, struct RouteTable);
   struct Customer entry = { .priority = 3 };
@@ -21,7 +21,7 @@
 }
 
 static struct Request
-request_of (struct Front *front, const char *key)
+make_request (struct Front *front, const char *key)
 {
   struct Request request = { .front = front };
 
@@ -32,11 +32,11 @@
 }
 
 static void
-test_a_key_says_whose_a_request_is (void)
+test_key_identifies_customer (void)
 {
-  struct Front front = { .table = table_of (1, "alma", "k1") };
-  struct Request known = request_of (&front, "k1"), unknown = request_of (&front, "k2");
-  struct Request none = request_of (&front, NULL), open = request_of (&front, NULL);
+  struct Front front = { .table = make_table (1, "alma", "k1") };
+  struct Request known = make_request (&front, "k1"), unknown = make_request (&front, "k2");
+  struct Request none = make_request (&front, NULL), open = make_request (&front, NULL);
 
   CU_ASSERT_TRUE (credential_is_valid (&known));
   CU_ASSERT_STRING_EQUAL (known.customer.name, "alma");
@@ -49,62 +49,61 @@
   talloc_free (front.table);
 }
 
-/* A turn waits for its engine while the operators take its caller's key away. The engine's owner
- * lets it go, the key is found gone, and the turn is offered to the next server: asked a second
- * time about the same configuration, the check must not forget what it found. It ran there, for
- * nobody.
- */
+/* Guards against a turn that runs after its key was revoked: the operators revoke the key while the
+ * turn waits for an engine, the check after the slot grant fails, and the turn is sent to the next
+ * server. A second check against the same configuration returned true, and the turn ran without a
+ * customer. */
 static void
-test_a_key_that_is_gone_stays_gone (void)
+test_revoked_key_stays_invalid (void)
 {
-  struct Front front = { .table = table_of (1, "alma", "k1") };
+  struct Front front = { .table = make_table (1, "alma", "k1") };
   struct RouteTable *first = front.table;
-  struct Request request = request_of (&front, "k1");
+  struct Request request = make_request (&front, "k1");
 
   CU_ASSERT_TRUE (credential_is_valid (&request));
-  front.table = table_of (2, "alma", "k9");
+  front.table = make_table (2, "alma", "k9");
   CU_ASSERT_FALSE (credential_is_valid (&request));
   CU_ASSERT_FALSE (credential_is_valid (&request));
   talloc_free (front.table);
   talloc_free (first);
 }
 
-/* The key goes to another customer while the turn waits: what was reserved under the first one's
- * name does not run under the second's. */
+/* The key is assigned to another customer while the turn waits: the reservation was made for the
+ * first customer, so the turn must not run for the second. */
 static void
-test_a_key_that_moves_takes_no_request_along (void)
+test_reassigned_key_invalidates_request (void)
 {
-  struct Front front = { .table = table_of (1, "alma", "k1") };
+  struct Front front = { .table = make_table (1, "alma", "k1") };
   struct RouteTable *first = front.table;
-  struct Request request = request_of (&front, "k1");
+  struct Request request = make_request (&front, "k1");
 
   CU_ASSERT_TRUE (credential_is_valid (&request));
-  front.table = table_of (2, "bela", "k1");
+  front.table = make_table (2, "bela", "k1");
   CU_ASSERT_FALSE (credential_is_valid (&request));
   CU_ASSERT_STRING_EQUAL (request.customer.name, "alma");
   talloc_free (front.table);
   talloc_free (first);
 }
 
-/* The first configuration with customers comes while a request waits that needed no key so far. */
+/* The first configuration with customers arrives while a request without a key waits. */
 static void
-test_customers_that_are_new_ask_for_keys (void)
+test_new_customers_require_keys (void)
 {
   struct RouteTable without = { .version = 1 };
   struct Front front = { .table = &without };
-  struct Request request = request_of (&front, NULL);
+  struct Request request = make_request (&front, NULL);
 
   CU_ASSERT_TRUE (credential_is_valid (&request));
-  front.table = table_of (2, "alma", "k1");
+  front.table = make_table (2, "alma", "k1");
   CU_ASSERT_FALSE (credential_is_valid (&request));
   talloc_free (front.table);
 }
 
 const char test_suite_name[] = "credential";
 const struct TestCase test_cases[] = {
-  { "a key says whose a request is", test_a_key_says_whose_a_request_is },
-  { "a key that is gone stays gone", test_a_key_that_is_gone_stays_gone },
-  { "a key that moves takes no request along", test_a_key_that_moves_takes_no_request_along },
-  { "customers that are new ask for keys", test_customers_that_are_new_ask_for_keys },
+  { "a key identifies the customer", test_key_identifies_customer },
+  { "a revoked key stays invalid", test_revoked_key_stays_invalid },
+  { "a reassigned key invalidates the request", test_reassigned_key_invalidates_request },
+  { "new customers require keys", test_new_customers_require_keys },
   { NULL, NULL },
 };
