--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  ANSWER_MAX_BYTES = 8 * 1024 * 1024 /* of one that is kept until it is whole */
+  ANSWER_MAX_BYTES = 8 * 1024 * 1024 /* body of a response that is buffered until complete */
 };
 
 static bool
@@ -34,12 +34,12 @@
   request->may_have_run = true;
   request->streaming =
       request->route.kind == ROUTE_STREAM && answer_is_success (request) && request->answer.genuine;
-  /* A run that goes on with a stream that broke off keeps the headers of the first. */
+  /* A resumed stream keeps the headers of the first server's response. */
   if (http_exchange_has_begun (request->exchange))
     return;
   if (dialect->forward_headers (request, head, &request->answer_headers) != ERROR_NONE)
     {
-      request_fail (request, FAILURE_BROKEN, "no memory for the answer");
+      request_fail (request, FAILURE_BROKEN, "out of memory for the response headers");
       return;
     }
   if (request->streaming)
@@ -57,26 +57,27 @@
   http_exchange_write (request->exchange, bytes, n_bytes);
 }
 
-/* Of a stream that may go on at another server only whole events are handed out: half of one that
- * breaks off could not be taken back. */
+/* Forwards only complete events of a stream that may be resumed at another server: a partial event
+ * could not be retracted if the stream were interrupted. */
 static void
 stream_forward_whole_events (struct Request *request, const uint8_t *bytes, size_t n_bytes)
 {
-  size_t n_whole;
+  size_t n_complete;
 
   if (byte_queue_add (request, &request->partial_event, bytes, n_bytes) != ERROR_NONE)
     {
-      request_fail (request, FAILURE_BROKEN, "no memory for the stream");
+      request_fail (request, FAILURE_BROKEN, "out of memory for an event of the stream");
       return;
     }
   if (request->events.goes_back)
     {
-      request_fail (request, FAILURE_BROKEN, "the server began the stream anew");
+      request_fail (request, FAILURE_BROKEN,
+                    "the server repeated events that were already forwarded");
       return;
     }
-  n_whole = byte_queue_length (&request->partial_event) - request->events.open_bytes;
-  stream_forward (request, byte_queue_head (&request->partial_event), n_whole);
-  byte_queue_drop (&request->partial_event, n_whole);
+  n_complete = byte_queue_length (&request->partial_event) - request->events.open_bytes;
+  stream_forward (request, byte_queue_head (&request->partial_event), n_complete);
+  byte_queue_drop (&request->partial_event, n_complete);
 }
 
 static void
@@ -90,11 +91,11 @@
     {
       if (byte_queue_length (&request->answer_body) + n_bytes > ANSWER_MAX_BYTES
           || byte_queue_add (request, &request->answer_body, bytes, n_bytes) != ERROR_NONE)
-        request_fail (request, FAILURE_BROKEN, "the answer is too large to be kept");
+        request_fail (request, FAILURE_BROKEN, "the response is too large to buffer");
       return;
     }
   if (event_stream_take (request, &request->events, bytes, n_bytes) != ERROR_NONE)
-    request_fail (request, FAILURE_BROKEN, "no memory for the stream");
+    request_fail (request, FAILURE_BROKEN, "out of memory for the stream");
   else if (request->route.resumable)
     stream_forward_whole_events (request, bytes, n_bytes);
   else
@@ -133,7 +134,7 @@
   request_end (request);
 }
 
-/* The stream is whole. Bytes after its last event are part of the answer. */
+/* Forwards any bytes after the last event, too: they are part of the response. */
 static void
 request_on_stream_complete (struct Request *request)
 {
@@ -157,37 +158,37 @@
   if (request->streaming)
     request_on_stream_complete (request);
   else if (http_exchange_has_begun (request->exchange))
-    request_fail (request, FAILURE_BROKEN, "the next server did not go on with the stream");
+    request_fail (request, FAILURE_BROKEN, "the server did not resume the stream");
   else if (answer_is_success (request) && !request->answer.genuine)
     {
-      /* A success without the server's proof is not its answer: a spoiled one is never passed on.
-       */
+      /* A success without a valid proof from the server may be corrupted and is never forwarded. */
       if (request_claim_repeat (request))
-        request_retry (request, "an answer without proof");
+        request_retry (request, "the response has no valid proof");
       else
-        request_fail (request, FAILURE_BROKEN, "an answer without proof");
+        request_fail (request, FAILURE_BROKEN, "the response has no valid proof");
     }
   else if (request->answer.status >= 500 && request_claim_repeat (request))
-    request_retry (request, "the server failed");
+    request_retry (request, "the server replied with a 5xx status");
   else
     request_finish_response (request);
 }
 
-/* The stream goes on at another server, after the last event that was handed out. */
+/* Resumes the stream at another server, after the last event that was forwarded. */
 static void
 request_resume (struct Request *request)
 {
   log_request (LOG_LEVEL_INFO, "stream_resumed", request->caller.id, request->caller.program,
-               "%s broke off after %u events, the last %llu: another one goes on",
+               "%s: interrupted after %u events, last event id %llu; resuming at another server",
                request->tried[request->n_tried - 1], request->events.n_events,
                (unsigned long long)request->events.last_id);
   counter_add (COUNTER_STREAMS_RESUMED, 1);
   event_stream_resume (&request->events);
   byte_queue_drop (&request->partial_event, byte_queue_length (&request->partial_event));
-  request_retry (request, "the stream broke off");
+  request_retry (request, "the stream was interrupted");
 }
 
-/* The server's own failure; not the end of the request's time, which is the caller's. */
+/* Returns true for a failure of the server. A 504 only reports that the request's deadline, which
+ * the caller or the route sets, has passed. */
 static bool
 answer_is_failure (const struct ReplicaAnswer *answer)
 {
@@ -206,7 +207,7 @@
     {
       replica_note_failure (replica, now_ms);
       attempt_release (request);
-      request_retry (request, "the server could not be reached");
+      request_retry (request, "could not connect to the server");
       return;
     }
   if (request->refused)
@@ -214,7 +215,7 @@
       if (request->answer.status == 503 || request->answer.status == 429)
         replica_note_full (replica, now_ms);
       attempt_release (request);
-      request_retry (request, "the server refused it");
+      request_retry (request, "the server refused the request");
       return;
     }
   if (end != HTTP_END_WHOLE)
@@ -236,7 +237,7 @@
     request_retry (request, "the connection broke");
   else
     request_fail (request, FAILURE_BROKEN,
-                  end == HTTP_END_BROKEN ? "the connection broke" : "the answer is malformed");
+                  end == HTTP_END_BROKEN ? "the connection broke" : "the response is malformed");
 }
 
 struct HttpCallHandler
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -12,15 +12,15 @@
 
 enum
 {
-  /* New connection to a server in another zone: some milliseconds; a lost opening packet is sent
-   * again after a second, another server is quicker. */
+  /* Connecting to a server in another zone takes a few milliseconds; TCP retransmits a lost SYN
+   * only after a second, so trying another server is faster. */
   CONNECT_TIMEOUT_MS = 400,
-  /* A server is not asked for an answer in less time than this. */
-  SHORTEST_ATTEMPT_MS = 20
+  /* No attempt is started with less time than this before the deadline. */
+  ATTEMPT_MIN_MS = 20
 };
 
-/* When to come back, in seconds. Refusals for want of certainty pass within a heartbeat or two;
- * full servers free a slot within a fraction of a turn. */
+/* Retry-After in seconds. A missing configuration or quorum of archives is resolved within one or
+ * two heartbeats; a full server frees a slot within a fraction of a turn. */
 #define RETRY_AFTER_SHORT "0.1"
 #define RETRY_AFTER_UNCERTAIN "0.3"
 
@@ -111,20 +111,21 @@
   talloc_free (request);
 }
 
-/* Sends the caller the failure's answer; retry_after in seconds, NULL for none. */
+/* Sends the failure's response to the caller and ends the request; retry_after is in seconds, NULL
+ * for none. */
 static void
 request_fail_with_retry (struct Request *request,
                          enum RequestFailure failure,
                          const char *retry_after,
                          const char *detail)
 {
-  const struct FailureReply *words = &failure_words[failure];
+  const struct FailureReply *reply = &failure_words[failure];
   struct HttpExchange *exchange = request->exchange;
   struct HttpHeader items[2];
   struct HttpHeaders headers = { items, 0 };
 
   log_request (
-      words->level, words->name, request->caller.id, request->caller.program,
+      reply->level, reply->name, request->caller.id, request->caller.program,
       "route %s, service %s, customer %s, configuration %llu, %lld ms left, %zu servers tried%s: "
       "%s",
       request->route.name, request->service,
@@ -134,11 +135,11 @@
       request->may_have_run ? ", may have run" : "", detail);
   if (retry_after != NULL)
     items[headers.n_items++] = (struct HttpHeader){ "Retry-After", retry_after };
-  if (words->status == 401)
+  if (reply->status == 401)
     items[headers.n_items++] = (struct HttpHeader){ "WWW-Authenticate", "Bearer" };
   if (!request->may_have_run && request->call == NULL)
     quotas_refund (request);
-  request_record_failed (request, words->status);
+  request_record_failed (request, reply->status);
   if (request->turn != NULL)
     turn_abandon (request);
   request->exchange = NULL;
@@ -148,7 +149,7 @@
       if (http_exchange_has_begun (exchange))
         http_exchange_abort (exchange);
       else
-        http_exchange_answer (exchange, words->status, &headers, NULL, 0);
+        http_exchange_answer (exchange, reply->status, &headers, NULL, 0);
     }
   request_end (request);
 }
@@ -182,7 +183,7 @@
 {
   char detail[96];
 
-  snprintf (detail, sizeof detail, "%s would take it in %u ms", request->replica->entry.id,
+  snprintf (detail, sizeof detail, "%s is busy for another %u ms", request->replica->entry.id,
             wait_ms);
   request_fail_with_wait_ms (request, FAILURE_BUSY, wait_ms, detail);
 }
@@ -194,7 +195,7 @@
   request->answer_headers.n_items = 0;
   byte_queue_drop (&request->answer_body, byte_queue_length (&request->answer_body));
   request->refused = false;
-  if (request_remaining_ms (request) < SHORTEST_ATTEMPT_MS)
+  if (request_remaining_ms (request) < ATTEMPT_MIN_MS)
     request_fail (request, request->may_have_run ? FAILURE_TIMEOUT : FAILURE_OUT_OF_TIME, detail);
   else if (request->n_tried == TRIED_MAX || request->n_sent >= request->route.max_attempts)
     request_fail (request, request->may_have_run ? FAILURE_BROKEN : FAILURE_NO_SERVER, detail);
@@ -206,7 +207,7 @@
 request_claim_attempt (struct Request *request)
 {
   return request->n_sent < request->route.max_attempts && request->n_tried < TRIED_MAX
-         && request_remaining_ms (request) >= SHORTEST_ATTEMPT_MS
+         && request_remaining_ms (request) >= ATTEMPT_MIN_MS
          && retry_allowance_take (&request->front->retries);
 }
 
@@ -250,7 +251,7 @@
   return replica_set_choose (front->replicas, &query);
 }
 
-/* False when there was no connection to be had. */
+/* Returns false when no connection is available. */
 static bool
 request_submit (struct Request *request, struct Replica *replica)
 {
@@ -272,7 +273,7 @@
     .connect_timeout_ms = CONNECT_TIMEOUT_MS,
     .connections_max = request->connections_max,
   };
-  char resume_after[24]; /* a number of 64 bits */
+  char resume_after[24]; /* fits a 64-bit decimal number */
   char *head;
 
   if (request->route.resumable)
@@ -293,8 +294,8 @@
   return request->call != NULL;
 }
 
-/* The server is silent for longer than a sound one would be: the answer may be lost, or the server
- * stuck. The first attempt is given up, so that at most one works on. */
+/* The server has been silent for longer than a healthy one: its response may be lost, or the server
+ * may be stuck. Cancels this attempt first, so that at most one attempt runs at a time. */
 static void
 request_on_silence (void *data)
 {
@@ -309,29 +310,29 @@
     }
   request->may_have_run = true;
   log_request (LOG_LEVEL_INFO, "server_silent", request->caller.id, request->caller.program,
-               "%s, %lld ms left: another one is asked", request->replica->entry.id,
-               (long long)request_remaining_ms (request));
+               "%s sent no response, %lld ms left: trying another server",
+               request->replica->entry.id, (long long)request_remaining_ms (request));
   replica_note_failure (request->replica, timer_now_ms (request->front->node->timers));
   TALLOC_FREE (request->call);
   attempt_release (request);
-  request_retry (request, "the server was silent");
+  request_retry (request, "the server sent no response in time");
 }
 
 static void
 request_start_silence_timer (struct Request *request)
 {
-  int64_t patience_ms;
+  int64_t timeout_ms;
 
   if (!request->front->node->settings->decisions.patience || request->route.kind != ROUTE_REPEATABLE
       || request->n_sent + 1 >= request->route.max_attempts)
     return;
-  patience_ms = retry_patience_ms (request->route.objective_ms, request_remaining_ms (request));
-  if (patience_ms > 0)
-    request->silence_timer = timer_subscribe (request, request->front->node->timers, patience_ms, 0,
+  timeout_ms = retry_patience_ms (request->route.objective_ms, request_remaining_ms (request));
+  if (timeout_ms > 0)
+    request->silence_timer = timer_subscribe (request, request->front->node->timers, timeout_ms, 0,
                                               request_on_silence, request);
 }
 
-/* Sends the request to .replica; false when there was no connection to be had. */
+/* Sends the request to .replica. Returns false when no connection is available. */
 static bool
 request_send_to_replica (struct Request *request)
 {
@@ -351,8 +352,8 @@
 void
 request_granted (struct Request *request)
 {
-  /* While it waited, the server may have begun to leave, or used up its connections, or its key was
-   * taken away. */
+  /* While the request waited, the server may have started to drain or used up its connections, or
+   * the key may have been revoked. */
   if (!request->replica->entry.draining && credential_is_valid (request)
       && request_send_to_replica (request))
     return;
@@ -365,7 +366,7 @@
 {
   if (!credential_is_valid (request))
     {
-      request_fail (request, FAILURE_NO_KEY, "its key was taken away while it waited");
+      request_fail (request, FAILURE_NO_KEY, "the key was revoked while the request waited");
       return;
     }
   while (request->n_tried < TRIED_MAX)
@@ -386,5 +387,6 @@
       attempt_release (request);
     }
   request_fail (request, request->may_have_run ? FAILURE_BROKEN : FAILURE_NO_SERVER,
-                request->n_tried > 0 ? "all servers refused it" : "no server is listed");
+                request->n_tried > 0 ? "every server refused the request"
+                                     : "the server list is empty");
 }
--- a/gateway/request.h
+++ b/gateway/request.h
@@ -1,34 +1,37 @@
-/* One request's attempts at servers; request.c sends and ends them, answer.c takes what comes back.
- */
+/* Attempts at servers: request.c sends and ends them, answer.c handles the responses. */
 #pragma once
 
 #include "front.h"
 
 #include <buckthornhead/histogram.h>
 
-/* What the client calls as the server's answer comes. */
+/* Returns the HTTP client's callbacks for the server's response. */
 struct HttpCallHandler
 response_handler (struct Request *request);
 
+/* Counts a complete response to the caller and adds its duration to histogram. */
 void
 request_record_answered (const struct Request *request, enum Histogram histogram);
 
-/* The attempt at a server is over, one way or the other. */
+/* Ends the current attempt, with any outcome: releases its slot and its server. */
 void
 attempt_release (struct Request *request);
 
-/* The next server, after an attempt that did not run, or that may be made again. */
+/* Tries the next server after an attempt that did not run or may be repeated; fails the request
+ * when too little time or no attempt is left. */
 void
 request_retry (struct Request *request, const char *detail);
 
-/* Whether an attempt that may have run may be made again; takes a retry from the allowance. */
+/* Returns true when an attempt that may have run may be repeated, and then takes a retry from the
+ * allowance. */
 bool
 request_claim_repeat (struct Request *request);
 
-/* Whether a stream that broke off may go on at another server; takes a retry, too. */
+/* Returns true when an interrupted stream may be resumed at another server, and then takes a retry
+ * from the allowance. */
 bool
 request_claim_resume (struct Request *request);
 
-/* Time since the caller's request was whole. */
+/* Returns the time since the request was received completely. */
 int64_t
 request_elapsed_ms (const struct Request *request);
