--- a/gateway/metrics.c
+++ b/gateway/metrics.c
@@ -12,12 +12,12 @@
 
 enum
 {
-  /* The monitoring's own requests: a few collectors, small and short. */
+  /* Limits for monitoring clients: a few collectors with small, short requests. */
   CONNECTIONS_MAX = 16,
   HEADER_MAX_BYTES = 8 * 1024,
   BODY_MAX_BYTES = 1024,
   HEADER_TIMEOUT_MS = 3000,
-  /* Collectors ask every 5 to 60 s: a kept connection between two of them gains nothing. */
+  /* Collectors scrape every 5 to 60 s: keeping the connection open in between gains nothing. */
   IDLE_TIMEOUT_MS = 10 * 1000
 };
 
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -10,18 +10,19 @@
 
 enum
 {
-  CHECK_INTERVAL_MS = 100, /* between two looks at what was told */
-  /* Between two tellings, by urgency: as heartbeats; when what passes meanwhile counts; and while
-   * all let a surge through that do not know of it. */
+  CHECK_INTERVAL_MS = 100, /* between two checks of received usage reports */
+  /* Between two usage reports, by urgency: as often as heartbeats when no customer is near its
+   * limit; more often when requests admitted in between matter; and most often during a surge,
+   * which every gateway admits until it has received a report of it. */
   REPORT_INTERVAL_MS = 500,
   REPORT_NEAR_LIMIT_MS = 300,
   REPORT_SURGE_MS = 100,
-  FLEET_CHECK_EVERY = 6, /* who there is changes less often */
-  /* After a start a gateway tells each time it looks: when all have stopped, nobody knows what was
-   * spent until they have told each other, and callers all come again. */
-  STARTING_MS = 3000,
-  SMALL_FLEET = 4,
-  /* Other gateways are known and none was heard for this long: they are cut off, or this one is. */
+  FLEET_CHECK_EVERY = 6, /* checks; the set of gateways changes less often than usage */
+  /* After its start a gateway reports at each check: after a stop of all gateways, none has the
+   * usage of the others until they have reported, while all callers retry. */
+  START_REPORT_MS = 3000,
+  SMALL_FLEET_MAX = 4, /* gateways, including this one */
+  /* With others known, this gateway counts as cut off after this long without a usage report. */
   CUT_OFF_MS = 2500
 };
 
@@ -29,9 +30,9 @@
 {
   struct Front *front;
   struct QuotaLedger *ledger;
-  struct UseBoard *usage_table;
-  int64_t reported_ms;       /* own use */
-  int64_t fleet_reported_ms; /* sums, as an aggregator */
+  struct UseBoard *usage_table; /* reports of the other gateways */
+  int64_t reported_ms;          /* last report of own usage */
+  int64_t fleet_reported_ms;    /* last report of sums, as an aggregator */
   enum QuotaUrgency urgency;
   uint32_t n_checks;
 };
@@ -48,14 +49,14 @@
   return quotas->front->table != NULL ? quotas->front->table->customers : NULL;
 }
 
-/* Asking. */
+/* Admission. */
 
 static enum QuotaAsk
 quota_ask_kind (const struct Request *request)
 {
   if (request->route.keeps_turns)
     return request->caller.previous[0] == '\0' ? QUOTA_ASK_BEGIN : QUOTA_ASK_UNDER_WAY;
-  /* Where turns are not kept, nothing tells a program's first turn from its others. */
+  /* Without kept turns, a program's first turn cannot be distinguished from later ones. */
   if (request->caller.program[0] == '\0' || request->route.kind == ROUTE_STREAM)
     return QUOTA_ASK_SINGLE;
   return QUOTA_ASK_UNDER_WAY;
@@ -95,12 +96,12 @@
   counter_add (COUNTER_REQUESTS_OVER_LIMIT, 1);
   if (verdict.first)
     log_event (LOG_LEVEL_NOTICE, "customer_over_limit", NULL,
-               "raise its limit, or tell the customer",
-               "%s: limit %u a window, %u taken as told %lld ms ago, programs need %.1f requests",
+               "raise the customer's limit, or inform the customer",
+               "%s: limit %u per window, %u taken as told %lld ms ago, %.1f requests per program",
                request->customer.name, verdict.limit, verdict.fleet_taken,
                (long long)verdict.report_age_ms, quota_ledger_need (quotas->ledger));
   snprintf (detail, sizeof detail,
-            "customer %s: limit %u a window, %u taken as told %lld ms ago, %u of 1000 pass",
+            "customer %s: limit %u per window, %u taken as told %lld ms ago, %u of 1000 pass",
             request->customer.name, verdict.limit, verdict.fleet_taken,
             (long long)verdict.report_age_ms, verdict.permille);
   request_over_limit (request, verdict.retry_after_ms, detail);
@@ -119,15 +120,15 @@
   request->admitted_ms = 0;
 }
 
-/* Telling. */
+/* Usage reports. */
 
-/* After a start; and in a small fleet, where each gateway sees much of a surge, and words are few.
- */
+/* Returns true while usage is reported at each check: after the start, and in a small fleet, where
+ * each gateway receives a large part of a surge and few messages are needed. */
 static bool
 quotas_reports_often (const struct Quotas *quotas, int64_t now_ms)
 {
-  return now_ms - quotas->front->started_ms < STARTING_MS
-         || quotas->front->n_gateways <= SMALL_FLEET;
+  return now_ms - quotas->front->started_ms < START_REPORT_MS
+         || quotas->front->n_gateways <= SMALL_FLEET_MAX;
 }
 
 static int64_t
@@ -164,8 +165,8 @@
   node_send_some (node, &message, to);
 }
 
-/* As an aggregator: the zone's sum to other zones, the fleet's to the members. At once when a surge
- * begins. */
+/* As an aggregator, sends the zone's sum to the other zones and the fleet's sum to the members of
+ * the zone; without delay when a surge begins. */
 static void
 quotas_send_sums (struct Quotas *quotas,
                   struct CustomerUse *own,
@@ -186,7 +187,7 @@
   quotas_send (quotas, USE_OF_FLEET, fleet, n_fleet, PEERS_SERVED);
 }
 
-/* What the fleet used, from what reports here. */
+/* As an aggregator, sums the usage of the fleet from the reports received. */
 static void
 quotas_sum_usage (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
 {
@@ -202,7 +203,7 @@
   quotas_send_sums (quotas, own, n_own, fleet, n_fleet, now_ms);
 }
 
-/* The same, as an aggregator said. */
+/* Applies the usage of the fleet as an aggregator reported it. */
 static void
 quotas_apply_report (struct Quotas *quotas, int64_t now_ms)
 {
@@ -217,7 +218,8 @@
   quotas->urgency = quota_ledger_urgency (quotas->ledger, report->uses, report->n_uses);
 }
 
-/* Those that are leaving take no callers any more. */
+/* Updates the numbers of known and live gateways. Gateways that are leaving accept no callers and
+ * are not counted. */
 static void
 quotas_update_fleet (struct Quotas *quotas, int64_t now_ms)
 {
@@ -267,18 +269,18 @@
   talloc_free (own);
 }
 
-/* In a hurry at each look, else at every second one. */
+/* Checks at each tick during a surge or while reports are frequent, else at every second tick. */
 static void
 quotas_on_timer (void *data)
 {
   struct Quotas *quotas = data;
   int64_t now_ms = quotas_now_ms (quotas);
-  bool hurries = quotas->urgency == QUOTA_SURGE || quotas_reports_often (quotas, now_ms);
-  uint32_t look = quotas->n_checks++;
+  bool often = quotas->urgency == QUOTA_SURGE || quotas_reports_often (quotas, now_ms);
+  uint32_t check = quotas->n_checks++;
 
-  if (quotas_customers (quotas) == NULL || (!hurries && look % 2 != 0))
+  if (quotas_customers (quotas) == NULL || (!often && check % 2 != 0))
     return;
-  if (hurries || look % FLEET_CHECK_EVERY == 0)
+  if (often || check % FLEET_CHECK_EVERY == 0)
     quotas_update_fleet (quotas, now_ms);
   quotas_check (quotas, now_ms);
 }
--- a/gateway/quotas.h
+++ b/gateway/quotas.h
@@ -1,4 +1,5 @@
-/* Customers' limits: asks the ledger for each request, and tells the other gateways of use. */
+/* Enforces customers' limits: checks each request against the quota ledger and exchanges usage
+ * reports with the other gateways. */
 #pragma once
 
 #include "front.h"
@@ -6,28 +7,29 @@
 struct Quotas *
 quotas_new (struct Front *front);
 
-/* The configuration has changed. */
+/* Applies a new configuration. */
 void
 quotas_configure (struct Quotas *quotas);
 
-/* A program that begins waits until this gateway, which has just started, has heard of the fleet.
- */
+/* Counts the request as demand, and returns true while it must wait: a program's first request
+ * waits at a gateway that has just started until the usage of the fleet has been reported. */
 bool
 quotas_must_wait (struct Request *request);
 
-/* Counts the request against its customer's limit, once. False: it is over the limit and was sent
- * back; it exists no more. */
+/* Counts the request against its customer's limit, once. Returns false when it exceeds the limit:
+ * it was then rejected and freed. */
 bool
 quotas_admit (struct Request *request);
 
-/* The request ends without having run: its place in the limit is free again. */
+/* Returns the request's share of the limit when it ends without having run. */
 void
 quotas_refund (struct Request *request);
 
-/* How customers stand with their limits, as JSON; belongs to ctx. NULL without memory. */
+/* Returns the customers' usage against their limits as JSON, allocated on ctx; NULL when out of
+ * memory. */
 char *
 quotas_render (struct Quotas *quotas, TALLOC_CTX *ctx);
 
-/* Another gateway told of its use, or of the sum of several. */
+/* Handles a usage report from sender: its own usage, or the sum of several gateways. */
 void
 quotas_on_report (struct Quotas *quotas, const char *sender, const struct UseReport *report);
