--- a/gateway/relay.c
+++ b/gateway/relay.c
@@ -5,17 +5,17 @@
 
 enum
 {
-  /* Questions that came relayed and are not answered yet; an answer takes milliseconds. */
+  /* Relayed requests whose senders are remembered; a response takes milliseconds. */
   ORIGINS_MAX = 4096
 };
 
-/* Ids of relayed links have this bit; those of real ones count up from a small number. */
+/* Set in the ids of relayed links; ids of real links count up from a small number. */
 #define RELAYED_BIT (1ULL << 62)
 
-/* Where the answer to a relayed question goes. */
+/* Where to send the response to a relayed request. */
 struct RelayOrigin
 {
-  uint64_t link; /* of the gateway that relays */
+  uint64_t link; /* to the relaying gateway */
   char from[NAME_MAX_BYTES + 1];
 };
 
@@ -62,9 +62,9 @@
   return error;
 }
 
-/* The next gateway, after place *at in the list of peers, that says it reaches the archives. Two
- * that are cut off together both say so until their next heartbeat, so that each try takes another.
- */
+/* Returns the next gateway, from position *at in the list of peers, that advertises that it reaches
+ * the archives; NULL when there is none. Gateways that were just cut off together advertise it
+ * until their next heartbeat, so each try uses another one. */
 static const struct Peer *
 relay_next (const struct Node *node, size_t *at)
 {
@@ -110,7 +110,7 @@
   uint64_t slot = link & ~RELAYED_BIT;
   const struct RelayOrigin *origin = &origins[slot % ORIGINS_MAX];
 
-  /* So many came since that this one's place is taken: its asker asks again. */
+  /* Newer requests have reused this entry; the requester retries. */
   if (n_origins - slot > ORIGINS_MAX)
     return ERROR_UNREACHABLE;
   return relay_wrap_message (node, origin->link, origin->from, message);
--- a/gateway/relay.h
+++ b/gateway/relay.h
@@ -1,24 +1,26 @@
-/* Messages to a process that can not be reached directly, through a gateway that can.
+/* Relays messages to a process that is not directly reachable through a gateway that reaches it.
  *
- * A partition often cuts a gateway off from the archives and not from the other gateways: its
- * callers would be sent back for as long as it lasts. The relaying gateway keeps nothing: question
- * and answer each name both ends. */
+ * A network partition often cuts a gateway off from the archives but not from the other gateways;
+ * without a relay it would reject its callers for as long as the partition lasts. The relaying
+ * gateway keeps no state: request and response each name both endpoints. */
 #pragma once
 
 #include "node.h"
 
-/* Sends message to peer through other gateways, two at a time: questions on turns may arrive twice.
- * ERROR_UNREACHABLE when none can help. */
+/* Sends message to peer through two other gateways, since turn messages may arrive twice without
+ * harm. Returns ERROR_UNREACHABLE when no gateway can relay. */
 int32_t
 relay_send (struct Node *node, const char *peer, const struct GatewayMessage *message);
 
-/* A relayed message came over link: passed on, or unpacked and delivered. */
+/* Handles a relayed message that arrived on link: forwards it, or unpacks and delivers it. */
 void
 relay_take (struct Node *node, uint64_t link, const struct Relay *relay);
 
-/* The link to answer on, as handlers get it: relayed ones have ids of their own. */
+/* Returns true when link, as passed to message handlers, identifies the sender of a relayed
+ * message. */
 bool
 relay_is_link (uint64_t link);
 
+/* Sends message back to the sender that link identifies. ERROR_UNREACHABLE when it is forgotten. */
 int32_t
 relay_answer (struct Node *node, uint64_t link, const struct GatewayMessage *message);
--- a/gateway/settle.c
+++ b/gateway/settle.c
@@ -2,13 +2,13 @@
 
 enum
 {
-  /* Until it is sent again; doubled each time. A sync and its way take 10 ms, a dropped link is
-   * dialled anew within 200 ms. */
+  /* Delay before the first retry, doubled after each one. A disk sync and the round trip take 10
+   * ms; a dropped link is reconnected within 200 ms. */
   RETRY_FIRST_MS = 300,
-  /* 300 ms to 9.6 s: as long as an archive takes to start again, or a partition of the sheets
-   * lasts. */
+  /* Delays from 300 ms to 9.6 s: cover a restart of an archive and the network partitions of the
+   * target deployments. */
   TRIES_MAX = 6,
-  /* Beyond, a turn's end is told once: 1.5 KB each. */
+  /* 1.5 KB each; beyond this number a close is sent once, without retries. */
   SETTLEMENTS_MAX = 4096
 };
 
@@ -17,7 +17,7 @@
   struct Settlement *next, **pprev;
   struct Front *front;
   struct TurnClose close;
-  struct ArchiveNames answered;
+  struct ArchiveNames responded;
   uint32_t n_tries;
   struct Timer *timer;
 };
@@ -53,10 +53,10 @@
   struct Node *node = settlement->front->node;
   struct GatewayMessage message = { .kind = GATEWAY_TURN_CLOSE };
 
-  /* The set may have changed since: archives refuse an old one. */
+  /* The set may have changed meanwhile, and archives reject an old generation. */
   settlement->close.generation = node->set.generation;
   message.close = settlement->close;
-  node_send_set (node, &message, &settlement->answered);
+  node_send_set (node, &message, &settlement->responded);
   settlement->timer =
       timer_subscribe (settlement, node->timers, (int64_t)RETRY_FIRST_MS << settlement->n_tries, 0,
                        settlement_on_timer, settlement);
@@ -66,7 +66,7 @@
 void
 settle_turn (struct Front *front, const struct TurnClose *close)
 {
-  const struct ArchiveNames nobody = { .n = 0 };
+  const struct ArchiveNames no_archives = { .n = 0 };
   struct GatewayMessage message = { .kind = GATEWAY_TURN_CLOSE, .close = *close };
   struct Settlement *settlement = NULL;
 
@@ -74,7 +74,7 @@
     settlement = talloc_zero (front, struct Settlement);
   if (settlement == NULL)
     {
-      node_send_set (front->node, &message, &nobody);
+      node_send_set (front->node, &message, &no_archives);
       return;
     }
   settlement->front = front;
@@ -99,9 +99,9 @@
     settlement = settlement->next;
   if (settlement == NULL || closed->error != ERROR_NONE)
     return;
-  archive_names_add (&settlement->answered, archive);
+  archive_names_add (&settlement->responded, archive);
   for (uint32_t i = 0; i < asked.n; i++)
-    if (!archive_names_have (&settlement->answered, asked.names[i]))
+    if (!archive_names_have (&settlement->responded, asked.names[i]))
       return;
   talloc_free (settlement);
 }
