--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -9,28 +9,29 @@
 
 enum
 {
-  /* An owner answers within a millisecond or two; one that does not for this long is gone, or so
-   * short of processor that waiting for it would cost more than the engine's own queue. */
+  /* An owner responds within a millisecond or two. One that takes longer than this has failed, or
+   * is so short of CPU that waiting for it would cost more than the engine's own queue. */
   OWNER_TIMEOUT_MS = 60,
-  /* Between two questions of a request that waits: a lost answer or a new owner costs this much. */
+  /* Interval at which a waiting request queries its owner again; bounds the delay after a lost
+   * response or a change of owner. */
   ASK_INTERVAL_MS = 200,
-  /* Callers give up a stream whose first event does not come for two seconds; what would wait
-   * longer is sent back while there is time to come again. */
+  /* Callers abandon a stream whose first event takes longer than two seconds; a request that would
+   * wait longer is rejected early enough for a retry. */
   CALLER_FIRST_EVENT_MS = 2000,
-  /* Servers that a request goes over to while it waits, since another is less busy. */
+  /* How often a waiting request may move to a less busy server. */
   MOVES_MAX = 2
 };
 
-/* A request's place with an owner. */
+/* A request's slot, or its place in the queue, at an owner. */
 struct SlotWait
 {
   char owner[NAME_MAX_BYTES + 1];
   char server[NAME_MAX_BYTES + 1];
   uint64_t id;
-  int64_t asked_ms; /* at first */
+  int64_t first_asked_ms;
   bool granted;
-  bool logged_queued; /* a line in the log says that it waits */
-  bool answered;      /* since it was asked last */
+  bool logged_queued; /* its wait was logged */
+  bool answered;      /* the owner has responded to the last query */
   uint32_t n_moves;
   struct Timer *timer;
 };
@@ -38,7 +39,7 @@
 struct Slots
 {
   struct Front *front;
-  struct SlotQueues *queues; /* of the servers that this gateway owns */
+  struct SlotQueues *queues; /* for the servers that this gateway owns */
 };
 
 struct Slots *
@@ -74,7 +75,8 @@
   choice->score = score;
 }
 
-/* The live gateway that owns the server; zone NULL: of any zone. NULL when there is none. */
+/* Returns the live gateway of zone that owns the server; NULL when there is none. With zone NULL,
+ * gateways of all zones are candidates. */
 static const char *
 owner_in_zone (const struct Front *front, const char *server, const char *zone)
 {
@@ -104,7 +106,7 @@
   return owner != NULL ? owner : owner_in_zone (front, replica->entry.id, NULL);
 }
 
-/* Asking. */
+/* Requesting slots. */
 
 static int32_t
 slots_send_ask (struct Request *request)
@@ -162,7 +164,8 @@
 
   TALLOC_FREE (wait->timer);
   wait->granted = true;
-  histogram_add (HISTOGRAM_SLOT_WAIT, timer_now_ms (request->front->node->timers) - wait->asked_ms);
+  histogram_add (HISTOGRAM_SLOT_WAIT,
+                 timer_now_ms (request->front->node->timers) - wait->first_asked_ms);
   request_granted (request);
 }
 
@@ -179,7 +182,7 @@
       timer_subscribe (wait, request->front->node->timers, wait_ms, 0, slots_on_timer, request);
 }
 
-/* Asks whoever owns the server now. */
+/* Queries the current owner of the server, and cancels at the previous one after a change. */
 static void
 slots_query_owner (struct Request *request)
 {
@@ -198,7 +201,7 @@
     slots_wait (request, OWNER_TIMEOUT_MS);
 }
 
-/* The owner did not answer, or it is time to ask again. */
+/* The owner has not responded in time, or the next query is due. */
 static void
 slots_on_timer (void *data)
 {
@@ -216,7 +219,7 @@
   slots_send_request (request);
 }
 
-/* The request may have ended when this returns. */
+/* Requests a slot from the owner. May send or end the request before it returns. */
 static void
 slots_begin (struct Request *request, uint32_t n_moves)
 {
@@ -229,7 +232,7 @@
       return;
     }
   wait->n_moves = n_moves;
-  wait->asked_ms = timer_now_ms (request->front->node->timers);
+  wait->first_asked_ms = timer_now_ms (request->front->node->timers);
   wait->id = node_next_id (request->front->node);
   snprintf (wait->server, sizeof wait->server, "%s", request->replica->entry.id);
   slots_query_owner (request);
@@ -251,7 +254,7 @@
   TALLOC_FREE (request->slot_wait);
 }
 
-/* What the owner has sent is newer than what heartbeats said. */
+/* Replaces the count from heartbeats with the owner's, which is newer. */
 static void
 slots_update_total (struct Request *request, const struct SlotState *state)
 {
@@ -261,7 +264,8 @@
       state->total > replica->in_flight ? state->total - replica->in_flight : 0;
 }
 
-/* A less busy server, now that the queue of this one is known; false when there is none. */
+/* Moves the request to a less busy server, now that this one's queue is known. Returns false when
+ * there is none. */
 static bool
 slots_move (struct Request *request)
 {
@@ -271,7 +275,7 @@
 
   if (n_moves >= MOVES_MAX)
     return false;
-  /* Its own place there does not count against the server. */
+  /* The request itself must not count against its present server. */
   from->in_flight--;
   best = request_choose (request);
   from->in_flight++;
@@ -293,7 +297,8 @@
   request->slot_wait->logged_queued = true;
   log_request (
       LOG_LEVEL_INFO, "queued", request->caller.id, request->caller.program,
-      "%s, by %s: %u there, %u go before, some %u ms; %lld ms left to its program",
+      "%s, owner %s: %u running or waiting, %u ahead, estimated wait %u ms; %lld ms left for its "
+      "program",
       request->slot_wait->server, request->slot_wait->owner, state->total, state->ahead,
       state->wait_ms,
       request->program_deadline_ms != INT64_MAX
@@ -307,7 +312,7 @@
   const struct Front *front = request->front;
   int64_t now_ms = timer_now_ms (front->node->timers);
   int64_t left_ms = request->deadline_ms - now_ms;
-  int64_t patience_ms = request->arrived_ms + CALLER_FIRST_EVENT_MS - now_ms;
+  int64_t first_event_ms = request->arrived_ms + CALLER_FIRST_EVENT_MS - now_ms;
 
   request->slot_wait->answered = true;
   slots_update_total (request, state);
@@ -319,7 +324,7 @@
   if (slots_move (request))
     return;
   slots_log_queued (request, state);
-  if (state->wait_ms > (left_ms < patience_ms ? left_ms : patience_ms))
+  if (state->wait_ms > (left_ms < first_event_ms ? left_ms : first_event_ms))
     request_busy (request, state->wait_ms);
   else
     slots_wait (request, ASK_INTERVAL_MS);
@@ -337,9 +342,9 @@
       }
 }
 
-/* Owning. */
+/* Granting slots as an owner. */
 
-/* Grants whatever there is room for now. */
+/* Grants slots for as long as the server has room. */
 static void
 slots_grant (void *data, const char *server)
 {
@@ -352,7 +357,7 @@
                           &message.slot_state.state))
     {
       message.slot_state.id = ask.id;
-      /* One that it does not reach asks again, and gets it then. */
+      /* A requester that misses this message queries again and receives the grant then. */
       node_send (node, ask.asker, &message);
     }
 }
--- a/gateway/slots.h
+++ b/gateway/slots.h
@@ -1,8 +1,9 @@
-/* Who may be sent to an engine, and when: asking its owner, and answering as one.
+/* Slots of engines: requests them from an engine's owner, and grants them as an owner.
  *
- * Each engine has one owner at a time, a live gateway of its availability zone that all find by
- * the same hash. It decides by core/scheduling/slot_queue.c. An owner that does not answer holds
- * nobody up: the request is sent without it, and the engine queues it in order of arrival. */
+ * Each engine has one owner at a time, a live gateway of its availability zone that all gateways
+ * select by the same hash. The owner orders requests with core/scheduling/slot_queue.c. When it
+ * does not respond, the request is sent without a grant and the engine queues it in order of
+ * arrival. */
 #pragma once
 
 #include "front.h"
@@ -12,11 +13,12 @@
 struct Slots *
 slots_new (struct Front *front);
 
-/* Asks the owner of request->replica; request_granted is called once it may be sent. */
+/* Requests a slot from the owner of request->replica; request_granted is called once the request
+ * may be sent. */
 void
 slots_request (struct Request *request);
 
-/* The request has ended at its server, or does not wait for it any more. */
+/* Releases the request's slot, or its place in the queue, and reports its outcome to the owner. */
 void
 slots_release (struct Request *request);
 
@@ -31,14 +33,15 @@
 void
 slots_on_done (struct Slots *slots, const char *sender, const struct SlotDoneMessage *done);
 
-/* The server has started again: what this gateway knew of it as its owner is void. */
+/* Discards the state that this gateway, as owner, tracked of a server that has restarted. */
 void
 slots_server_restarted (struct Slots *slots, const char *server);
 
-/* What this gateway knows of the servers that it owns, or of the busy ones; belongs to ctx. */
+/* Returns digests of the servers that this gateway owns, or only of the busy ones; allocated on
+ * ctx. */
 struct SlotDigest *
 slots_digest (struct Slots *slots, TALLOC_CTX *ctx, bool busy_only, size_t *n_digests);
 
-/* Drops requests of gateways that are gone; called every some hundred milliseconds. */
+/* Drops requests of gateways that are no longer live; called every few hundred milliseconds. */
 void
 slots_expire (struct Slots *slots);
