--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -13,15 +13,16 @@
 
 enum
 {
-  /* Reserving takes one sync of a disk, some 5 ms, and a way of a millisecond or two. Over this
-   * long, too few archives live; the caller does better to come back. */
+  /* A reservation takes one disk sync, about 5 ms, and a millisecond or two on the network. After
+   * this long too few archives are live, and the caller should retry later. */
   OPEN_TIMEOUT_MS = 800,
-  /* Twenty times what it takes on a calm day. */
+  /* About twenty times the usual duration. */
   OPEN_RETRY_MS = 150,
-  /* One archive's share of the history, before the next one is asked. */
+  /* Time for one archive to send missing history, before the next one is asked. */
   READ_TIMEOUT_MS = 250,
-  /* After the others' answers, before another archive is asked for the history: a sync that just
-   * missed a batch, 5 ms on the slowest disks of the sheets, and the texts' way. */
+  /* How long to wait for the history after enough other archives have responded: covers a disk sync
+   * that just missed a batch, 5 ms on the slowest disks of the target deployments, and the transfer
+   * of the texts. */
   READER_LATE_MS = 15,
   READS_MAX = 12
 };
@@ -45,7 +46,8 @@
   return asked.n;
 }
 
-/* The archive that should send the history: the first of those that were sent it. NULL: none. */
+/* Returns the archive that should send the history: the first reachable one in the program's order
+ * that lacks nothing, since closes go to the first archives of that order. NULL: there is none. */
 static const struct Peer *
 turn_nearest_archive (const struct Request *request)
 {
@@ -95,9 +97,9 @@
   return true;
 }
 
-/* Reserving. */
+/* Reservation. */
 
-/* What the question says, but for the history. */
+/* Fills in the open message, except for want_history. */
 static void
 turn_fill_open (const struct Request *request, struct GatewayMessage *message)
 {
@@ -114,8 +116,9 @@
   turn_sessions (request, open->sessions);
 }
 
-/* A partition shows first as an answer that does not come: the archives that owe one are asked
- * another way, long before their silence is certain. The same reservation twice is one. */
+/* Repeats the query through other gateways to the archives that have not responded. A missing
+ * response is the first sign of a network partition, long before a link is closed as silent.
+ * Archives count a repeated reservation once. */
 static void
 turn_relay_open (struct Request *request)
 {
@@ -189,7 +192,7 @@
 
   if (turn == NULL)
     {
-      request_fail (request, FAILURE_UNCERTAIN, "no memory");
+      request_fail (request, FAILURE_UNCERTAIN, "out of memory for the turn");
       return;
     }
   request->turn = turn;
@@ -226,38 +229,38 @@
   turn->history = grown;
   for (size_t i = 0; i < n_more; i++)
     {
-      struct TurnText *piece = &grown[turn->n_history];
+      struct TurnText *text = &grown[turn->n_history];
 
       if (turn_history_text (turn, more[i].turn) != NULL)
         continue;
-      *piece = more[i];
-      piece->input = talloc_memdup (turn, more[i].input, more[i].input_bytes);
-      piece->output = talloc_memdup (turn, more[i].output, more[i].output_bytes);
+      *text = more[i];
+      text->input = talloc_memdup (turn, more[i].input, more[i].input_bytes);
+      text->output = talloc_memdup (turn, more[i].output, more[i].output_bytes);
       turn->n_history++;
     }
   return true;
 }
 
-/* The first turn of the chain, from the newest back, that no archive has sent yet; NULL when the
- * chain is whole. *total_bytes is the length of its texts. */
+/* Follows the chain from the newest turn backwards and returns the first turn that no archive has
+ * sent yet; NULL when the chain is complete. Sets *total_bytes to the length of the texts found. */
 static const char *
 turn_missing (const struct Turn *turn, const char *newest, size_t *total_bytes)
 {
-  const struct TurnText *piece;
+  const struct TurnText *text;
 
   *total_bytes = 0;
   while (newest[0] != '\0')
     {
-      piece = turn_history_text (turn, newest);
-      if (piece == NULL)
+      text = turn_history_text (turn, newest);
+      if (text == NULL)
         return newest;
-      *total_bytes += piece->input_bytes + piece->output_bytes;
-      newest = piece->previous;
+      *total_bytes += text->input_bytes + text->output_bytes;
+      newest = text->previous;
     }
   return NULL;
 }
 
-/* Inputs and outputs of the chain, the oldest first, then the new input. */
+/* Builds the body from the inputs and outputs of the chain, oldest first, and the new input. */
 static bool
 turn_build_body (struct Request *request, size_t history_bytes)
 {
@@ -271,15 +274,15 @@
     memcpy (end, request->exchange->body, request->exchange->body_bytes);
   for (const char *id = request->caller.previous; id[0] != '\0';)
     {
-      const struct TurnText *piece = turn_history_text (request->turn, id);
-
-      end -= piece->output_bytes;
-      if (piece->output_bytes > 0)
-        memcpy (end, piece->output, piece->output_bytes);
-      end -= piece->input_bytes;
-      if (piece->input_bytes > 0)
-        memcpy (end, piece->input, piece->input_bytes);
-      id = piece->previous;
+      const struct TurnText *text = turn_history_text (request->turn, id);
+
+      end -= text->output_bytes;
+      if (text->output_bytes > 0)
+        memcpy (end, text->output, text->output_bytes);
+      end -= text->input_bytes;
+      if (text->input_bytes > 0)
+        memcpy (end, text->input, text->input_bytes);
+      id = text->previous;
     }
   request->body = body;
   request->body_bytes = total_bytes;
@@ -295,7 +298,7 @@
   turn_assemble (data);
 }
 
-/* Asks the next archive for the piece that is missing. */
+/* Requests the missing turn's text from the next archive. */
 static void
 turn_read (struct Request *request, const char *missing)
 {
@@ -322,10 +325,10 @@
           timer_subscribe (turn, node->timers, READ_TIMEOUT_MS, 0, turn_on_read_timeout, request);
       return;
     }
-  request_fail (request, FAILURE_UNCERTAIN, "no archive sent the whole history");
+  request_fail (request, FAILURE_UNCERTAIN, "no archive sent the complete history");
 }
 
-/* Sends the turn once its history is whole. */
+/* Sends the turn when its history is complete; requests the first missing text otherwise. */
 static void
 turn_assemble (struct Request *request)
 {
@@ -342,7 +345,7 @@
     }
   if (!turn_build_body (request, history_bytes))
     {
-      request_fail (request, FAILURE_UNCERTAIN, "no memory for the history");
+      request_fail (request, FAILURE_UNCERTAIN, "out of memory for the request body");
       return;
     }
   request->continues_program =
@@ -367,7 +370,7 @@
   request_send (request);
 }
 
-/* Enough archives have answered: the turn is allowed, or refused for good reason. */
+/* Admits or rejects the turn after enough archives have responded. */
 static void
 turn_decide (struct Request *request)
 {
@@ -377,24 +380,25 @@
 
   if (caller->previous[0] != '\0' && !turn->previous_exists)
     {
-      snprintf (detail, sizeof detail, "%u archives that lack nothing do not have it",
-                turn->complete.n);
+      snprintf (detail, sizeof detail,
+                "none of %u archives that lack nothing has the previous turn", turn->complete.n);
       request_fail (request, FAILURE_NO_TURN, detail);
     }
   else if (caller->budget_tokens > 0
            && !turn_budget_allows (turn->charges, turn->n_charges, caller->budget_tokens,
                                    caller->max_tokens))
     {
-      snprintf (detail, sizeof detail, "%zu turns, budget %llu, at most %u more", turn->n_charges,
-                (unsigned long long)caller->budget_tokens, caller->max_tokens);
+      snprintf (detail, sizeof detail, "%zu turns, budget %llu tokens, %u tokens requested",
+                turn->n_charges, (unsigned long long)caller->budget_tokens, caller->max_tokens);
       request_fail (request, FAILURE_BUDGET, detail);
     }
   else
     turn_assemble (request);
 }
 
-/* Enough archives have answered, but the one that reads the history from its disk is still at it:
- * asking another one at once would send the texts twice, the second time from another zone. */
+/* Returns true while enough archives have responded, but the one that was asked for the history is
+ * still reading it from disk: asking another one at once would transfer the texts twice, the second
+ * time from another zone. */
 static bool
 turn_history_pending (const struct Request *request)
 {
@@ -443,7 +447,7 @@
                              opened->n_charges)
              != ERROR_NONE)
     {
-      request_fail (request, FAILURE_UNCERTAIN, "no memory");
+      request_fail (request, FAILURE_UNCERTAIN, "out of memory for the archive's response");
       return;
     }
   turn_sessions (request, sessions);
@@ -464,16 +468,16 @@
 turn_handle_read (struct Request *request, const struct TurnOpened *opened)
 {
   if (!turn_add_history (request->turn, opened->history, opened->n_history))
-    request_fail (request, FAILURE_UNCERTAIN, "no memory for the history");
+    request_fail (request, FAILURE_UNCERTAIN, "out of memory for the history");
   else
     turn_assemble (request);
 }
 
 struct Request *
-turn_find (struct Front *front, uint64_t question)
+turn_find (struct Front *front, uint64_t query_id)
 {
   for (struct Request *r = front->requests; r != NULL; r = r->next)
-    if (r->turn != NULL && r->turn->query_id == question)
+    if (r->turn != NULL && r->turn->query_id == query_id)
       return r;
   return NULL;
 }
@@ -507,14 +511,14 @@
   switch (turn->phase)
     {
     case TURN_OPENING:
-      /* Answers to the old set's question say nothing about the new one. */
+      /* Responses to the query of the old set are not valid for the new one. */
       turn->answered.n = 0;
       turn->complete.n = 0;
       turn->query_id = node_next_id (request->front->node);
       turn_send_open (request);
       break;
     case TURN_CLOSING:
-      /* What an archive has stored it keeps; those that refused the old question are asked anew. */
+      /* Archives that have stored the turn keep it; the others get a close of this generation. */
       turn_send_close (request);
       break;
     case TURN_READING:
--- a/gateway/turn_close.c
+++ b/gateway/turn_close.c
@@ -11,16 +11,16 @@
 
 enum
 {
-  /* Storing the turn: a sync takes 5 ms and a batch may be ahead of it. Without enough answers by
-   * then the other archives get the texts, too. */
+  /* Storing takes a disk sync of 5 ms, possibly behind another batch. Without enough responses
+   * after this long, the texts are sent to the other archives, too. */
   CLOSE_WIDEN_MS = 40,
-  /* Asked again once, and given up when a program would rather start anew. */
+  /* The close is repeated once, and the request fails when its program would rather start over. */
   CLOSE_RETRY_MS = 250,
   CLOSE_TIMEOUT_MS = 2500
 };
 
-/* Where the session lies now. A turn that was sent back, or never handed out an event, tells
- * nothing: the server may not have read it. */
+/* Records which server now has the session in its cache. Records nothing for a turn that was
+ * rejected or produced no event, since the server may not have read its prompt. */
 static void
 turn_fill_place (const struct Request *request, struct TurnClose *close)
 {
@@ -60,7 +60,7 @@
   close->text.output_bytes = byte_queue_length (&request->events.data);
 }
 
-/* To the archives that must have it, the texts are large; before widening, to no others. */
+/* Sends the close only to the archives required for a write, since the texts are large. */
 static void
 turn_send_close_first (struct Request *request)
 {
@@ -78,7 +78,7 @@
     node_send_archive (node, first.names[i], &message);
 }
 
-/* To those that were left out at first. */
+/* Sends the close to the archives that were left out at first. */
 static void
 turn_widen_close (struct Request *request)
 {
@@ -133,7 +133,7 @@
   if (!turn->retried)
     {
       turn->retried = true;
-      /* Once more to those that have not answered, by another way if there is one. */
+      /* Repeats it to those that have not responded, through another gateway if there is one. */
       turn_relay_close (request);
       TALLOC_FREE (turn->timer);
       turn->timer =
@@ -141,7 +141,7 @@
                            turn_on_close_timeout, request);
       return;
     }
-  snprintf (detail, sizeof detail, "the turn is stored on %u archives only", turn->answered.n);
+  snprintf (detail, sizeof detail, "only %u archives have stored the turn", turn->answered.n);
   request_fail (request, FAILURE_BROKEN, detail);
 }
 
--- a/gateway/turn_internal.h
+++ b/gateway/turn_internal.h
@@ -1,4 +1,4 @@
-/* A turn between its request and the archives: turn.c opens it, turn_close.c ends it. */
+/* State of a turn between its request and the archives: turn.c opens it, turn_close.c closes it. */
 #pragma once
 
 #include "front.h"
@@ -8,58 +8,60 @@
 
 enum TurnPhase
 {
-  TURN_OPENING, /* reserving */
-  TURN_READING, /* the history is not whole yet */
-  TURN_RUNNING, /* with a server */
+  TURN_OPENING, /* reserving tokens */
+  TURN_READING, /* fetching the rest of the history */
+  TURN_RUNNING, /* sent to a server */
   TURN_CLOSING  /* being stored */
 };
 
 struct Turn
 {
   enum TurnPhase phase;
-  int64_t started_ms, phase_ms; /* when the turn and its present phase began */
-  uint64_t query_id;            /* id of the question that is open */
+  int64_t started_ms, phase_ms; /* when the turn and its current phase started */
+  uint64_t query_id;            /* of the open query to the archives */
   struct Timer *timer;
-  struct ArchiveNames answered; /* archives, to this question */
-  struct ArchiveNames complete; /* of them, those that lack nothing */
-  bool previous_exists;         /* one of them has it */
+  struct ArchiveNames answered; /* archives that responded to the open query */
+  struct ArchiveNames complete; /* of these, the ones that lack no acknowledged data */
+  bool previous_exists;         /* an archive has the previous turn */
   struct TurnCharge *charges;
   size_t n_charges;
-  struct TurnText *history; /* of the history, in any order */
+  struct TurnText *history; /* texts of earlier turns, in any order */
   size_t n_history;
-  char reader[NAME_MAX_BYTES + 1];    /* archive that was asked for the history at first */
-  bool waits_for_reader, reader_late; /* others answered before it; long before it */
+  char reader[NAME_MAX_BYTES + 1]; /* archive that was first asked for the history */
+  bool waits_for_reader;           /* enough other archives have responded before it */
+  bool reader_late;                /* READER_LATE_MS have passed since then */
   size_t n_reads, next_reader;
-  char missing[NAME_MAX_BYTES + 1]; /* piece that is asked for */
-  struct ArchiveNames sent;         /* archives that got the turn's texts at first */
-  bool sent_to_all;                 /* the others got them, too */
-  bool retried;                     /* through another gateway */
-  bool close_sent;                  /* the archives were told how the turn ended */
-  struct SessionPlace place;        /* of its session, the best that an archive told */
+  char missing[NAME_MAX_BYTES + 1]; /* turn whose text was requested last */
+  struct ArchiveNames sent;         /* archives that were sent the turn's texts first */
+  bool sent_to_all;                 /* the texts were then sent to the others, too */
+  bool retried;                     /* the query was repeated through another gateway */
+  bool close_sent;                  /* the archives were notified of the turn's end */
+  struct SessionPlace place;        /* best place of its session among the responses */
 };
 
-/* The archives that the set asks, in the order of the request's program. Returns how many. */
+/* Lists the archives to query in the preferred order for the request's program; returns their
+ * number. */
 size_t
 turn_sort_archives (const struct Request *request,
                     struct ArchiveCandidate candidates[ARCHIVE_SET_MAX]);
 
-/* The parts of the prompt, from the last back, that are of a session and not shared by programs;
- * none where turns are kept: a turn names the one before it there, and with it the server. */
+/* Lists the prompt's parts from the last one backwards, except the first, which programs share.
+ * Lists none on routes that keep turns: the previous turn's record names its server there. */
 void
 turn_sessions (const struct Request *request, uint64_t sessions[TURN_SESSIONS_MAX]);
 
-/* Begins a phase with a question of its own, which nobody has answered. */
+/* Starts a phase with a new query, to which no archive has responded yet. */
 void
 turn_begin_phase (struct Request *request, struct Turn *turn, enum TurnPhase phase);
 
-/* True the first time that archive answers the open question. */
+/* Records a response to the open query. Returns true for the first one from archive. */
 bool
 turn_record_response (struct Turn *turn, const char *archive);
 
-/* The request whose turn has this question open; NULL: none has any more. */
+/* Returns the request whose turn has this query open; NULL when it is no longer open. */
 struct Request *
-turn_find (struct Front *front, uint64_t question);
+turn_find (struct Front *front, uint64_t query_id);
 
-/* Sends the end of a turn that is kept to the archives that have not answered. */
+/* Sends the close of a kept turn to the archives that have not responded. */
 void
 turn_send_close (struct Request *request);
