--- a/tests/sessions/test_gateway_customers.c
+++ b/tests/sessions/test_gateway_customers.c
@@ -7,17 +7,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Two customers; the second one's limit is 4 requests a second. */
-static const char both[] = "[{\"name\":\"alma\",\"api_keys\":[\"alma-key-1\",\"alma-key-2\"]},"
-                           "{\"name\":\"bela\",\"api_keys\":[\"bela-key-1\"],\"rate_per_s\":4,"
-                           "\"burst\":4}]";
-/* The first one's second key was taken away. */
-static const char fewer[] = "[{\"name\":\"alma\",\"api_keys\":[\"alma-key-1\"]},"
-                            "{\"name\":\"bela\",\"api_keys\":[\"bela-key-1\"],\"rate_per_s\":4,"
-                            "\"burst\":4}]";
-static const char open_route[] = "{\"name\":\"open\",\"host\":\"x.example\",\"prefix\":\"/open/\","
-                                 "\"kind\":\"safe\",\"timeout_ms\":4000,\"service\":\"desk\","
-                                 "\"public\":true}";
+/* Two customers, the second one limited to 4 requests per second. */
+static const char customers[] = "[{\"name\":\"alma\",\"api_keys\":[\"alma-key-1\",\"alma-key-2\"]},"
+                                "{\"name\":\"bela\",\"api_keys\":[\"bela-key-1\"],\"rate_per_s\":4,"
+                                "\"burst\":4}]";
+/* The same after the first customer's second key was revoked. */
+static const char customers_key_revoked[] =
+    "[{\"name\":\"alma\",\"api_keys\":[\"alma-key-1\"]},"
+    "{\"name\":\"bela\",\"api_keys\":[\"bela-key-1\"],\"rate_per_s\":4,"
+    "\"burst\":4}]";
+static const char public_route[] =
+    "{\"name\":\"open\",\"host\":\"x.example\",\"prefix\":\"/open/\","
+    "\"kind\":\"safe\",\"timeout_ms\":4000,\"service\":\"desk\","
+    "\"public\":true}";
 
 enum
 {
@@ -27,15 +29,15 @@
 };
 
 static void
-configure (struct Fleet *fleet, uint64_t version, const char *customers)
+configure (struct Fleet *fleet, uint64_t version, const char *customers_json)
 {
-  char taken[32];
+  char log_text[32];
 
-  installation_set_customers (fleet->installation, customers);
-  installation_configure (fleet->installation, version, open_route);
-  snprintf (taken, sizeof taken, "version %llu, 4 routes", (unsigned long long)version);
+  installation_set_customers (fleet->installation, customers_json);
+  installation_configure (fleet->installation, version, public_route);
+  snprintf (log_text, sizeof log_text, "version %llu, 4 routes", (unsigned long long)version);
   for (uint32_t i = 0; i < fleet->n_gateways; i++)
-    CU_ASSERT_TRUE (process_wait_output (fleet->gateways[i].process, taken));
+    CU_ASSERT_TRUE (process_wait_output (fleet->gateways[i].process, log_text));
 }
 
 static struct Fleet *
@@ -43,65 +45,67 @@
 {
   struct Fleet *fleet = fleet_start (ctx, n_gateways, 3);
 
-  configure (fleet, 2, both);
+  configure (fleet, 2, customers);
   return fleet;
 }
 
-struct Ask
+struct TestRequest
 {
   uint32_t gateway;
   const char *path, *id, *previous;
-  const char *credentials[3]; /* whole headers; NULL at the end */
+  const char *credentials[3]; /* complete headers; NULL at the end */
 };
 
 static struct HttpReply *
-ask_send (struct Fleet *fleet, TALLOC_CTX *ctx, const struct Ask *ask)
+send_request (struct Fleet *fleet, TALLOC_CTX *ctx, const struct TestRequest *request)
 {
   char id[96], after[96];
   const char *headers[10] = { "Host: x.example", id, "X-Program-Id: p", "X-Token-Count: 100,200",
                               "X-Deadline-Ms: 6000" };
   size_t n = 5;
 
-  snprintf (id, sizeof id, "X-Request-Id: %s", ask->id);
-  if (ask->previous != NULL)
+  snprintf (id, sizeof id, "X-Request-Id: %s", request->id);
+  if (request->previous != NULL)
     {
-      snprintf (after, sizeof after, "X-Previous-Turn: %s", ask->previous);
+      snprintf (after, sizeof after, "X-Previous-Turn: %s", request->previous);
       headers[n++] = after;
     }
-  for (size_t i = 0; i < 3 && ask->credentials[i] != NULL; i++)
-    headers[n++] = ask->credentials[i];
-  return http_send (ctx, "POST", fleet->gateways[ask->gateway].caller, ask->path, headers, "body");
+  for (size_t i = 0; i < 3 && request->credentials[i] != NULL; i++)
+    headers[n++] = request->credentials[i];
+  return http_send (ctx, "POST", fleet->gateways[request->gateway].caller, request->path, headers,
+                    "body");
 }
 
-/* Sent again, under ids of its own, while the fleet is not sure. */
+/* Sends the request, with a new id each time, until its status is neither 503 nor 0 (no response).
+ * Stores the last id in id and returns the last status. */
 static uint32_t
-ask_until_taken (struct Fleet *fleet, TALLOC_CTX *ctx, struct Ask ask, char id[64])
+send_until_accepted (struct Fleet *fleet, TALLOC_CTX *ctx, struct TestRequest request, char id[64])
 {
   int64_t limit_ms = monotonic_ms () + WAIT_LIMIT_MS;
-  const char *name = ask.id;
+  const char *name = request.id;
   uint32_t status = 503;
 
   for (uint32_t n = 0; (status == 503 || status == 0) && monotonic_ms () < limit_ms; n++)
     {
       snprintf (id, 64, "%s.%u", name, n);
-      ask.id = id;
-      status = ask_send (fleet, ctx, &ask)->status;
+      request.id = id;
+      status = send_request (fleet, ctx, &request)->status;
     }
   return status;
 }
 
-/* Callers with keys of every kind, one of whom says that it is somebody else. Each is told one
- * thing; the server hears the customer's name and never a key; and no output of any process holds
- * one. */
+/* Guards against a wrong mapping of keys to customers and against leaked keys: requests with valid,
+ * wrong, malformed, duplicate and missing keys, and with forged customer headers. The server
+ * receives the customer's name but never a key, and no log or metric contains one. */
 static void
-test_a_key_is_checked_and_never_passed_on (void)
+test_key_is_checked_and_not_forwarded (void)
 {
   static const struct
   {
     const char *path;
     const char *credentials[3];
     uint32_t status;
-    const char *customer; /* as the server hears it */
+    const char *customer; /* as the server receives it */
   } cases[] = {
     { "/once/1", { "Authorization: Bearer alma-key-1" }, 200, "alma" },
     { "/once/1", { "authorization: bearer alma-key-2", "X-Tenant: bela" }, 200, "alma" },
@@ -127,11 +131,11 @@
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
       char id[16];
-      struct Ask ask = { .path = cases[i].path, .id = id };
+      struct TestRequest request = { .path = cases[i].path, .id = id };
 
       snprintf (id, sizeof id, "r%zu", i);
-      memcpy (ask.credentials, cases[i].credentials, sizeof ask.credentials);
-      CU_ASSERT_EQUAL (ask_send (fleet, ctx, &ask)->status, cases[i].status);
+      memcpy (request.credentials, cases[i].credentials, sizeof request.credentials);
+      CU_ASSERT_EQUAL (send_request (fleet, ctx, &request)->status, cases[i].status);
       CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, id), cases[i].customer != NULL);
       if (cases[i].customer == NULL)
         continue;
@@ -151,112 +155,112 @@
   talloc_free (ctx);
 }
 
-/* A customer continues another one's turn, by an id that it has seen somewhere. It is told what it
- * would be told of a turn that never was, through each gateway and after all archives have started
- * again; the turn's own customer goes on from it. */
+/* Guards against a customer that continues another customer's turn by its id. It gets the same 404
+ * as for a turn that does not exist, also after all archives have restarted, while the turn's own
+ * customer can continue it. */
 static void
-test_a_turn_is_its_customers (void)
+test_turn_belongs_to_its_customer (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   uint32_t n_failed = CU_get_number_of_failures ();
   struct Fleet *fleet = customers_start (ctx, 2);
-  struct Ask own = { .path = "/turns/1",
-                     .id = "t1",
-                     .credentials = { "Authorization: Bearer alma-key-1" } };
-  struct Ask other = { .path = "/turns/1",
-                       .id = "x1",
-                       .credentials = { "Authorization: Bearer bela-key-1" } };
+  struct TestRequest own = { .path = "/turns/1",
+                             .id = "t1",
+                             .credentials = { "Authorization: Bearer alma-key-1" } };
+  struct TestRequest other = { .path = "/turns/1",
+                               .id = "x1",
+                               .credentials = { "Authorization: Bearer bela-key-1" } };
   char turn[64], id[64];
 
-  CU_ASSERT_EQUAL (ask_until_taken (fleet, ctx, own, turn), 200);
+  CU_ASSERT_EQUAL (send_until_accepted (fleet, ctx, own, turn), 200);
   other.previous = turn;
   other.gateway = 1;
-  CU_ASSERT_EQUAL (ask_until_taken (fleet, ctx, other, id), 404);
+  CU_ASSERT_EQUAL (send_until_accepted (fleet, ctx, other, id), 404);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, id), 0);
   for (uint32_t i = 0; i < 3; i++)
     process_kill (fleet->archives[i].process);
   for (uint32_t i = 0; i < 3; i++)
     archive_start (fleet, i, false);
   other.id = "x2";
-  CU_ASSERT_EQUAL (ask_until_taken (fleet, ctx, other, id), 404);
+  CU_ASSERT_EQUAL (send_until_accepted (fleet, ctx, other, id), 404);
   own.id = "t2";
   own.previous = turn;
   own.gateway = 1;
-  CU_ASSERT_EQUAL (ask_until_taken (fleet, ctx, own, id), 200);
+  CU_ASSERT_EQUAL (send_until_accepted (fleet, ctx, own, id), 200);
   CU_ASSERT_PTR_NOT_NULL (strstr (installation_body_of (fleet->installation, ctx, id), turn));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
-/* A key is taken away: from then on it opens nothing, at a gateway that has just started neither,
- * which hears of the configuration from the others while the store is silent. */
+/* Guards against a revoked key that is still accepted, also at a gateway that restarts while the
+ * store does not respond and receives the configuration from the others. */
 static void
-test_a_key_that_was_taken_away_opens_nothing (void)
+test_revoked_key_is_rejected (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   uint32_t n_failed = CU_get_number_of_failures ();
   struct Fleet *fleet = customers_start (ctx, 2);
-  struct Ask ask = { .path = "/once/1",
-                     .id = "r1",
-                     .credentials = { "Authorization: Bearer alma-key-2" } };
+  struct TestRequest request = { .path = "/once/1",
+                                 .id = "r1",
+                                 .credentials = { "Authorization: Bearer alma-key-2" } };
   char id[64];
 
-  CU_ASSERT_EQUAL (ask_send (fleet, ctx, &ask)->status, 200);
-  configure (fleet, 5, fewer);
-  for (ask.gateway = 0; ask.gateway < 2; ask.gateway++)
+  CU_ASSERT_EQUAL (send_request (fleet, ctx, &request)->status, 200);
+  configure (fleet, 5, customers_key_revoked);
+  for (request.gateway = 0; request.gateway < 2; request.gateway++)
     {
-      ask.id = ask.gateway == 0 ? "r2" : "r3";
-      CU_ASSERT_EQUAL (ask_send (fleet, ctx, &ask)->status, 401);
+      request.id = request.gateway == 0 ? "r2" : "r3";
+      CU_ASSERT_EQUAL (send_request (fleet, ctx, &request)->status, 401);
     }
   installation_set_store (fleet->installation, STORE_SILENT);
   process_kill (fleet->gateways[1].process);
   gateway_start (fleet, 1);
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[1].process, "version 5, 4 routes"));
-  ask.gateway = 1;
-  ask.id = "r4";
-  CU_ASSERT_EQUAL (ask_until_taken (fleet, ctx, ask, id), 401);
-  ask.id = "r5";
-  ask.credentials[0] = "Authorization: Bearer alma-key-1";
-  CU_ASSERT_EQUAL (ask_until_taken (fleet, ctx, ask, id), 200);
+  request.gateway = 1;
+  request.id = "r4";
+  CU_ASSERT_EQUAL (send_until_accepted (fleet, ctx, request, id), 401);
+  request.id = "r5";
+  request.credentials[0] = "Authorization: Bearer alma-key-1";
+  CU_ASSERT_EQUAL (send_until_accepted (fleet, ctx, request, id), 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
-/* A customer sends through two gateways as fast as they answer. What runs in any five seconds stays
- * within its limit; the rest is sent back at once as not run; the other customer notices nothing.
- */
+/* A customer sends through two gateways as fast as they respond. The requests that run within five
+ * seconds stay within its limit; the others get 429 and do not run; the other customer's requests
+ * all succeed. */
 static void
-test_a_limit_holds_over_two_gateways (void)
+test_limit_holds_across_two_gateways (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   uint32_t n_failed = CU_get_number_of_failures ();
   struct Fleet *fleet = customers_start (ctx, 2);
   const uint32_t bound = (LIMIT_PER_S * LIMIT_WINDOW_S + LIMIT_PER_S) * 11 / 10 + LIMIT_SLACK;
-  uint32_t n_taken = 0, n_refused = 0, n_others = 0, n_asked = 0;
+  uint32_t n_admitted = 0, n_rejected = 0, n_other_failed = 0, n_sent = 0;
   int64_t end_ms = monotonic_ms () + LIMIT_WINDOW_S * 1000;
 
   while (monotonic_ms () < end_ms)
     {
       char id[32];
-      struct Ask ask = { .gateway = n_asked % 2, .path = "/once/1", .id = id };
-      bool other = n_asked % 20 == 0;
+      struct TestRequest request = { .gateway = n_sent % 2, .path = "/once/1", .id = id };
+      bool other = n_sent % 20 == 0;
       uint32_t status;
 
-      snprintf (id, sizeof id, "r%u", n_asked++);
-      ask.credentials[0] =
+      snprintf (id, sizeof id, "r%u", n_sent++);
+      request.credentials[0] =
           other ? "Authorization: Bearer alma-key-1" : "Authorization: Bearer bela-key-1";
-      status = ask_send (fleet, ctx, &ask)->status;
-      n_others += other && status != 200;
-      n_taken += !other && status == 200;
-      n_refused += status == 429;
+      status = send_request (fleet, ctx, &request)->status;
+      n_other_failed += other && status != 200;
+      n_admitted += !other && status == 200;
+      n_rejected += status == 429;
       if (status == 429)
         CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, id), 0);
       sleep_ms (10);
     }
-  CU_ASSERT (n_taken <= bound);
-  CU_ASSERT (n_taken >= LIMIT_PER_S * LIMIT_WINDOW_S);
-  CU_ASSERT (n_refused > 0);
-  CU_ASSERT_EQUAL (n_others, 0);
+  CU_ASSERT (n_admitted <= bound);
+  CU_ASSERT (n_admitted >= LIMIT_PER_S * LIMIT_WINDOW_S);
+  CU_ASSERT (n_rejected > 0);
+  CU_ASSERT_EQUAL (n_other_failed, 0);
   CU_ASSERT_PTR_NOT_NULL (
       strstr (http_get (ctx, fleet->gateways[0].metrics, "/customers")->text, "\"bela\""));
   CU_ASSERT (process_count (fleet->gateways[0].process, "customer_over_limit") > 0);
@@ -266,9 +270,9 @@
 
 const char test_suite_name[] = "gateway_customers";
 const struct TestCase test_cases[] = {
-  { "a key is checked and never passed on", test_a_key_is_checked_and_never_passed_on },
-  { "a turn is its customer's", test_a_turn_is_its_customers },
-  { "a key that was taken away opens nothing", test_a_key_that_was_taken_away_opens_nothing },
-  { "a limit holds over two gateways", test_a_limit_holds_over_two_gateways },
+  { "a key is checked and not forwarded", test_key_is_checked_and_not_forwarded },
+  { "a turn belongs to its customer", test_turn_belongs_to_its_customer },
+  { "a revoked key is rejected", test_revoked_key_is_rejected },
+  { "a limit holds across two gateways", test_limit_holds_across_two_gateways },
   { NULL, NULL },
 };
--- a/tests/sessions/test_gateway_path.c
+++ b/tests/sessions/test_gateway_path.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* The stream of a turn, as a caller gets it. */
+/* Returns the stream of a turn as its caller receives it. */
 static char *
 stream_of (TALLOC_CTX *ctx, const char *turn)
 {
@@ -19,17 +19,17 @@
   return text;
 }
 
-/* Its data, as the next turn's prompt holds it. */
+/* Returns the data of a turn's stream as the next turn's prompt contains it. */
 static char *
 data_of (TALLOC_CTX *ctx, const char *turn)
 {
   return talloc_asprintf (ctx, "%s-1\n%s-2\n%s-3\n%s-4\n", turn, turn, turn, turn);
 }
 
-/* A program's turns come through different gateways; each turn carries only what is new. The engine
- * gets the whole conversation, in order. */
+/* A program sends its turns through alternating gateways, each with only the new input. The engine
+ * receives the whole conversation, in order. */
 static void
-test_a_program_goes_on_through_any_gateway (void)
+test_program_continues_through_any_gateway (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 2, 3);
@@ -56,7 +56,7 @@
 }
 
 static void
-test_the_directory_lists_the_ready_gateways (void)
+test_directory_lists_ready_gateways (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 2, 3);
@@ -76,45 +76,44 @@
   talloc_free (ctx);
 }
 
-/* A looping program starts turn after turn through every gateway. All together hand out no more
- * tokens than its budget; then it is told so, and nothing runs. */
+/* Guards against a budget that is enforced per gateway: a looping program sends turns through both
+ * gateways. Together they return no more tokens than its budget; further turns get 402, not run. */
 static void
-test_a_budget_holds_over_all_gateways (void)
+test_budget_holds_across_gateways (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 2, 3);
-  uint32_t n_failed = CU_get_number_of_failures (), n_whole = 0, n_broken = 0, n_refused = 0;
-  const uint32_t budget = 500, tokens_a_turn = 4 * TOKENS_PER_EVENT;
+  uint32_t n_failed = CU_get_number_of_failures (), n_complete = 0, n_broken = 0, n_rejected = 0;
+  const uint32_t budget = 500, tokens_per_turn = 4 * TOKENS_PER_EVENT;
   uint32_t n_runs;
 
-  for (uint32_t i = 0; n_refused < 4 && i < 200; i++)
+  for (uint32_t i = 0; n_rejected < 4 && i < 200; i++)
     {
       struct HttpReply *reply;
       char turn[16];
 
       snprintf (turn, sizeof turn, "t%u", i);
       reply = turn_send (fleet, ctx, i % 2, "loop", turn, "", budget, "x");
-      n_whole += reply->status == 200;
+      n_complete += reply->status == 200;
       n_broken += reply->status == 0;
-      n_refused += reply->status == 402;
+      n_rejected += reply->status == 402;
       if (reply->status != 200 && reply->status != 0)
         CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, turn), 0);
     }
   n_runs =
       server_runs (fleet->installation, ENGINE) + server_runs (fleet->installation, ENGINE + 1);
-  CU_ASSERT_EQUAL (n_runs, n_whole + n_broken);
-  CU_ASSERT (n_runs * tokens_a_turn <= budget);
-  CU_ASSERT_EQUAL (n_refused, 4);
-  /* The reservation of one turn, 200 tokens, must fit: four turns of 76 leave room for none. One
-   * that could not be stored in time, since the disk did not answer for seconds, may still count in
-   * full. */
+  CU_ASSERT_EQUAL (n_runs, n_complete + n_broken);
+  CU_ASSERT (n_runs * tokens_per_turn <= budget);
+  CU_ASSERT_EQUAL (n_rejected, 4);
+  /* A turn's reservation of 200 tokens must fit: after four turns of 76 tokens none does. A turn
+   * that was not stored in time, since a disk stalled for seconds, may still count in full. */
   CU_ASSERT (n_runs == 4 || (n_broken > 0 && n_runs >= 2 && n_runs < 4));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
 static void
-test_unknown_turns_and_routes_are_told_so (void)
+test_unknown_turns_and_routes_get_404 (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -129,7 +128,7 @@
   talloc_free (ctx);
 }
 
-/* The value of the metric name at address; 0 when it is not there. */
+/* Returns the value of the metric name at address; 0 when it is missing. */
 static uint64_t
 metric (const char *address, const char *name)
 {
@@ -143,10 +142,10 @@
   return value;
 }
 
-/* The monitoring sees a turn where it passed: answered at its gateway, synced on an archive's
- * disk, each with its time. A collector that asks on is not refused. */
+/* A turn appears in the metrics of each process that handled it: its response and duration at the
+ * gateway, its disk sync at an archive. Repeated scrapes are not rejected. */
 static void
-test_metrics_show_a_turn_where_it_passed (void)
+test_metrics_count_a_turn (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -170,10 +169,10 @@
   talloc_free (ctx);
 }
 
-/* The operators change a route twice in quick succession, while one gateway starts anew. All of
- * them end with the newest version, and none goes back. */
+/* Guards against a gateway that misses a configuration: the operators change it twice in quick
+ * succession while one gateway restarts. All gateways end with the newest version. */
 static void
-test_a_change_reaches_all_gateways (void)
+test_configuration_reaches_all_gateways (void)
 {
   static const char extra[] = "{\"name\":\"new\",\"host\":\"x.example\",\"prefix\":\"/new/\","
                               "\"kind\":\"safe\",\"timeout_ms\":4000,\"service\":\"desk\"}";
@@ -194,11 +193,11 @@
   talloc_free (ctx);
 }
 
-/* A gateway starts again after its machine lost power, and callers come back as soon as its port
- * is open. It knows nothing yet: sent back, they would use up their few attempts in the moment that
- * it takes to learn the configuration and to reach the archives. It holds them instead. */
+/* Guards against callers that run out of attempts while a gateway starts: after a power loss they
+ * retry as soon as its port is open, before it has a configuration and links to the archives. The
+ * gateway must defer their requests instead of rejecting them. */
 static void
-test_a_starting_gateway_holds_its_callers (void)
+test_starting_gateway_defers_requests (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 2, 3);
@@ -217,16 +216,16 @@
   talloc_free (ctx);
 }
 
-struct StopWatch
+struct ReadyWatch
 {
   struct Fleet *fleet;
   uint32_t gateway;
 };
 
 static bool
-gateway_not_ready (void *data)
+gateway_is_not_ready (void *data)
 {
-  const struct StopWatch *watch = data;
+  const struct ReadyWatch *watch = data;
   struct HttpReply *reply =
       http_get (NULL, watch->fleet->gateways[watch->gateway].ready, "/-/ready");
   bool not_ready = reply->status != 200;
@@ -235,22 +234,21 @@
   return not_ready;
 }
 
-/* A gateway is stopped as planned while an engine is in the middle of a long turn. The caller gets
- * the whole of it; the platform is told at once that the gateway is not ready; the other gateway
- * goes on with the program. */
+/* A planned stop of a gateway during a long stream: the caller receives the complete stream, the
+ * gateway reports not ready at once, and the program continues through the other gateway. */
 static void
-test_a_planned_stop_cuts_nothing (void)
+test_planned_stop_interrupts_no_stream (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 2, 3);
-  struct StopWatch watch = { fleet, 0 };
+  struct ReadyWatch watch = { fleet, 0 };
   uint32_t n_failed = CU_get_number_of_failures ();
   struct HttpReply *reply;
   pid_t pid = fleet->gateways[0].process->pid;
 
   server_set_pace (fleet->installation, ENGINE, 300);
   server_set_pace (fleet->installation, ENGINE + 1, 300);
-  /* The signal arrives while the stream is on its way. */
+  /* Sends the signal while the stream is being forwarded. */
   if (fork () == 0)
     {
       sleep_ms (400);
@@ -260,7 +258,7 @@
   reply = turn_send (fleet, ctx, 0, "p", "t1", "", 0, "x");
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_STRING_EQUAL (reply->text, stream_of (ctx, "t1"));
-  CU_ASSERT_TRUE (wait_for (gateway_not_ready, &watch));
+  CU_ASSERT_TRUE (wait_for (gateway_is_not_ready, &watch));
   CU_ASSERT_EQUAL (turn_send_until_taken (fleet, ctx, 1, "p", "t2", "t1", "y")->status, 200);
   CU_ASSERT_TRUE (process_wait (fleet->gateways[0].process));
   CU_ASSERT_EQUAL (fleet->gateways[0].process->exit_status, 0);
@@ -269,7 +267,7 @@
 }
 
 static uint32_t
-n_registered (struct Fleet *fleet, TALLOC_CTX *ctx)
+count_registered (struct Fleet *fleet, TALLOC_CTX *ctx)
 {
   uint32_t n = 0;
 
@@ -285,10 +283,11 @@
   return n;
 }
 
-/* Each process that starts registers in the store and reads who else there is: a thousand starts
- * cost thousands of calls. With a seed the others find each other without. */
+/* Guards against load on the store at the start of a fleet: without a seed, each process registers
+ * there and lists the others, so that a thousand starts cost thousands of calls. With a seed the
+ * processes find each other without the store. */
 static void
-test_a_seed_takes_the_stores_place_at_the_start (void)
+test_seed_replaces_the_store_at_start (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_new (ctx);
@@ -296,20 +295,20 @@
 
   fleet->seed_port = session_port (fleet->session);
   fleet_start_all (fleet, 3, 3, NULL, NULL);
-  CU_ASSERT (n_registered (fleet, ctx) <= 2); /* the seed, and whoever aggregates the zone */
+  CU_ASSERT (count_registered (fleet, ctx) <= 2); /* the seed and the zone's aggregator */
   CU_ASSERT_EQUAL (turn_send_until_taken (fleet, ctx, 2, "p", "t1", "", "x")->status, 200);
   process_kill (fleet->gateways[1].process);
   gateway_start (fleet, 1);
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 1));
-  CU_ASSERT (n_registered (fleet, ctx) <= 2);
+  CU_ASSERT (count_registered (fleet, ctx) <= 2);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
-/* The seed's machine is gone for good when a gateway starts: without the store it would wait for
- * ever. */
+/* Guards against a gateway that waits forever for its seed: the seed's instance has failed for good
+ * when a gateway starts, which must fall back to the store. */
 static void
-test_a_gateway_starts_without_its_seed (void)
+test_gateway_starts_without_its_seed (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_new (ctx);
@@ -328,16 +327,15 @@
 
 const char test_suite_name[] = "sessions: gateway path";
 const struct TestCase test_cases[] = {
-  { "a program goes on through any gateway", test_a_program_goes_on_through_any_gateway },
-  { "the directory lists the ready gateways", test_the_directory_lists_the_ready_gateways },
-  { "a budget holds over all gateways", test_a_budget_holds_over_all_gateways },
-  { "unknown turns and routes are told so", test_unknown_turns_and_routes_are_told_so },
-  { "a change reaches all gateways", test_a_change_reaches_all_gateways },
-  { "metrics show a turn where it passed", test_metrics_show_a_turn_where_it_passed },
-  { "a starting gateway holds its callers", test_a_starting_gateway_holds_its_callers },
-  { "a planned stop cuts nothing", test_a_planned_stop_cuts_nothing },
-  { "a seed takes the store's place at the start",
-    test_a_seed_takes_the_stores_place_at_the_start },
-  { "a gateway starts without its seed", test_a_gateway_starts_without_its_seed },
+  { "a program continues through any gateway", test_program_continues_through_any_gateway },
+  { "the directory lists the ready gateways", test_directory_lists_ready_gateways },
+  { "a budget holds across gateways", test_budget_holds_across_gateways },
+  { "unknown turns and routes get 404", test_unknown_turns_and_routes_get_404 },
+  { "a configuration reaches all gateways", test_configuration_reaches_all_gateways },
+  { "metrics count a turn at each process", test_metrics_count_a_turn },
+  { "a starting gateway defers requests", test_starting_gateway_defers_requests },
+  { "a planned stop interrupts no stream", test_planned_stop_interrupts_no_stream },
+  { "a seed replaces the store at the start", test_seed_replaces_the_store_at_start },
+  { "a gateway starts without its seed", test_gateway_starts_without_its_seed },
   { NULL, NULL },
 };
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -11,10 +11,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A substitution alert runs at the kitchen's desk and its answer is lost. The caller is told that
- * it may have run; it is not sent a second time, to that server or another. */
+/* Guards against a non-idempotent request that runs twice: the server runs it and its response is
+ * lost. The caller gets 502, and the request is not sent again to any server. */
 static void
-test_a_lost_answer_runs_once (void)
+test_lost_response_is_not_repeated (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -27,11 +27,11 @@
   talloc_free (ctx);
 }
 
-/* The answer to a roster, which may be posted twice, is lost without a sign: the connection stays
- * open and silent. Well before the caller's time is over another server is asked, and answers. An
- * alert that may be sent only once is not asked for again. */
+/* Guards against a request that waits for a lost response until its deadline: the server runs an
+ * idempotent request and then stays silent on an open connection. Another server is tried well
+ * before the deadline. A non-idempotent request is not repeated. */
 static void
-test_a_silent_server_is_passed_by_for_what_may_repeat (void)
+test_silent_server_is_replaced_if_idempotent (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -59,10 +59,10 @@
   talloc_free (ctx);
 }
 
-/* A full desk refuses, and says that it did not run the alert. So may the gateway, with a time to
- * come back. */
+/* A full server refuses a non-idempotent request as not run; the gateway then responds with 503 and
+ * Retry-After. */
 static void
-test_a_full_server_is_refused_as_not_run (void)
+test_full_server_gives_503 (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -77,9 +77,9 @@
   talloc_free (ctx);
 }
 
-/* A success without the server's proof is not its answer: never passed on. */
+/* A success without a valid proof from the server is never forwarded to the caller. */
 static void
-test_a_spoiled_answer_is_not_passed_on (void)
+test_response_without_proof_is_not_forwarded (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -92,10 +92,10 @@
   talloc_free (ctx);
 }
 
-/* An engine dies in the middle of a turn. The caller's stream must not look complete, and nobody
- * may continue from half a turn. */
+/* An engine fails in the middle of a turn. The caller's stream must not look complete, and the
+ * incomplete turn cannot be continued. */
 static void
-test_a_broken_stream_does_not_look_complete (void)
+test_interrupted_stream_does_not_look_complete (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -112,9 +112,10 @@
   talloc_free (ctx);
 }
 
-/* A desk hangs. The caller hears at the route's time, not later, that it may have run. */
+/* A server hangs. The caller gets 504 at the route's timeout, and the server was sent a deadline
+ * within that timeout. */
 static void
-test_a_hanging_server_ends_at_the_routes_time (void)
+test_hanging_server_times_out (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -136,9 +137,9 @@
   uint32_t n, runs;
 };
 
-/* True once three requests in a row have passed the draining engine by. */
+/* Returns true once none of three consecutive requests was sent to the draining engine. */
 static bool
-engine_is_passed_by (void *data)
+engine_gets_no_request (void *data)
 {
   struct DrainWatch *watch = data;
   uint32_t before = server_runs (watch->fleet->installation, ENGINE);
@@ -153,9 +154,9 @@
   return server_runs (watch->fleet->installation, ENGINE) == before;
 }
 
-/* An engine leaves. Soon nothing new goes to it; when it is gone from the list, neither. */
+/* A draining engine soon receives no new requests, and none afterwards. */
 static void
-test_a_leaving_server_gets_nothing_new (void)
+test_draining_server_gets_no_new_request (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -164,10 +165,10 @@
 
   server_set_state (fleet->installation, ENGINE, "draining");
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "1 changes, 3 listed"));
-  CU_ASSERT_TRUE (wait_for (engine_is_passed_by, &watch));
+  CU_ASSERT_TRUE (wait_for (engine_gets_no_request, &watch));
   before = server_runs (fleet->installation, ENGINE);
   for (int i = 0; i < 20; i++)
-    engine_is_passed_by (&watch);
+    engine_gets_no_request (&watch);
   CU_ASSERT_EQUAL (server_runs (fleet->installation, ENGINE), before);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -179,9 +180,10 @@
   return installation_closes_seen (data) > 0;
 }
 
-/* A caller closes in the middle of a stream. The engine sees it, and stops working for nobody. */
+/* Guards against an engine that keeps working for a disconnected caller: when a caller closes its
+ * connection in the middle of a stream, the gateway closes the one to the engine. */
 static void
-test_a_callers_close_reaches_the_engine (void)
+test_caller_disconnect_reaches_the_engine (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -206,11 +208,11 @@
   talloc_free (ctx);
 }
 
-/* Another program writes beside the servers' entries, and an engine crashes and starts again under
- * its id. The entries that can't be read name no server and are told once, however often the list
- * is read; the others hold, and calls go on. The engine's start is seen. */
+/* Another program writes malformed entries next to those of the servers, and an engine crashes and
+ * restarts under the same id. Each malformed entry is logged once, however often the list is
+ * read, and ignored; the other servers stay listed and calls succeed. The restart is detected. */
 static void
-test_entries_that_can_not_be_read_harm_no_other (void)
+test_malformed_entries_do_not_affect_others (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -238,13 +240,15 @@
 
 enum
 {
-  N_CROWD = 24 /* turns at once: two engines run eight each, and one more is on its way to each */
+  /* Concurrent turns: two engines run eight each, and one more is in transit to each. */
+  N_TURNS = 24
 };
 
-/* The store forgets its history while a server is added and another one leaves: the call that waits
- * for changes can not tell of them. Without a new list the gateways would never know. */
+/* Guards against missed changes: the store discards its history while it is unreachable, a server
+ * is added and another one drains. The watch cannot report these changes, so the gateways must list
+ * the servers again. */
 static void
-test_changes_are_known_after_history_is_gone (void)
+test_changes_arrive_after_history_is_discarded (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
@@ -262,21 +266,21 @@
   talloc_free (ctx);
 }
 
-struct CrowdTurn
+struct ConcurrentTurn
 {
   struct Fleet *fleet;
   uint32_t number;
   uint32_t status;
-  char id[32]; /* of the attempt that was taken */
+  char id[32]; /* of the last attempt */
   pthread_t thread;
 };
 
-/* Sent until it is not sent back any more, as a caller would: where the disks of all archives stall
- * for a second, as on a machine that does much else, turns are truly refused, and did not run. */
+/* Sends the turn until its status is not 503, as a caller would: turns are rejected without being
+ * run while the disks of all archives stall for a second, as on a busy test machine. */
 static void *
-crowd_turn (void *data)
+send_turn_until_accepted (void *data)
 {
-  struct CrowdTurn *turn = data;
+  struct ConcurrentTurn *turn = data;
   int64_t limit_ms = monotonic_ms () + WAIT_LIMIT_MS;
   char program[16];
 
@@ -295,53 +299,56 @@
   return NULL;
 }
 
-/* More turns than the engines run at once wait for the engines' owners. One owner dies meanwhile,
- * with all that it knew of who waits. Each turn is still sent, once, and answered. */
+/* Guards against queued turns that are lost with their owner: more turns than the engines run at
+ * once wait for a slot while two gateways, possible owners of the engines, are killed with their
+ * queues. Each turn still runs exactly once and gets a complete response. */
 static void
-test_turns_that_wait_outlive_an_owner (void)
+test_queued_turns_survive_owner_failure (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = fleet_start (ctx, 3, 3);
   uint32_t n_failed = CU_get_number_of_failures (), n_queued;
-  struct CrowdTurn crowd[N_CROWD];
+  struct ConcurrentTurn turns[N_TURNS];
 
   server_set_pace (fleet->installation, ENGINE, 250);
   server_set_pace (fleet->installation, ENGINE + 1, 250);
-  for (uint32_t i = 0; i < N_CROWD; i++)
+  for (uint32_t i = 0; i < N_TURNS; i++)
     {
-      crowd[i] = (struct CrowdTurn){ .fleet = fleet, .number = i };
-      pthread_create (&crowd[i].thread, NULL, crowd_turn, &crowd[i]);
+      turns[i] = (struct ConcurrentTurn){ .fleet = fleet, .number = i };
+      pthread_create (&turns[i].thread, NULL, send_turn_until_accepted, &turns[i]);
     }
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "\"event\":\"queued\""));
   process_kill (fleet->gateways[1].process);
   process_kill (fleet->gateways[2].process);
-  for (uint32_t i = 0; i < N_CROWD; i++)
+  for (uint32_t i = 0; i < N_TURNS; i++)
     {
-      pthread_join (crowd[i].thread, NULL);
-      if (crowd[i].status != 200)
-        printf ("turn %s got %u\n", crowd[i].id, crowd[i].status);
-      CU_ASSERT_EQUAL (crowd[i].status, 200);
-      CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, crowd[i].id), 1);
+      pthread_join (turns[i].thread, NULL);
+      if (turns[i].status != 200)
+        printf ("turn %s got %u\n", turns[i].id, turns[i].status);
+      CU_ASSERT_EQUAL (turns[i].status, 200);
+      CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, turns[i].id), 1);
     }
   n_queued = process_count (fleet->gateways[0].process, "\"event\":\"queued\"");
-  CU_ASSERT (n_queued >= N_CROWD - 2 * (8 + 1) - 2);
+  CU_ASSERT (n_queued >= N_TURNS - 2 * (8 + 1) - 2);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
 const char test_suite_name[] = "sessions: gateway and servers";
 const struct TestCase test_cases[] = {
-  { "a lost answer runs once", test_a_lost_answer_runs_once },
-  { "a silent server is passed by for what may repeat",
-    test_a_silent_server_is_passed_by_for_what_may_repeat },
-  { "a full server is refused as not run", test_a_full_server_is_refused_as_not_run },
-  { "a spoiled answer is not passed on", test_a_spoiled_answer_is_not_passed_on },
-  { "a broken stream does not look complete", test_a_broken_stream_does_not_look_complete },
-  { "a hanging server ends at the route's time", test_a_hanging_server_ends_at_the_routes_time },
-  { "a leaving server gets nothing new", test_a_leaving_server_gets_nothing_new },
-  { "a caller's close reaches the engine", test_a_callers_close_reaches_the_engine },
-  { "entries that can not be read harm no other", test_entries_that_can_not_be_read_harm_no_other },
-  { "changes are known after history is gone", test_changes_are_known_after_history_is_gone },
-  { "turns that wait outlive an owner", test_turns_that_wait_outlive_an_owner },
+  { "a request with a lost response runs once", test_lost_response_is_not_repeated },
+  { "a silent server is replaced for idempotent requests",
+    test_silent_server_is_replaced_if_idempotent },
+  { "a full server gives 503, not run", test_full_server_gives_503 },
+  { "a response without proof is not forwarded", test_response_without_proof_is_not_forwarded },
+  { "an interrupted stream does not look complete",
+    test_interrupted_stream_does_not_look_complete },
+  { "a hanging server ends at the route's timeout", test_hanging_server_times_out },
+  { "a draining server gets no new request", test_draining_server_gets_no_new_request },
+  { "a caller's disconnect reaches the engine", test_caller_disconnect_reaches_the_engine },
+  { "malformed entries do not affect others", test_malformed_entries_do_not_affect_others },
+  { "changes arrive after the history is discarded",
+    test_changes_arrive_after_history_is_discarded },
+  { "queued turns survive an owner's failure", test_queued_turns_survive_owner_failure },
   { NULL, NULL },
 };
--- a/tests/sessions/test_gateway_streams.c
+++ b/tests/sessions/test_gateway_streams.c
@@ -6,7 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Streams whose turns are not kept: /asks/ may be resumed, /once-only/ may not. */
+/* Stream routes that keep no turns: /asks/ and /single/ are resumable, but /single/ allows one
+ * attempt only; /plain/ is not resumable. */
 static const char routes[] =
     "{\"name\":\"asks\",\"host\":\"x.example\",\"prefix\":\"/asks/\",\"kind\":\"stream\","
     "\"timeout_ms\":6000,\"service\":\"engines\",\"max_attempts\":2,\"retain\":false,"
@@ -28,39 +29,40 @@
   return fleet;
 }
 
-struct Ask
+struct TestRequest
 {
   uint32_t gateway;
   const char *path, *program, *id;
   uint32_t budget;          /* 0: none */
   const char *resume_after; /* NULL: from the start */
-  const char *parts;        /* of its prompt; NULL: not told */
+  const char *parts;        /* of its prompt; NULL: not specified */
 };
 
 static struct HttpReply *
-ask_send (struct Fleet *fleet, TALLOC_CTX *ctx, const struct Ask *ask)
+send_request (struct Fleet *fleet, TALLOC_CTX *ctx, const struct TestRequest *request)
 {
   char id[96], of[96], limit[64], after[64], parts[128];
   const char *headers[9] = { "Host: x.example", id, of, "X-Token-Count: 100,200",
                              "X-Deadline-Ms: 6000" };
   size_t n = 5;
 
-  snprintf (id, sizeof id, "X-Request-Id: %s", ask->id);
-  snprintf (of, sizeof of, "X-Program-Id: %s", ask->program);
-  snprintf (limit, sizeof limit, "X-Token-Budget: %u", ask->budget);
-  if (ask->budget > 0)
+  snprintf (id, sizeof id, "X-Request-Id: %s", request->id);
+  snprintf (of, sizeof of, "X-Program-Id: %s", request->program);
+  snprintf (limit, sizeof limit, "X-Token-Budget: %u", request->budget);
+  if (request->budget > 0)
     headers[n++] = limit;
-  if (ask->resume_after != NULL)
+  if (request->resume_after != NULL)
     {
-      snprintf (after, sizeof after, "Last-Event-Id: %s", ask->resume_after);
+      snprintf (after, sizeof after, "Last-Event-Id: %s", request->resume_after);
       headers[n++] = after;
     }
-  if (ask->parts != NULL)
+  if (request->parts != NULL)
     {
-      snprintf (parts, sizeof parts, "X-Prompt-Prefix: %s", ask->parts);
+      snprintf (parts, sizeof parts, "X-Prompt-Prefix: %s", request->parts);
       headers[n++] = parts;
     }
-  return http_send (ctx, "POST", fleet->gateways[ask->gateway].caller, ask->path, headers, "all");
+  return http_send (ctx, "POST", fleet->gateways[request->gateway].caller, request->path, headers,
+                    "all");
 }
 
 static char *
@@ -73,7 +75,7 @@
   return text;
 }
 
-/* Retries come out of a share of all requests: a gateway that has just started has none in hand. */
+/* Earns retries: they are a share of all requests, so a gateway that has just started has none. */
 static void
 earn_retries (struct Fleet *fleet, TALLOC_CTX *ctx)
 {
@@ -81,7 +83,6 @@
     CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "earned")->status, 200);
 }
 
-/* Sets the mode of both engines; afterwards one request goes to each of them. */
 static void
 engines_set_mode (struct Fleet *fleet, enum ServerMode mode)
 {
@@ -89,19 +90,20 @@
   server_set_mode (fleet->installation, ENGINE + 1, mode);
 }
 
-/* An engine dies in the middle of an answer's third event. The caller sees nothing of it: the
- * stream goes on at the other engine after the second event, none missing, doubled or halved. */
+/* An engine fails in the middle of the third event. The stream resumes at the other engine after
+ * the second event; the caller gets every event once, complete. */
 static void
-test_a_stream_goes_on_at_another_server (void)
+test_stream_resumes_at_another_server (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = streams_start (ctx, 1);
   uint32_t n_failed = CU_get_number_of_failures (), n_resumed = 0, used;
 
   earn_retries (fleet, ctx);
-  /* The next stream goes where a connection is kept. */
+  /* The next stream is sent to the engine with an idle connection. */
   CU_ASSERT_EQUAL (
-      ask_send (fleet, ctx, &(struct Ask){ 0, "/asks/1", "p", "first", 0, NULL, NULL })->status,
+      send_request (fleet, ctx, &(struct TestRequest){ 0, "/asks/1", "p", "first", 0, NULL, NULL })
+          ->status,
       200);
   used = server_runs (fleet->installation, ENGINE) > 0 ? ENGINE : ENGINE + 1;
   server_set_mode (fleet->installation, used, SERVER_BREAKS_OFF);
@@ -111,7 +113,8 @@
       struct HttpReply *reply;
 
       snprintf (id, sizeof id, "a%u", i);
-      reply = ask_send (fleet, ctx, &(struct Ask){ 0, "/asks/1", "p", id, 0, NULL, NULL });
+      reply =
+          send_request (fleet, ctx, &(struct TestRequest){ 0, "/asks/1", "p", id, 0, NULL, NULL });
       CU_ASSERT_EQUAL (reply->status, 200);
       CU_ASSERT_STRING_EQUAL (reply->text, events_of (ctx, id, 1, 4));
       if (installation_runs_of (fleet->installation, id) == 1)
@@ -126,10 +129,10 @@
   talloc_free (ctx);
 }
 
-/* The same on routes that do not allow it: one may not be resumed, the other may be sent to one
- * server only. The caller's answer breaks off, and nothing runs a second time. */
+/* The same failure on routes that do not allow a resume: one is not resumable, the other allows a
+ * single attempt. The caller's stream is interrupted, and nothing runs a second time. */
 static void
-test_a_stream_breaks_off_where_it_must_not_go_on (void)
+test_stream_is_not_resumed_where_not_allowed (void)
 {
   static const char *const paths[] = { "/plain/1", "/single/1" };
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -144,42 +147,46 @@
 
       snprintf (id, sizeof id, "b%u", i);
       CU_ASSERT_EQUAL (
-          ask_send (fleet, ctx, &(struct Ask){ 0, paths[i], "p", id, 0, NULL, NULL })->status, 0);
+          send_request (fleet, ctx, &(struct TestRequest){ 0, paths[i], "p", id, 0, NULL, NULL })
+              ->status,
+          0);
       CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, id), 1);
     }
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
-/* A caller's connection broke, and it asks for the rest of the stream. It gets what it lacks; on a
- * route that may not be resumed it gets the stream from its start. */
+/* A caller whose connection broke requests the rest of its stream with Last-Event-Id. It gets the
+ * missing events; on a route that is not resumable it gets the stream from the start. */
 static void
-test_a_caller_gets_the_rest_of_its_stream (void)
+test_caller_gets_the_rest_of_its_stream (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = streams_start (ctx, 1);
   uint32_t n_failed = CU_get_number_of_failures ();
   struct HttpReply *reply;
 
-  reply = ask_send (fleet, ctx, &(struct Ask){ 0, "/asks/1", "p", "c1", 0, "3", NULL });
+  reply = send_request (fleet, ctx, &(struct TestRequest){ 0, "/asks/1", "p", "c1", 0, "3", NULL });
   CU_ASSERT_STRING_EQUAL (reply->text, events_of (ctx, "c1", 4, 4));
-  reply = ask_send (fleet, ctx, &(struct Ask){ 0, "/plain/1", "p", "c2", 0, "3", NULL });
+  reply =
+      send_request (fleet, ctx, &(struct TestRequest){ 0, "/plain/1", "p", "c2", 0, "3", NULL });
   CU_ASSERT_STRING_EQUAL (reply->text, events_of (ctx, "c2", 1, 4));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
 
-/* A program loops without end on a route that keeps no turns, through two gateways, one of which
- * is killed and started again meanwhile. All of them together hand out no more than its budget. */
+/* Guards against a budget that is lost with a gateway: a looping program sends turns on a route
+ * that keeps none through two gateways, one of which is killed and restarted. Together they return
+ * no more tokens than the program's budget. */
 static void
-test_a_budget_holds_where_no_turn_is_kept (void)
+test_budget_holds_without_kept_turns (void)
 {
-  const uint32_t budget = 500, tokens_a_turn = 4 * TOKENS_PER_EVENT;
+  const uint32_t budget = 500, tokens_per_turn = 4 * TOKENS_PER_EVENT;
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = streams_start (ctx, 2);
-  uint32_t n_failed = CU_get_number_of_failures (), n_refused = 0, n_runs;
+  uint32_t n_failed = CU_get_number_of_failures (), n_rejected = 0, n_runs;
 
-  for (uint32_t i = 0; n_refused < 4 && i < 300; i++)
+  for (uint32_t i = 0; n_rejected < 4 && i < 300; i++)
     {
       char id[16];
       struct HttpReply *reply;
@@ -190,17 +197,17 @@
           gateway_start (fleet, 0);
         }
       snprintf (id, sizeof id, "d%u", i);
-      reply =
-          ask_send (fleet, ctx, &(struct Ask){ i % 2, "/asks/1", "loop", id, budget, NULL, NULL });
-      n_refused += reply->status == 402;
+      reply = send_request (
+          fleet, ctx, &(struct TestRequest){ i % 2, "/asks/1", "loop", id, budget, NULL, NULL });
+      n_rejected += reply->status == 402;
       if (reply->status == 402)
         CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, id), 0);
     }
   n_runs =
       server_runs (fleet->installation, ENGINE) + server_runs (fleet->installation, ENGINE + 1);
   CU_ASSERT (n_runs >= 2);
-  CU_ASSERT (n_runs * tokens_a_turn <= budget);
-  CU_ASSERT_EQUAL (n_refused, 4);
+  CU_ASSERT (n_runs * tokens_per_turn <= budget);
+  CU_ASSERT_EQUAL (n_rejected, 4);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
@@ -212,10 +219,11 @@
   N_TURNS = 4
 };
 
-/* The numbers of the engines: a third one is added to the two of every fleet. */
+/* Server numbers of the engines: a third one is added to the two of every fleet. */
 static const uint32_t engines[N_ENGINES] = { ENGINE, ENGINE + 1, DESK + 1 };
 
-/* Every engine has read the part that all sessions share, so that none is drawn by it. */
+/* Lets every engine read the prompt part that all sessions share, so that a cached copy of it draws
+ * no session to one engine. */
 static void
 warm_all_engines (struct Fleet *fleet, TALLOC_CTX *ctx)
 {
@@ -225,20 +233,20 @@
   for (uint32_t i = 0; i < N_ENGINES; i++)
     {
       char id[16];
-      const struct Ask ask = { i % 2, "/asks/1", "warm", id, 0, NULL, "77:12000,9:10" };
+      const struct TestRequest request = { i % 2, "/asks/1", "warm", id, 0, NULL, "77:12000,9:10" };
 
       for (uint32_t j = 0; j < N_ENGINES; j++)
         server_set_mode (fleet->installation, engines[j], j == i ? SERVER_ANSWERS : SERVER_FULL);
       snprintf (id, sizeof id, "warm%u", i);
-      CU_ASSERT_EQUAL (ask_send (fleet, ctx, &ask)->status, 200);
+      CU_ASSERT_EQUAL (send_request (fleet, ctx, &request)->status, 200);
     }
   for (uint32_t j = 0; j < N_ENGINES; j++)
     server_set_mode (fleet->installation, engines[j], SERVER_ANSWERS);
 }
 
-/* The engine that has run more requests than runs says, which is brought up to date. */
+/* Returns the engine that has run more requests than runs records, and updates runs. */
 static uint32_t
-engine_that_ran (struct Fleet *fleet, uint32_t runs[N_ENGINES])
+engine_that_ran_last (struct Fleet *fleet, uint32_t runs[N_ENGINES])
 {
   uint32_t ran = N_ENGINES;
 
@@ -253,11 +261,11 @@
   return ran;
 }
 
-/* Each turn of a session comes through another gateway than the one before, and none of them keeps
- * what was said: another engine would read the whole conversation again. Turns go where the one
- * before ran. */
+/* Guards against prompts that are read again: consecutive turns of a session arrive at different
+ * gateways on a route that keeps no turns. Each should still be sent to the engine that ran the
+ * previous turn, which has the conversation in its cache. */
 static void
-test_a_session_stays_where_it_was_read (void)
+test_session_stays_on_its_engine (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Fleet *fleet = streams_start (ctx, 2);
@@ -265,23 +273,23 @@
   uint32_t runs[N_ENGINES] = { 0 }, last[N_SESSIONS] = { 0 };
 
   warm_all_engines (fleet, ctx);
-  engine_that_ran (fleet, runs);
+  engine_that_ran_last (fleet, runs);
   for (uint32_t turn = 0; turn < N_TURNS; turn++)
     for (uint32_t i = 0; i < N_SESSIONS; i++)
       {
         char id[16], program[16], parts[64];
-        const struct Ask ask = { turn % 2, "/asks/1", program, id, 4000, NULL, parts };
+        const struct TestRequest request = { turn % 2, "/asks/1", program, id, 4000, NULL, parts };
         uint32_t engine;
 
         snprintf (id, sizeof id, "e%u-%u", i, turn);
         snprintf (program, sizeof program, "p%u", i);
         snprintf (parts, sizeof parts, "77:12000,%x:%u", 100 + i, 1000 * (turn + 1));
-        CU_ASSERT_EQUAL (ask_send (fleet, ctx, &ask)->status, 200);
-        engine = engine_that_ran (fleet, runs);
+        CU_ASSERT_EQUAL (send_request (fleet, ctx, &request)->status, 200);
+        engine = engine_that_ran_last (fleet, runs);
         n_stayed += turn > 0 && engine == last[i];
         last[i] = engine;
       }
-  /* The end of a turn may reach the archives after the question of the next one: seldom. */
+  /* The close of a turn occasionally reaches the archives after the next turn's query. */
   CU_ASSERT (n_stayed >= N_SESSIONS * (N_TURNS - 1) - 2);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -289,11 +297,10 @@
 
 const char test_suite_name[] = "sessions: gateway and streams";
 const struct TestCase test_cases[] = {
-  { "a stream goes on at another server", test_a_stream_goes_on_at_another_server },
-  { "a stream breaks off where it must not go on",
-    test_a_stream_breaks_off_where_it_must_not_go_on },
-  { "a caller gets the rest of its stream", test_a_caller_gets_the_rest_of_its_stream },
-  { "a budget holds where no turn is kept", test_a_budget_holds_where_no_turn_is_kept },
-  { "a session stays where it was read", test_a_session_stays_where_it_was_read },
+  { "a stream resumes at another server", test_stream_resumes_at_another_server },
+  { "a stream is not resumed where not allowed", test_stream_is_not_resumed_where_not_allowed },
+  { "a caller gets the rest of its stream", test_caller_gets_the_rest_of_its_stream },
+  { "a budget holds without kept turns", test_budget_holds_without_kept_turns },
+  { "a session stays on its engine", test_session_stays_on_its_engine },
   { NULL, NULL },
 };
