--- a/gateway/front.c
+++ b/gateway/front.c
@@ -31,13 +31,14 @@
   INITIAL_IDLE_TIMEOUT_MS = 15000,
   TICK_INTERVAL_MS = 250, /* half a heartbeat interval */
   DIGEST_INTERVAL_MS = 120,
-  FULL_DIGEST_TICKS = 4, /* digest intervals between digests of all engines: a heartbeat interval */
+  /* Digest intervals between digests of all engines, which are sent as often as heartbeats. */
+  FULL_DIGEST_TICKS = 4,
   /* With more peers than this, only the gateways of an engine's zone, which prefer it over engines
    * of other zones, receive its digests: with 300 gateways and 9 engines each, sending all digests
    * to all gateways would cost each of them 1.4 MB per second. */
   DIGESTS_TO_ALL_PEERS_MAX = 120,
   /* How long after the start requests are deferred. Links to archives and peers are up within about
-   * 300 ms when 80 processes start together on an eighth of a core each. */
+   * 300 ms when 80 processes start together on an eighth of a core. */
   START_DEFER_MS = 1200,
   START_CHECK_MS = 20,
   /* On each of the ready and directory listeners, whose requests are few, small and short. */
@@ -164,7 +165,7 @@
   return request->timeout != NULL;
 }
 
-/* A turn has a budget that is enforced across all gateways, or its answer is kept, or both. */
+/* Returns true for a turn: it has a budget enforced across all gateways, a kept answer, or both. */
 static bool
 request_is_turn (const struct Request *request)
 {
@@ -528,7 +529,7 @@
 /* Sends the gateways of the zone, which prefer its engines, digests of busy engines four times as
  * often as of all engines: at 14 to 25 turns per second and engine, half a second is half of its
  * queue. Idle engines are left out of the frequent digests, since every gateway would send to an
- * engine as soon as it is reported idle. Scores in simulated days of load on the two largest
+ * engine as soon as it is reported idle. Scores in days of load on the two largest
  * deployments: 0.672 and 0.800 with digests every 500 ms; 0.711 and 0.851 with all engines every
  * 120 ms; 0.859 to 0.885 and 0.874 with busy engines every 120 ms (one or two runs each). */
 static void
@@ -639,7 +640,7 @@
 
   *front = NULL;
   if (f == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the gateway");
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory for the gateway");
   f->node = node;
   f->started_ms = timer_now_ms (node->timers);
   f->replicas = replica_set_new (f);
@@ -649,7 +650,7 @@
   f->echo = loop_echo_new (f, node);
   if (f->replicas == NULL || f->client == NULL || f->slots == NULL || f->quotas == NULL
       || f->echo == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the gateway");
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory for the gateway");
   error = front_listen_all (f, fault);
   if (error != ERROR_NONE)
     return error;
--- a/gateway/relay.h
+++ b/gateway/relay.h
@@ -7,8 +7,8 @@
 
 #include "node.h"
 
-/* Sends message to peer through two other gateways, since turn messages may arrive twice without
- * harm. Returns ERROR_UNREACHABLE when no gateway can relay. */
+/* Sends message to peer through up to two other gateways, since turn messages may arrive twice
+ * without harm. Returns ERROR_UNREACHABLE when no gateway can relay. */
 int32_t
 relay_send (struct Node *node, const char *peer, const struct GatewayMessage *message);
 
