--- a/gateway/credential.c
+++ b/gateway/credential.c
@@ -2,9 +2,10 @@
 
 #include <string.h>
 
-/* The customer whose key it is; NULL: nobody's. *needs_key: a request without one may not pass. */
+/* Returns the customer that owns the caller's key; NULL when there is none. Sets *needs_key when
+ * the request must not pass without a customer. */
 static const struct Customer *
-credential_owner (const struct Request *request, bool *needs_key)
+credential_customer (const struct Request *request, bool *needs_key)
 {
   const struct RouteTable *table = request->front->table;
   const struct CallerRequest *caller = &request->caller;
@@ -19,44 +20,44 @@
 credential_check (struct Request *request)
 {
   bool needs_key;
-  const struct Customer *customer = credential_owner (request, &needs_key);
+  const struct Customer *customer = credential_customer (request, &needs_key);
 
   request->key_checked = true;
   request->key_version = request->front->table->version;
-  request->key_holds = customer != NULL || !needs_key;
+  request->key_valid = customer != NULL || !needs_key;
   if (customer != NULL)
     request->customer = *customer;
-  return request->key_holds;
+  return request->key_valid;
 }
 
 const char *
-credential_words (const struct CallerRequest *caller)
+credential_problem (const struct CallerRequest *caller)
 {
   switch (caller->credential)
     {
     case CREDENTIAL_NONE:
-      return "no key";
+      return "the request has no key";
     case CREDENTIAL_KEY:
-      return "a key that no customer has";
+      return "no customer has this key";
     case CREDENTIAL_UNREADABLE:
-      return "no single key can be read";
+      return "several keys, or a malformed one";
     }
   return "";
 }
 
 bool
-credential_holds (struct Request *request)
+credential_is_valid (struct Request *request)
 {
   bool needs_key;
   const struct Customer *customer;
 
   if (!request->key_checked)
     return credential_check (request);
-  if (request->key_version == request->front->table->version || !request->key_holds)
-    return request->key_holds;
-  customer = credential_owner (request, &needs_key);
+  if (request->key_version == request->front->table->version || !request->key_valid)
+    return request->key_valid;
+  customer = credential_customer (request, &needs_key);
   request->key_version = request->front->table->version;
-  request->key_holds = strcmp (customer != NULL ? customer->name : "", request->customer.name) == 0
+  request->key_valid = strcmp (customer != NULL ? customer->name : "", request->customer.name) == 0
                        && (customer != NULL || !needs_key);
-  return request->key_holds;
+  return request->key_valid;
 }
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -16,44 +16,46 @@
 
 enum
 {
-  /* While a planned stop runs: requests are still taken for this long, since callers keep an old
-   * list of addresses for a few seconds; what comes later is sent back. */
-  STOP_TAKES_MS = 3000,
-  /* A stop without requests in flight lasts this long, for callers with an old list. */
+  /* Requests are still accepted for this long after a planned stop was requested, since callers
+   * cache the list of addresses for a few seconds; later ones are rejected with Retry-After. */
+  STOP_ACCEPT_MS = 3000,
+  /* Minimum duration of a planned stop without requests in flight, for callers with an old list. */
   STOP_LINGER_MS = 5000,
-  /* Before the machine kills the process, what is left is answered. */
+  /* The process exits this long before the end of its grace period, when the platform would kill
+   * it, so that the remaining requests still get a response. */
   STOP_MARGIN_MS = 400,
-  /* Until the operators' configuration says otherwise. */
-  FIRST_HEADER_BYTES = 16 * 1024,
-  FIRST_BODY_BYTES = 4 * 1024 * 1024,
-  FIRST_HEADER_MS = 3000,
-  FIRST_IDLE_MS = 15000,
-  TICK_MS = 250, /* half a heartbeat */
-  DIGEST_MS = 120,
-  DIGESTS_OF_ALL_EVERY = 4, /* times DIGEST_MS: as often as heartbeats */
-  /* Where there are more processes than these, only the gateways of an engine's zone, who send
-   * there before others, get its digests: at 300 gateways with 9 engines each, all to all would
-   * be 1.4 MB a second at each of them. */
-  DIGESTS_TO_ALL_MAX = 120,
-  /* From the start of the process: links to archives and peers are up within some 300 ms where
-   * 80 processes start together, on an eighth of a core. */
-  STARTING_MS = 1200,
+  /* Limits of caller requests until a configuration is received. */
+  INITIAL_HEADER_BYTES = 16 * 1024,
+  INITIAL_BODY_BYTES = 4 * 1024 * 1024,
+  INITIAL_HEADER_TIMEOUT_MS = 3000,
+  INITIAL_IDLE_TIMEOUT_MS = 15000,
+  TICK_INTERVAL_MS = 250, /* half a heartbeat interval */
+  DIGEST_INTERVAL_MS = 120,
+  /* Digest intervals between digests of all engines, which are sent as often as heartbeats. */
+  FULL_DIGEST_TICKS = 4,
+  /* With more peers than this, only the gateways of an engine's zone, which prefer it over engines
+   * of other zones, receive its digests: with 300 gateways and 9 engines each, sending all digests
+   * to all gateways would cost each of them 1.4 MB per second. */
+  DIGESTS_TO_ALL_PEERS_MAX = 120,
+  /* How long after the start requests are deferred. Links to archives and peers are up within about
+   * 300 ms when 80 processes start together on an eighth of a core. */
+  START_DEFER_MS = 1200,
   START_CHECK_MS = 20,
-  /* Own listeners: few, small and short. */
-  OWN_CONNECTIONS = 1000,
-  /* A server's idle connection that has no stated end. */
+  /* On each of the ready and directory listeners, whose requests are few, small and short. */
+  OWN_CONNECTIONS_MAX = 1000,
+  /* How long an idle connection is reused when its server advertises no keep-alive timeout. */
   SERVER_IDLE_MS = 1000,
-  /* Of a server's connections that all gateways together may use. */
+  /* Share of a server's connection limit that all gateways together may use. */
   CONNECTIONS_USED_PERCENT = 90,
   SERVER_CONNECTIONS_MIN = 2,
-  SERVER_CONNECTIONS_MAX = 24 /* where nothing is configured */
+  SERVER_CONNECTIONS_MAX = 24 /* default per server */
 };
 
-static const struct HttpLimits first_limits = {
-  .header_max_bytes = FIRST_HEADER_BYTES,
-  .body_max_bytes = FIRST_BODY_BYTES,
-  .header_timeout_ms = FIRST_HEADER_MS,
-  .idle_timeout_ms = FIRST_IDLE_MS,
+static const struct HttpLimits initial_limits = {
+  .header_max_bytes = INITIAL_HEADER_BYTES,
+  .body_max_bytes = INITIAL_BODY_BYTES,
+  .header_timeout_ms = INITIAL_HEADER_TIMEOUT_MS,
+  .idle_timeout_ms = INITIAL_IDLE_TIMEOUT_MS,
 };
 
 /* Callers. */
@@ -66,20 +68,20 @@
   request_fail (request,
                 request->may_have_run || request->call != NULL ? FAILURE_TIMEOUT
                                                                : FAILURE_OUT_OF_TIME,
-                "its time is over");
+                "the deadline has passed");
 }
 
 static void
-request_on_gone (struct HttpExchange *exchange)
+request_on_caller_left (struct HttpExchange *exchange)
 {
   struct Request *request = exchange->handler_data;
 
   log_request (LOG_LEVEL_INFO, "caller_left", request->caller.id, request->caller.program,
-               "%lld ms after its request",
+               "caller disconnected %lld ms after its request",
                (long long)(timer_now_ms (request->front->node->timers) - request->arrived_ms));
   counter_add (COUNTER_REQUESTS_LEFT, 1);
   if (request->n_tried == 0)
-    quotas_give_back (request);
+    quotas_refund (request);
   if (request->turn != NULL)
     turn_abandon (request);
   request->exchange = NULL;
@@ -96,22 +98,22 @@
   request->front = front;
   request->exchange = exchange;
   request->arrived_ms = exchange->arrived_ms;
-  request->due_ms = exchange->arrived_ms;
+  request->deadline_ms = exchange->arrived_ms;
   request->cached_at = "";
   request->next = front->requests;
-  request->at = &front->requests;
+  request->pprev = &front->requests;
   if (request->next != NULL)
-    request->next->at = &request->next;
+    request->next->pprev = &request->next;
   front->requests = request;
   request->body = exchange->body;
   request->body_bytes = exchange->body_bytes;
   exchange->handler_data = request;
-  exchange->gone = request_on_gone;
+  exchange->gone = request_on_caller_left;
   return request;
 }
 
-/* A server takes so many connections from all callers together and resets the others: each gateway
- * has its share, and a margin for those that come and go. */
+/* Returns this gateway's share of a server's connections. A server resets connections beyond its
+ * limit for all clients together; the margin allows for gateways that start or stop. */
 static uint32_t
 connections_share (const struct Service *service, uint32_t n_gateways)
 {
@@ -123,7 +125,7 @@
   return share > SERVER_CONNECTIONS_MIN ? share : SERVER_CONNECTIONS_MIN;
 }
 
-/* The route that the request takes, and how long it may. */
+/* Finds the request's route and service, and sets its deadline. Returns false without a route. */
 static bool
 request_route (struct Request *request)
 {
@@ -132,13 +134,13 @@
   const struct Route *route =
       route_table_find (front->table, request->caller.host, exchange->target);
   const struct Service *service;
-  int64_t time_ms;
+  int64_t timeout_ms;
 
   if (route == NULL)
     return false;
   request->route = *route;
   snprintf (request->service, sizeof request->service, "%s",
-            route_choose_service (route, front->draws++ * 2654435761U >> 7));
+            route_choose_service (route, front->n_draws++ * 2654435761U >> 7));
   request->events.keeps_data = route->keeps_turns;
   if (!route->keeps_turns)
     request->caller.previous = "";
@@ -147,23 +149,23 @@
   request->capacity_tokens = service != NULL ? service->capacity_tokens : 0;
   if (route->warms_up && request->caller.object[0] != '\0')
     request->object = request->caller.object;
-  request->takes_slot = front->node->settings->decisions.owners && service != NULL
+  request->needs_slot = front->node->settings->decisions.owners && service != NULL
                         && service->is_engine && route->kind == ROUTE_STREAM;
-  request->program_due_ms = request->caller.has_program_left
-                                ? request->arrived_ms + request->caller.program_left_ms
-                                : INT64_MAX;
+  request->program_deadline_ms = request->caller.has_program_left
+                                     ? request->arrived_ms + request->caller.program_left_ms
+                                     : INT64_MAX;
   request->connections_max = connections_share (service, front->n_gateways);
-  time_ms = route->timeout_ms;
-  if (request->caller.timeout_ms > 0 && request->caller.timeout_ms < time_ms)
-    time_ms = request->caller.timeout_ms;
-  request->due_ms = request->arrived_ms + time_ms;
+  timeout_ms = route->timeout_ms;
+  if (request->caller.timeout_ms > 0 && request->caller.timeout_ms < timeout_ms)
+    timeout_ms = request->caller.timeout_ms;
+  request->deadline_ms = request->arrived_ms + timeout_ms;
   request->timeout = timer_subscribe (request, front->node->timers,
-                                      request->due_ms - timer_now_ms (front->node->timers), 0,
+                                      request->deadline_ms - timer_now_ms (front->node->timers), 0,
                                       request_on_timeout, request);
   return request->timeout != NULL;
 }
 
-/* A turn of a program has a budget that holds over all gateways, or is kept, or both. */
+/* Returns true for a turn: it has a budget enforced across all gateways, a kept answer, or both. */
 static bool
 request_is_turn (const struct Request *request)
 {
@@ -172,50 +174,51 @@
 }
 
 static bool
-front_is_refusing (const struct Front *front)
+front_rejects_requests (const struct Front *front)
 {
-  return front->stop_ms != 0 && timer_now_ms (front->node->timers) - front->stop_ms > STOP_TAKES_MS;
+  return front->stop_ms != 0
+         && timer_now_ms (front->node->timers) - front->stop_ms > STOP_ACCEPT_MS;
 }
 
 bool
 front_is_starting (const struct Front *front)
 {
-  return timer_now_ms (front->node->timers) - front->started_ms < STARTING_MS;
+  return timer_now_ms (front->node->timers) - front->started_ms < START_DEFER_MS;
 }
 
 static void
-front_take (struct Request *request);
+front_dispatch (struct Request *request);
 
 static void
-request_on_start (void *data)
+request_on_defer_timer (void *data)
 {
   struct Request *request = data;
 
-  request->hold = NULL;
-  front_take (request);
+  request->defer_timer = NULL;
+  front_dispatch (request);
 }
 
-/* Holds the request for a moment while the gateway starts, else it fails. */
+/* Defers the request for a moment while the gateway starts; fails it otherwise. */
 static void
-front_hold (struct Request *request, enum RequestFailure failure, const char *detail)
+front_defer (struct Request *request, enum RequestFailure failure, const char *detail)
 {
   struct Front *front = request->front;
 
   if (front_is_starting (front))
-    request->hold = timer_subscribe (request, front->node->timers, START_CHECK_MS, 0,
-                                     request_on_start, request);
-  if (request->hold == NULL)
+    request->defer_timer = timer_subscribe (request, front->node->timers, START_CHECK_MS, 0,
+                                            request_on_defer_timer, request);
+  if (request->defer_timer == NULL)
     request_fail (request, failure, detail);
 }
 
-/* Without a key nobody learns which routes there are. */
+/* Checks the key first: a caller without a valid one must not find out which routes exist. */
 static void
-front_refuse_unrouted (struct Request *request)
+front_reject_unrouted (struct Request *request)
 {
   if (credential_check (request))
     request_fail (request, FAILURE_NO_ROUTE, request->exchange->target);
   else
-    request_fail (request, FAILURE_NO_KEY, credential_words (&request->caller));
+    request_fail (request, FAILURE_NO_KEY, credential_problem (&request->caller));
 }
 
 static void
@@ -228,25 +231,24 @@
 }
 
 static void
-front_take (struct Request *request)
+front_dispatch (struct Request *request)
 {
   struct Front *front = request->front;
   bool routed = request->timeout != NULL;
 
   if (front->table == NULL)
-    front_hold (request, FAILURE_NO_CONFIG, "started lately, and nobody could say");
+    front_defer (request, FAILURE_NO_CONFIG, "no configuration received since the start");
   else if (!routed && !request_route (request))
-    front_refuse_unrouted (request);
-  else if (!credential_holds (request))
-    request_fail (request, FAILURE_NO_KEY, credential_words (&request->caller));
+    front_reject_unrouted (request);
+  else if (!credential_is_valid (request))
+    request_fail (request, FAILURE_NO_KEY, credential_problem (&request->caller));
   else if (front->replicas->n_replicas == 0)
-    front_hold (request, FAILURE_NO_SERVER, "no server is listed");
+    front_defer (request, FAILURE_NO_SERVER, "the server list is empty");
   else if (request_is_turn (request) && !turn_may_start (front))
-    front_hold (request, FAILURE_UNCERTAIN, "too few archives answer, and no gateway can relay");
+    front_defer (request, FAILURE_UNCERTAIN, "too few archives respond, and no gateway can relay");
   else if (quotas_must_wait (request))
-    front_hold (request, FAILURE_UNCERTAIN,
-                "started lately, and nobody has reported what customers use");
-  else if (quotas_take (request))
+    front_defer (request, FAILURE_UNCERTAIN, "no usage report received since the start");
+  else if (quotas_admit (request))
     front_start (request);
 }
 
@@ -266,23 +268,23 @@
   if (front->node->dialect->read_request (request, exchange, &request->caller, &fault)
       != ERROR_NONE)
     request_fail (request, FAILURE_MALFORMED, fault.message);
-  else if (front_is_refusing (front))
+  else if (front_rejects_requests (front))
     request_fail (request, FAILURE_STOPPING, "planned stop");
   else
-    front_take (request);
+    front_dispatch (request);
 }
 
-/* Own paths. */
+/* The gateway's own paths. */
 
 bool
 front_is_ready (const struct Front *front)
 {
-  return front->stop_ms == 0 && front->table != NULL && front->knows_servers
+  return front->stop_ms == 0 && front->table != NULL && front->has_server_list
          && (node_reaches_archives (front->node) || node_has_relay (front->node));
 }
 
 static void
-front_on_own (void *data, struct HttpExchange *exchange)
+front_on_own_path (void *data, struct HttpExchange *exchange)
 {
   struct Front *front = data;
 
@@ -300,10 +302,10 @@
     }
 }
 
-/* What the store says. */
+/* Snapshots of the store. */
 
 static void
-front_take_routes (struct Front *front, const struct Snapshot *snapshot)
+front_apply_routes (struct Front *front, const struct Snapshot *snapshot)
 {
   struct RouteTable *table;
   struct Fault fault;
@@ -317,9 +319,9 @@
                      &text_bytes)
       != ERROR_NONE)
     {
-      log_event (LOG_LEVEL_ERROR, "configuration_unreadable", NULL,
-                 "bring the processes to one version", "%zu bytes do not inflate",
-                 snapshot->items[0].value_bytes);
+      log_event (
+          LOG_LEVEL_ERROR, "configuration_unreadable", NULL, "bring the processes to one version",
+          "%zu bytes of compressed configuration do not inflate", snapshot->items[0].value_bytes);
       return;
     }
   error = front->node->dialect->read_routes (front, text, text_bytes, &table, &fault);
@@ -330,7 +332,7 @@
                  fault.message);
       return;
     }
-  /* An old state that arrives late must not undo a newer one. */
+  /* An older configuration that arrives late must not replace a newer one. */
   if (front->table != NULL && table->version <= front->table->version)
     {
       talloc_free (table);
@@ -347,13 +349,13 @@
 }
 
 static void
-front_note_restarts (struct Front *front)
+front_handle_restarts (struct Front *front)
 {
   struct Replica *replica;
 
   while ((replica = replica_set_take_restarted (front->replicas)) != NULL)
     {
-      log_event (LOG_LEVEL_NOTICE, "server_restarted", NULL, NULL, "%s, started at %llu",
+      log_event (LOG_LEVEL_NOTICE, "server_restarted", NULL, NULL, "%s, start time %llu",
                  replica->entry.id, (unsigned long long)replica->entry.started_unix_ms);
       http_client_forget (front->client, replica->entry.address);
       slots_server_restarted (front->slots, replica->entry.id);
@@ -361,7 +363,7 @@
 }
 
 static void
-front_take_servers (struct Front *front, const struct Snapshot *snapshot, bool after_gap)
+front_apply_servers (struct Front *front, const struct Snapshot *snapshot, bool after_gap)
 {
   struct ReplicaEntry *entries = talloc_array (front, struct ReplicaEntry, snapshot->n_items);
   size_t n = 0, n_changed;
@@ -378,13 +380,14 @@
     }
   n_changed = replica_set_apply (front->replicas, entries, n, after_gap,
                                  timer_now_ms (front->node->timers));
-  front->knows_servers = true;
+  front->has_server_list = true;
   front->server_level = snapshot->level;
-  front_note_restarts (front);
+  front_handle_restarts (front);
   if (n_changed > 0)
     log_event (LOG_LEVEL_INFO, "servers_changed", NULL, NULL,
                "%zu changes, %zu listed at revision %lld%s", n_changed, n,
-               (long long)snapshot->revision, after_gap ? ", first list after a gap" : "");
+               (long long)snapshot->revision,
+               after_gap ? ", first list after an outage of the store" : "");
   talloc_free (entries);
 }
 
@@ -394,10 +397,10 @@
   switch (snapshot->kind)
     {
     case SNAPSHOT_ROUTES:
-      front_take_routes (data, snapshot);
+      front_apply_routes (data, snapshot);
       break;
     case SNAPSHOT_SUBSET:
-      front_take_servers (data, snapshot, after_gap);
+      front_apply_servers (data, snapshot, after_gap);
       break;
     case SNAPSHOT_SERVERS:
     case SNAPSHOT_NODES:
@@ -412,7 +415,7 @@
 /* Peers. */
 
 static void
-front_take_digests (struct Front *front, const struct SlotDigest *digests, size_t n_digests)
+front_apply_digests (struct Front *front, const struct SlotDigest *digests, size_t n_digests)
 {
   for (size_t i = 0; i < n_digests; i++)
     {
@@ -449,7 +452,7 @@
       slots_on_done (front->slots, sender, &message->slot_done);
       break;
     case GATEWAY_DIGESTS:
-      front_take_digests (front, message->digests.items, message->digests.n_items);
+      front_apply_digests (front, message->digests.items, message->digests.n_items);
       break;
     case GATEWAY_USES:
       quotas_on_report (front->quotas, sender, &message->uses);
@@ -517,30 +520,30 @@
   struct Digests *digests = &message.digests;
 
   digests->items = slots_digest (front->slots, front, busy_only, &digests->n_items);
-  front_take_digests (front, digests->items, digests->n_items);
+  front_apply_digests (front, digests->items, digests->n_items);
   if (digests->n_items > 0)
     node_send_some (front->node, &message, to);
   talloc_free (digests->items);
 }
 
-/* The gateways of the zone, who send to these engines before others, get digests of busy ones four
- * times as often as of all. Not the others: if all knew at once that one engine is idle, all would
- * send there; at 14 to 25 turns a second and engine, half a second is half of its queue. Days of
- * load of the two largest sheets then, worth: 0.672 and 0.800 every half second; 0.711 and 0.851
- * with all engines every 120 ms; 0.859 to 0.885 and 0.874 with the busy ones (one or two runs
- * each). */
+/* Sends the gateways of the zone, which prefer its engines, digests of busy engines four times as
+ * often as of all engines: at 14 to 25 turns per second and engine, half a second is half of its
+ * queue. Idle engines are left out of the frequent digests, since every gateway would send to an
+ * engine as soon as it is reported idle. Scores in days of load on the two largest
+ * deployments: 0.672 and 0.800 with digests every 500 ms; 0.711 and 0.851 with all engines every
+ * 120 ms; 0.859 to 0.885 and 0.874 with busy engines every 120 ms (one or two runs each). */
 static void
 front_on_digest_tick (void *data)
 {
   struct Front *front = data;
-  bool all = front->n_digest_ticks++ % DIGESTS_OF_ALL_EVERY == 0;
-  bool few = front->node->peers->n_peers <= DIGESTS_TO_ALL_MAX;
+  bool full = front->n_digest_ticks++ % FULL_DIGEST_TICKS == 0;
+  bool to_all = front->node->peers->n_peers <= DIGESTS_TO_ALL_PEERS_MAX;
 
-  front_send_digests (front, !all, all && few ? PEERS_GATEWAYS : PEERS_GATEWAYS_OF_ZONE);
+  front_send_digests (front, !full, full && to_all ? PEERS_GATEWAYS : PEERS_GATEWAYS_OF_ZONE);
 }
 
-/* What others have on their way to servers that have no owner: the sum that the aggregator sends
- * has this process's own in it, as it reported them last. */
+/* Updates the numbers of requests that other gateways have in flight to servers without an owner.
+ * Sums received from an aggregator include this gateway's own requests as it last reported them. */
 static void
 front_sum_loads (struct Front *front)
 {
@@ -601,7 +604,7 @@
   struct HttpServerOptions options = {
     .listen = address,
     .setting = setting,
-    .limits = first_limits,
+    .limits = initial_limits,
     .connections_max = connections_max,
     .request = request,
     .data = front,
@@ -620,11 +623,11 @@
                                 s->connections_max, &front->callers, fault);
 
   if (error == ERROR_NONE)
-    error = front_listen (front, s->ready_listen, "[listen] ready", front_on_own, OWN_CONNECTIONS,
-                          &front->ready, fault);
+    error = front_listen (front, s->ready_listen, "[listen] ready", front_on_own_path,
+                          OWN_CONNECTIONS_MAX, &front->ready, fault);
   if (error == ERROR_NONE)
-    error = front_listen (front, s->directory_listen, "[listen] directory", front_on_own,
-                          OWN_CONNECTIONS, &front->directory, fault);
+    error = front_listen (front, s->directory_listen, "[listen] directory", front_on_own_path,
+                          OWN_CONNECTIONS_MAX, &front->directory, fault);
   return error;
 }
 
@@ -637,7 +640,7 @@
 
   *front = NULL;
   if (f == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the gateway");
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory for the gateway");
   f->node = node;
   f->started_ms = timer_now_ms (node->timers);
   f->replicas = replica_set_new (f);
@@ -647,12 +650,13 @@
   f->echo = loop_echo_new (f, node);
   if (f->replicas == NULL || f->client == NULL || f->slots == NULL || f->quotas == NULL
       || f->echo == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the gateway");
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory for the gateway");
   error = front_listen_all (f, fault);
   if (error != ERROR_NONE)
     return error;
-  timer_subscribe (f, node->timers, TICK_MS, TICK_MS, front_on_tick, f);
-  timer_subscribe (f, node->timers, DIGEST_MS, DIGEST_MS, front_on_digest_tick, f);
+  timer_subscribe (f, node->timers, TICK_INTERVAL_MS, TICK_INTERVAL_MS, front_on_tick, f);
+  timer_subscribe (f, node->timers, DIGEST_INTERVAL_MS, DIGEST_INTERVAL_MS, front_on_digest_tick,
+                   f);
   node->handler.message = front_on_message;
   node->handler.snapshot = front_on_snapshot;
   node->handler.set_changed = front_on_set;
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -10,18 +10,19 @@
 
 enum
 {
-  LOOK_MS = 100, /* between two looks at what was told */
-  /* Between two tellings, by urgency: as heartbeats; when what passes meanwhile counts; and while
-   * all let a surge through that do not know of it. */
-  TELL_MS = 500,
-  TELL_NEAR_MS = 300,
-  TELL_SURGE_MS = 100,
-  FLEET_LOOKS = 6, /* who there is changes less often */
-  /* After a start a gateway tells each time it looks: when all have stopped, nobody knows what was
-   * spent until they have told each other, and callers all come again. */
-  STARTING_MS = 3000,
-  SMALL_FLEET = 4,
-  /* Other gateways are known and none was heard for this long: they are cut off, or this one is. */
+  CHECK_INTERVAL_MS = 100, /* between two checks of received usage reports */
+  /* Between two usage reports, by urgency: as often as heartbeats when no customer is near its
+   * limit; more often when requests admitted in between matter; and most often during a surge,
+   * which every gateway admits until it has received a report of it. */
+  REPORT_INTERVAL_MS = 500,
+  REPORT_NEAR_LIMIT_MS = 300,
+  REPORT_SURGE_MS = 100,
+  FLEET_CHECK_EVERY = 6, /* checks; the set of gateways changes less often than usage */
+  /* After its start a gateway reports at each check: after a stop of all gateways, none has the
+   * usage of the others until they have reported, while all callers retry. */
+  START_REPORT_MS = 3000,
+  SMALL_FLEET_MAX = 4, /* gateways, including this one */
+  /* With others known, this gateway counts as cut off after this long without a usage report. */
   CUT_OFF_MS = 2500
 };
 
@@ -29,11 +30,11 @@
 {
   struct Front *front;
   struct QuotaLedger *ledger;
-  struct UseBoard *board;
-  int64_t reported_ms;       /* own use */
-  int64_t fleet_reported_ms; /* sums, as an aggregator */
+  struct UseBoard *usage_table; /* reports of the other gateways */
+  int64_t reported_ms;          /* last report of own usage */
+  int64_t fleet_reported_ms;    /* last report of sums, as an aggregator */
   enum QuotaUrgency urgency;
-  uint32_t n_looks;
+  uint32_t n_checks;
 };
 
 static int64_t
@@ -48,14 +49,14 @@
   return quotas->front->table != NULL ? quotas->front->table->customers : NULL;
 }
 
-/* Asking. */
+/* Admission. */
 
 static enum QuotaAsk
-quota_ask_of (const struct Request *request)
+quota_ask_kind (const struct Request *request)
 {
   if (request->route.keeps_turns)
     return request->caller.previous[0] == '\0' ? QUOTA_ASK_BEGIN : QUOTA_ASK_UNDER_WAY;
-  /* Where turns are not kept, nothing tells a program's first turn from its others. */
+  /* Without kept turns, a program's first turn cannot be distinguished from later ones. */
   if (request->caller.program[0] == '\0' || request->route.kind == ROUTE_STREAM)
     return QUOTA_ASK_SINGLE;
   return QUOTA_ASK_UNDER_WAY;
@@ -65,42 +66,42 @@
 quotas_must_wait (struct Request *request)
 {
   struct Quotas *quotas = request->front->quotas;
-  enum QuotaAsk ask = quota_ask_of (request);
+  enum QuotaAsk ask = quota_ask_kind (request);
   int64_t now_ms = quotas_now_ms (quotas);
 
   if (request->customer.name[0] == '\0')
     return false;
-  if (!request->quota_wanted)
+  if (!request->demand_counted)
     quota_want (quotas->ledger, request->customer.name, ask, now_ms);
-  request->quota_wanted = true;
+  request->demand_counted = true;
   return quota_must_wait (quotas->ledger, request->customer.name, ask, now_ms);
 }
 
 bool
-quotas_take (struct Request *request)
+quotas_admit (struct Request *request)
 {
   struct Quotas *quotas = request->front->quotas;
   int64_t now_ms = quotas_now_ms (quotas);
   struct QuotaVerdict verdict;
   char detail[160];
 
-  if (request->quota_ms != 0 || request->customer.name[0] == '\0')
+  if (request->admitted_ms != 0 || request->customer.name[0] == '\0')
     return true;
-  verdict = quota_ask (quotas->ledger, request->customer.name, quota_ask_of (request), now_ms);
+  verdict = quota_ask (quotas->ledger, request->customer.name, quota_ask_kind (request), now_ms);
   if (verdict.taken)
     {
-      request->quota_ms = now_ms;
+      request->admitted_ms = now_ms;
       return true;
     }
   counter_add (COUNTER_REQUESTS_OVER_LIMIT, 1);
   if (verdict.first)
     log_event (LOG_LEVEL_NOTICE, "customer_over_limit", NULL,
-               "raise its limit, or tell the customer",
-               "%s: limit %u a window, %u taken as told %lld ms ago, programs need %.1f requests",
+               "raise the customer's limit, or inform the customer",
+               "%s: limit %u per window, %u taken as told %lld ms ago, %.1f requests per program",
                request->customer.name, verdict.limit, verdict.fleet_taken,
                (long long)verdict.report_age_ms, quota_ledger_need (quotas->ledger));
   snprintf (detail, sizeof detail,
-            "customer %s: limit %u a window, %u taken as told %lld ms ago, %u of 1000 pass",
+            "customer %s: limit %u per window, %u taken as told %lld ms ago, %u of 1000 pass",
             request->customer.name, verdict.limit, verdict.fleet_taken,
             (long long)verdict.report_age_ms, verdict.permille);
   request_over_limit (request, verdict.retry_after_ms, detail);
@@ -108,43 +109,43 @@
 }
 
 void
-quotas_give_back (struct Request *request)
+quotas_refund (struct Request *request)
 {
   struct Quotas *quotas = request->front->quotas;
 
-  if (request->quota_ms == 0)
+  if (request->admitted_ms == 0)
     return;
-  quota_give_back (quotas->ledger, request->customer.name, quota_ask_of (request),
-                   request->quota_ms, quotas_now_ms (quotas));
-  request->quota_ms = 0;
+  quota_give_back (quotas->ledger, request->customer.name, quota_ask_kind (request),
+                   request->admitted_ms, quotas_now_ms (quotas));
+  request->admitted_ms = 0;
 }
 
-/* Telling. */
+/* Usage reports. */
 
-/* After a start; and in a small fleet, where each gateway sees much of a surge, and words are few.
- */
+/* Returns true while usage is reported at each check: after the start, and in a small fleet, where
+ * each gateway receives a large part of a surge and few messages are needed. */
 static bool
-quotas_hurries (const struct Quotas *quotas, int64_t now_ms)
+quotas_reports_often (const struct Quotas *quotas, int64_t now_ms)
 {
-  return now_ms - quotas->front->started_ms < STARTING_MS
-         || quotas->front->n_gateways <= SMALL_FLEET;
+  return now_ms - quotas->front->started_ms < START_REPORT_MS
+         || quotas->front->n_gateways <= SMALL_FLEET_MAX;
 }
 
 static int64_t
-quotas_report_again_ms (const struct Quotas *quotas, int64_t now_ms)
+quotas_report_interval_ms (const struct Quotas *quotas, int64_t now_ms)
 {
-  if (quotas_hurries (quotas, now_ms))
-    return LOOK_MS;
+  if (quotas_reports_often (quotas, now_ms))
+    return CHECK_INTERVAL_MS;
   switch (quotas->urgency)
     {
     case QUOTA_CALM:
-      return TELL_MS;
+      return REPORT_INTERVAL_MS;
     case QUOTA_NEAR:
-      return TELL_NEAR_MS;
+      return REPORT_NEAR_LIMIT_MS;
     case QUOTA_SURGE:
-      return TELL_SURGE_MS;
+      return REPORT_SURGE_MS;
     }
-  return TELL_MS;
+  return REPORT_INTERVAL_MS;
 }
 
 static void
@@ -164,8 +165,8 @@
   node_send_some (node, &message, to);
 }
 
-/* As an aggregator: the zone's sum to other zones, the fleet's to the members. At once when a surge
- * begins. */
+/* As an aggregator, sends the zone's sum to the other zones and the fleet's sum to the members of
+ * the zone; without delay when a surge begins. */
 static void
 quotas_send_sums (struct Quotas *quotas,
                   struct CustomerUse *own,
@@ -178,21 +179,21 @@
   struct CustomerUse *zone;
   size_t n_zone;
 
-  if (since_ms < quotas_report_again_ms (quotas, now_ms))
+  if (since_ms < quotas_report_interval_ms (quotas, now_ms))
     return;
-  zone = use_board_sum (quotas->board, fleet, USE_OF_ZONE, own, n_own, now_ms, &n_zone);
+  zone = use_board_sum (quotas->usage_table, fleet, USE_OF_ZONE, own, n_own, now_ms, &n_zone);
   quotas_send (quotas, USE_OF_ZONE, zone, n_zone, PEERS_OTHER_ZONES);
   quotas->fleet_reported_ms = now_ms;
   quotas_send (quotas, USE_OF_FLEET, fleet, n_fleet, PEERS_SERVED);
 }
 
-/* What the fleet used, from what reports here. */
+/* As an aggregator, sums the usage of the fleet from the reports received. */
 static void
-quotas_sum_up (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
+quotas_sum_usage (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
 {
   size_t n_fleet;
   struct CustomerUse *fleet =
-      use_board_sum (quotas->board, own, USE_OF_FLEET, own, n_own, now_ms, &n_fleet);
+      use_board_sum (quotas->usage_table, own, USE_OF_FLEET, own, n_own, now_ms, &n_fleet);
 
   if (fleet == NULL)
     return;
@@ -202,11 +203,11 @@
   quotas_send_sums (quotas, own, n_own, fleet, n_fleet, now_ms);
 }
 
-/* The same, as an aggregator said. */
+/* Applies the usage of the fleet as an aggregator reported it. */
 static void
-quotas_take_report (struct Quotas *quotas, int64_t now_ms)
+quotas_apply_report (struct Quotas *quotas, int64_t now_ms)
 {
-  const struct UseReport *report = use_board_fleet (quotas->board, now_ms);
+  const struct UseReport *report = use_board_fleet (quotas->usage_table, now_ms);
 
   if (report == NULL)
     {
@@ -217,14 +218,15 @@
   quotas->urgency = quota_ledger_urgency (quotas->ledger, report->uses, report->n_uses);
 }
 
-/* Those that are leaving take no callers any more. */
+/* Updates the numbers of known and live gateways. Gateways that are leaving accept no callers and
+ * are not counted. */
 static void
-quotas_note_fleet (struct Quotas *quotas, int64_t now_ms)
+quotas_update_fleet (struct Quotas *quotas, int64_t now_ms)
 {
   const struct Node *node = quotas->front->node;
   const struct PeerTable *table = node->peers;
   struct QuotaFleet fleet = { .n_known = 1, .n_received = 1 };
-  int64_t received_ms = use_board_received_ms (quotas->board);
+  int64_t received_ms = use_board_received_ms (quotas->usage_table);
 
   for (size_t i = 0; i < table->n_peers; i++)
     {
@@ -242,51 +244,51 @@
 }
 
 static void
-quotas_send_own (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
+quotas_send_own_usage (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
 {
   quotas->reported_ms = now_ms;
   quotas_send (quotas, USE_OF_GATEWAY, own, n_own, PEERS_OWN_AGGREGATORS);
 }
 
 static void
-quotas_look (struct Quotas *quotas, int64_t now_ms)
+quotas_check (struct Quotas *quotas, int64_t now_ms)
 {
   bool aggregates = peer_table_is_aggregator (quotas->front->node->peers, now_ms);
-  bool reports = now_ms - quotas->reported_ms >= quotas_report_again_ms (quotas, now_ms);
+  bool reports = now_ms - quotas->reported_ms >= quotas_report_interval_ms (quotas, now_ms);
   struct CustomerUse *own = NULL;
   size_t n_own;
 
   if (aggregates || reports)
     own = quota_ledger_uses (quotas->ledger, quotas, now_ms, &n_own);
   if (own != NULL && reports)
-    quotas_send_own (quotas, own, n_own, now_ms);
+    quotas_send_own_usage (quotas, own, n_own, now_ms);
   if (!aggregates)
-    quotas_take_report (quotas, now_ms);
+    quotas_apply_report (quotas, now_ms);
   else if (own != NULL)
-    quotas_sum_up (quotas, own, n_own, now_ms);
+    quotas_sum_usage (quotas, own, n_own, now_ms);
   talloc_free (own);
 }
 
-/* In a hurry at each look, else at every second one. */
+/* Checks at each tick during a surge or while reports are frequent, else at every second tick. */
 static void
-quotas_on_look (void *data)
+quotas_on_timer (void *data)
 {
   struct Quotas *quotas = data;
   int64_t now_ms = quotas_now_ms (quotas);
-  bool hurries = quotas->urgency == QUOTA_SURGE || quotas_hurries (quotas, now_ms);
-  uint32_t look = quotas->n_looks++;
+  bool often = quotas->urgency == QUOTA_SURGE || quotas_reports_often (quotas, now_ms);
+  uint32_t check = quotas->n_checks++;
 
-  if (quotas_customers (quotas) == NULL || (!hurries && look % 2 != 0))
+  if (quotas_customers (quotas) == NULL || (!often && check % 2 != 0))
     return;
-  if (hurries || look % FLEET_LOOKS == 0)
-    quotas_note_fleet (quotas, now_ms);
-  quotas_look (quotas, now_ms);
+  if (often || check % FLEET_CHECK_EVERY == 0)
+    quotas_update_fleet (quotas, now_ms);
+  quotas_check (quotas, now_ms);
 }
 
 void
 quotas_on_report (struct Quotas *quotas, const char *sender, const struct UseReport *report)
 {
-  use_board_take (quotas->board, sender, report, quotas_now_ms (quotas));
+  use_board_take (quotas->usage_table, sender, report, quotas_now_ms (quotas));
 }
 
 void
@@ -311,13 +313,14 @@
     return NULL;
   quotas->front = front;
   quotas->ledger = quota_ledger_new (quotas, &rules, settings->instance, front->started_ms);
-  quotas->board = use_board_new (quotas);
-  if (quotas->ledger == NULL || quotas->board == NULL)
+  quotas->usage_table = use_board_new (quotas);
+  if (quotas->ledger == NULL || quotas->usage_table == NULL)
     {
       talloc_free (quotas);
       return NULL;
     }
-  timer_subscribe (quotas, front->node->timers, LOOK_MS, LOOK_MS, quotas_on_look, quotas);
+  timer_subscribe (quotas, front->node->timers, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS,
+                   quotas_on_timer, quotas);
   return quotas;
 }
 
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -13,21 +13,23 @@
 
 enum
 {
-  /* Reserving takes one sync of a disk, some 5 ms, and a way of a millisecond or two. Over this
-   * long, too few archives live; the caller does better to come back. */
+  /* A reservation takes one disk sync, about 5 ms, and a millisecond or two on the network. After
+   * this long too few archives are live, and the caller should retry later. */
   OPEN_TIMEOUT_MS = 800,
-  /* Twenty times what it takes on a calm day. */
-  OPEN_AGAIN_MS = 150,
-  /* One archive's share of the history, before the next one is asked. */
+  /* About twenty times the usual duration. */
+  OPEN_RETRY_MS = 150,
+  /* Time for one archive to send missing history, before the next one is asked. */
   READ_TIMEOUT_MS = 250,
-  /* After the others' answers, before another archive is asked for the history: a sync that just
-   * missed a batch, 5 ms on the slowest disks of the sheets, and the texts' way. */
+  /* How long to wait for the history after enough other archives have responded: covers a disk sync
+   * that just missed a batch, 5 ms on the slowest disks of the target deployments, and the transfer
+   * of the texts. */
   READER_LATE_MS = 15,
   READS_MAX = 12
 };
 
 size_t
-turn_archives (const struct Request *request, struct ArchiveCandidate candidates[ARCHIVE_SET_MAX])
+turn_sort_archives (const struct Request *request,
+                    struct ArchiveCandidate candidates[ARCHIVE_SET_MAX])
 {
   const struct Node *node = request->front->node;
   struct ArchiveNames asked = archive_set_asked (&node->set);
@@ -44,13 +46,14 @@
   return asked.n;
 }
 
-/* The archive that should send the history: the first of those that were sent it. NULL: none. */
+/* Returns the archive that should send the history: the first reachable one in the program's order
+ * that lacks nothing, since closes go to the first archives of that order. NULL: there is none. */
 static const struct Peer *
 turn_nearest_archive (const struct Request *request)
 {
   const struct Node *node = request->front->node;
   struct ArchiveCandidate candidates[ARCHIVE_SET_MAX];
-  size_t n = turn_archives (request, candidates);
+  size_t n = turn_sort_archives (request, candidates);
 
   for (size_t i = 0; i < n; i++)
     {
@@ -75,18 +78,18 @@
 }
 
 void
-turn_ask (struct Request *request, struct Turn *turn, enum TurnPhase phase)
+turn_begin_phase (struct Request *request, struct Turn *turn, enum TurnPhase phase)
 {
   turn->phase = phase;
   turn->phase_ms = timer_now_ms (request->front->node->timers);
-  turn->question = node_next_id (request->front->node);
+  turn->query_id = node_next_id (request->front->node);
   turn->answered.n = 0;
   turn->complete.n = 0;
   TALLOC_FREE (turn->timer);
 }
 
 bool
-turn_note_answer (struct Turn *turn, const char *archive)
+turn_record_response (struct Turn *turn, const char *archive)
 {
   if (archive_names_have (&turn->answered, archive))
     return false;
@@ -94,16 +97,16 @@
   return true;
 }
 
-/* Reserving. */
+/* Reservation. */
 
-/* What the question says, but for the history. */
+/* Fills in the open message, except for want_history. */
 static void
 turn_fill_open (const struct Request *request, struct GatewayMessage *message)
 {
   struct TurnOpen *open = &message->open;
 
   message->kind = GATEWAY_TURN_OPEN;
-  open->id = request->turn->question;
+  open->id = request->turn->query_id;
   open->generation = request->front->node->set.generation;
   snprintf (open->customer, sizeof open->customer, "%s", request->customer.name);
   snprintf (open->turn, sizeof open->turn, "%s", request->caller.id);
@@ -113,8 +116,9 @@
   turn_sessions (request, open->sessions);
 }
 
-/* A partition shows first as an answer that does not come: the archives that owe one are asked
- * another way, long before their silence is certain. The same reservation twice is one. */
+/* Repeats the query through other gateways to the archives that have not responded. A missing
+ * response is the first sign of a network partition, long before a link is closed as silent.
+ * Archives count a repeated reservation once. */
 static void
 turn_relay_open (struct Request *request)
 {
@@ -137,11 +141,11 @@
   struct Turn *turn = request->turn;
   char detail[96];
 
-  if (!turn->asked_again)
+  if (!turn->retried)
     {
-      turn->asked_again = true;
+      turn->retried = true;
       turn->timer =
-          timer_subscribe (turn, request->front->node->timers, OPEN_TIMEOUT_MS - OPEN_AGAIN_MS, 0,
+          timer_subscribe (turn, request->front->node->timers, OPEN_TIMEOUT_MS - OPEN_RETRY_MS, 0,
                            turn_on_open_timeout, request);
       turn_relay_open (request);
       return;
@@ -188,75 +192,75 @@
 
   if (turn == NULL)
     {
-      request_fail (request, FAILURE_UNCERTAIN, "no memory");
+      request_fail (request, FAILURE_UNCERTAIN, "out of memory for the turn");
       return;
     }
   request->turn = turn;
   turn->started_ms = timer_now_ms (front->node->timers);
   if (request->caller.program[0] == '\0')
     request->caller.program = request->caller.id;
-  turn_ask (request, turn, TURN_OPENING);
+  turn_begin_phase (request, turn, TURN_OPENING);
   turn_send_open (request);
   turn->timer =
-      timer_subscribe (turn, front->node->timers, OPEN_AGAIN_MS, 0, turn_on_open_timeout, request);
+      timer_subscribe (turn, front->node->timers, OPEN_RETRY_MS, 0, turn_on_open_timeout, request);
 }
 
 /* History. */
 
 static const struct TurnText *
-turn_piece (const struct Turn *turn, const char *id)
+turn_history_text (const struct Turn *turn, const char *id)
 {
-  for (size_t i = 0; i < turn->n_pieces; i++)
-    if (strcmp (turn->pieces[i].turn, id) == 0)
-      return &turn->pieces[i];
+  for (size_t i = 0; i < turn->n_history; i++)
+    if (strcmp (turn->history[i].turn, id) == 0)
+      return &turn->history[i];
   return NULL;
 }
 
 static bool
-turn_add_pieces (struct Turn *turn, const struct TurnText *more, size_t n_more)
+turn_add_history (struct Turn *turn, const struct TurnText *more, size_t n_more)
 {
   struct TurnText *grown;
 
   if (n_more == 0)
     return true;
-  grown = talloc_realloc (turn, turn->pieces, struct TurnText, turn->n_pieces + n_more);
+  grown = talloc_realloc (turn, turn->history, struct TurnText, turn->n_history + n_more);
   if (grown == NULL)
     return false;
-  turn->pieces = grown;
+  turn->history = grown;
   for (size_t i = 0; i < n_more; i++)
     {
-      struct TurnText *piece = &grown[turn->n_pieces];
+      struct TurnText *text = &grown[turn->n_history];
 
-      if (turn_piece (turn, more[i].turn) != NULL)
+      if (turn_history_text (turn, more[i].turn) != NULL)
         continue;
-      *piece = more[i];
-      piece->input = talloc_memdup (turn, more[i].input, more[i].input_bytes);
-      piece->output = talloc_memdup (turn, more[i].output, more[i].output_bytes);
-      turn->n_pieces++;
+      *text = more[i];
+      text->input = talloc_memdup (turn, more[i].input, more[i].input_bytes);
+      text->output = talloc_memdup (turn, more[i].output, more[i].output_bytes);
+      turn->n_history++;
     }
   return true;
 }
 
-/* The first turn of the chain, from the newest back, that no archive has sent yet; NULL when the
- * chain is whole. *total_bytes is the length of its texts. */
+/* Follows the chain from the newest turn backwards and returns the first turn that no archive has
+ * sent yet; NULL when the chain is complete. Sets *total_bytes to the length of the texts found. */
 static const char *
 turn_missing (const struct Turn *turn, const char *newest, size_t *total_bytes)
 {
-  const struct TurnText *piece;
+  const struct TurnText *text;
 
   *total_bytes = 0;
   while (newest[0] != '\0')
     {
-      piece = turn_piece (turn, newest);
-      if (piece == NULL)
+      text = turn_history_text (turn, newest);
+      if (text == NULL)
         return newest;
-      *total_bytes += piece->input_bytes + piece->output_bytes;
-      newest = piece->previous;
+      *total_bytes += text->input_bytes + text->output_bytes;
+      newest = text->previous;
     }
   return NULL;
 }
 
-/* Inputs and outputs of the chain, the oldest first, then the new input. */
+/* Builds the body from the inputs and outputs of the chain, oldest first, and the new input. */
 static bool
 turn_build_body (struct Request *request, size_t history_bytes)
 {
@@ -270,15 +274,15 @@
     memcpy (end, request->exchange->body, request->exchange->body_bytes);
   for (const char *id = request->caller.previous; id[0] != '\0';)
     {
-      const struct TurnText *piece = turn_piece (request->turn, id);
-
-      end -= piece->output_bytes;
-      if (piece->output_bytes > 0)
-        memcpy (end, piece->output, piece->output_bytes);
-      end -= piece->input_bytes;
-      if (piece->input_bytes > 0)
-        memcpy (end, piece->input, piece->input_bytes);
-      id = piece->previous;
+      const struct TurnText *text = turn_history_text (request->turn, id);
+
+      end -= text->output_bytes;
+      if (text->output_bytes > 0)
+        memcpy (end, text->output, text->output_bytes);
+      end -= text->input_bytes;
+      if (text->input_bytes > 0)
+        memcpy (end, text->input, text->input_bytes);
+      id = text->previous;
     }
   request->body = body;
   request->body_bytes = total_bytes;
@@ -294,7 +298,7 @@
   turn_assemble (data);
 }
 
-/* Asks the next archive for the piece that is missing. */
+/* Requests the missing turn's text from the next archive. */
 static void
 turn_read (struct Request *request, const char *missing)
 {
@@ -304,12 +308,12 @@
   struct ArchiveCandidate candidates[ARCHIVE_SET_MAX];
   size_t n;
 
-  turn_ask (request, turn, TURN_READING);
+  turn_begin_phase (request, turn, TURN_READING);
   snprintf (turn->missing, sizeof turn->missing, "%s", missing);
-  message.read.id = turn->question;
+  message.read.id = turn->query_id;
   snprintf (message.read.customer, sizeof message.read.customer, "%s", request->customer.name);
   snprintf (message.read.turn, sizeof message.read.turn, "%s", missing);
-  n = turn_archives (request, candidates);
+  n = turn_sort_archives (request, candidates);
   for (size_t i = 0; i < n && turn->n_reads < READS_MAX; i++)
     {
       const char *archive = candidates[turn->next_reader++ % n].name;
@@ -321,10 +325,10 @@
           timer_subscribe (turn, node->timers, READ_TIMEOUT_MS, 0, turn_on_read_timeout, request);
       return;
     }
-  request_fail (request, FAILURE_UNCERTAIN, "no archive sent the whole history");
+  request_fail (request, FAILURE_UNCERTAIN, "no archive sent the complete history");
 }
 
-/* Sends the turn once its history is whole. */
+/* Sends the turn when its history is complete; requests the first missing text otherwise. */
 static void
 turn_assemble (struct Request *request)
 {
@@ -341,32 +345,32 @@
     }
   if (!turn_build_body (request, history_bytes))
     {
-      request_fail (request, FAILURE_UNCERTAIN, "no memory for the history");
+      request_fail (request, FAILURE_UNCERTAIN, "out of memory for the request body");
       return;
     }
-  request->under_way =
+  request->continues_program =
       request->caller.previous[0] != '\0' || turn_charges_any (turn->charges, turn->n_charges);
-  newest = turn_piece (turn, request->caller.previous);
+  newest = turn_history_text (turn, request->caller.previous);
   if (!request->front->node->settings->decisions.sessions)
     request->cached_at = "";
   else if (newest != NULL)
     request->cached_at = talloc_strdup (request, newest->server);
   else if (turn->place.session != 0)
     request->cached_at = turn->place.server;
-  for (size_t i = 0; i < turn->n_pieces; i++)
+  for (size_t i = 0; i < turn->n_history; i++)
     {
-      talloc_free ((void *)turn->pieces[i].input);
-      talloc_free ((void *)turn->pieces[i].output);
+      talloc_free ((void *)turn->history[i].input);
+      talloc_free ((void *)turn->history[i].output);
     }
-  TALLOC_FREE (turn->pieces);
-  turn->n_pieces = 0;
+  TALLOC_FREE (turn->history);
+  turn->n_history = 0;
   turn->phase = TURN_RUNNING;
   histogram_add (HISTOGRAM_TURN_OPEN,
                  timer_now_ms (request->front->node->timers) - turn->started_ms);
   request_send (request);
 }
 
-/* Enough archives have answered: the turn is allowed, or refused for good reason. */
+/* Admits or rejects the turn after enough archives have responded. */
 static void
 turn_decide (struct Request *request)
 {
@@ -376,26 +380,27 @@
 
   if (caller->previous[0] != '\0' && !turn->previous_exists)
     {
-      snprintf (detail, sizeof detail, "%u archives that lack nothing do not have it",
-                turn->complete.n);
+      snprintf (detail, sizeof detail,
+                "none of %u archives that lack nothing has the previous turn", turn->complete.n);
       request_fail (request, FAILURE_NO_TURN, detail);
     }
   else if (caller->budget_tokens > 0
            && !turn_budget_allows (turn->charges, turn->n_charges, caller->budget_tokens,
                                    caller->max_tokens))
     {
-      snprintf (detail, sizeof detail, "%zu turns, budget %llu, at most %u more", turn->n_charges,
-                (unsigned long long)caller->budget_tokens, caller->max_tokens);
+      snprintf (detail, sizeof detail, "%zu turns, budget %llu tokens, %u tokens requested",
+                turn->n_charges, (unsigned long long)caller->budget_tokens, caller->max_tokens);
       request_fail (request, FAILURE_BUDGET, detail);
     }
   else
     turn_assemble (request);
 }
 
-/* Enough archives have answered, but the one that reads the history from its disk is still at it:
- * asking another one at once would send the texts twice, the second time from another zone. */
+/* Returns true while enough archives have responded, but the one that was asked for the history is
+ * still reading it from disk: asking another one at once would transfer the texts twice, the second
+ * time from another zone. */
 static bool
-turn_history_comes (const struct Request *request)
+turn_history_pending (const struct Request *request)
 {
   const struct Turn *turn = request->turn;
   size_t n_bytes;
@@ -429,20 +434,20 @@
 }
 
 static void
-turn_take_opened (struct Request *request, const char *archive, const struct TurnOpened *opened)
+turn_handle_opened (struct Request *request, const char *archive, const struct TurnOpened *opened)
 {
   const struct Node *node = request->front->node;
   struct Turn *turn = request->turn;
   uint64_t sessions[TURN_SESSIONS_MAX];
 
-  if (opened->error != ERROR_NONE || !turn_note_answer (turn, archive))
+  if (opened->error != ERROR_NONE || !turn_record_response (turn, archive))
     return;
-  if (!turn_add_pieces (turn, opened->history, opened->n_history)
+  if (!turn_add_history (turn, opened->history, opened->n_history)
       || turn_charges_merge (turn, &turn->charges, &turn->n_charges, opened->charges,
                              opened->n_charges)
              != ERROR_NONE)
     {
-      request_fail (request, FAILURE_UNCERTAIN, "no memory");
+      request_fail (request, FAILURE_UNCERTAIN, "out of memory for the archive's response");
       return;
     }
   turn_sessions (request, sessions);
@@ -453,26 +458,26 @@
   if (!archive_set_is_read (&node->set, node->settings->tolerated, &turn->complete)
       || !archive_set_is_written (&node->set, node->settings->tolerated, &turn->answered))
     return;
-  if (turn_history_comes (request))
+  if (turn_history_pending (request))
     turn_wait_for_reader (request);
   else
     turn_decide (request);
 }
 
 static void
-turn_take_read (struct Request *request, const struct TurnOpened *opened)
+turn_handle_read (struct Request *request, const struct TurnOpened *opened)
 {
-  if (!turn_add_pieces (request->turn, opened->history, opened->n_history))
-    request_fail (request, FAILURE_UNCERTAIN, "no memory for the history");
+  if (!turn_add_history (request->turn, opened->history, opened->n_history))
+    request_fail (request, FAILURE_UNCERTAIN, "out of memory for the history");
   else
     turn_assemble (request);
 }
 
 struct Request *
-turn_find (struct Front *front, uint64_t question)
+turn_find (struct Front *front, uint64_t query_id)
 {
   for (struct Request *r = front->requests; r != NULL; r = r->next)
-    if (r->turn != NULL && r->turn->question == question)
+    if (r->turn != NULL && r->turn->query_id == query_id)
       return r;
   return NULL;
 }
@@ -487,10 +492,10 @@
   switch (request->turn->phase)
     {
     case TURN_OPENING:
-      turn_take_opened (request, archive, opened);
+      turn_handle_opened (request, archive, opened);
       break;
     case TURN_READING:
-      turn_take_read (request, opened);
+      turn_handle_read (request, opened);
       break;
     case TURN_RUNNING:
     case TURN_CLOSING:
@@ -506,14 +511,14 @@
   switch (turn->phase)
     {
     case TURN_OPENING:
-      /* Answers to the old set's question say nothing about the new one. */
+      /* Responses to the query of the old set are not valid for the new one. */
       turn->answered.n = 0;
       turn->complete.n = 0;
-      turn->question = node_next_id (request->front->node);
+      turn->query_id = node_next_id (request->front->node);
       turn_send_open (request);
       break;
     case TURN_CLOSING:
-      /* What an archive has stored it keeps; those that refused the old question are asked anew. */
+      /* Archives that have stored the turn keep it; the others get a close of this generation. */
       turn_send_close (request);
       break;
     case TURN_READING:
