--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -11,26 +11,26 @@
 
 enum
 {
-  /* A caller waits a second for a list and then asks another gateway. */
-  DIRECTORY_HOLD_MS = 850,
+  /* Callers time out after a second and query another gateway. */
+  DIRECTORY_DEFER_MS = 850,
   DIRECTORY_CHECK_MS = 25,
-  /* Gateways that sent nothing for longer are not waited for. */
-  DIRECTORY_KNOWN_MS = 30 * 1000
+  /* A gateway that is not live is only expected for this long after it was added to the table. */
+  DIRECTORY_EXPECT_MS = 30 * 1000
 };
 
-/* A caller that waits for a list. */
-struct Asker
+/* A deferred query. */
+struct PendingQuery
 {
   struct Front *front;
   struct HttpExchange *exchange;
   char zone[NAME_MAX_BYTES + 1];
 };
 
-/* The ready gateways, or with also_starting all that live: those hold what comes until they are
- * ready. The texts are the node's. */
+/* Returns the ready gateways, or with include_starting all live ones: gateways that are not ready
+ * yet defer their calls until they are. The addresses are owned by the node. */
 static struct AddressCandidate *
 directory_candidates (
-    struct Front *front, TALLOC_CTX *ctx, const char *zone, bool also_starting, size_t *n)
+    struct Front *front, TALLOC_CTX *ctx, const char *zone, bool include_starting, size_t *n)
 {
   const struct Node *node = front->node;
   const struct PeerTable *table = node->peers;
@@ -40,7 +40,7 @@
   *n = 0;
   if (candidates == NULL)
     return NULL;
-  if (front_is_ready (front) || also_starting)
+  if (front_is_ready (front) || include_starting)
     candidates[(*n)++] = (struct AddressCandidate){ node->settings->caller_listen,
                                                     strcmp (zone, node->settings->zone) == 0,
                                                     loop_echo_is_strained (front->echo) };
@@ -48,8 +48,8 @@
     {
       const struct NodeStatus *status = &table->peers[i]->status;
 
-      if ((status->ready || also_starting) && !status->leaving && status->caller_address[0] != '\0'
-          && node_peer_is_live (node, table->peers[i]))
+      if ((status->ready || include_starting) && !status->leaving
+          && status->caller_address[0] != '\0' && node_peer_is_live (node, table->peers[i]))
         candidates[(*n)++] =
             (struct AddressCandidate){ status->caller_address, strcmp (zone, status->zone) == 0,
                                        status->strained };
@@ -57,9 +57,9 @@
   return candidates;
 }
 
-/* Gateways of the zone that were there lately, ready or not. */
+/* Returns the number of gateways of the zone that are live or were added recently, ready or not. */
 static size_t
-directory_known (const struct Front *front, const char *zone)
+directory_count_expected (const struct Front *front, const char *zone)
 {
   const struct Node *node = front->node;
   int64_t now_ms = timer_now_ms (node->timers);
@@ -71,7 +71,7 @@
 
       n += !peer->status.is_archive && !peer->status.leaving
            && strcmp (peer->status.zone, zone) == 0
-           && (node_peer_is_live (node, peer) || now_ms - peer->known_ms < DIRECTORY_KNOWN_MS);
+           && (node_peer_is_live (node, peer) || now_ms - peer->known_ms < DIRECTORY_EXPECT_MS);
     }
   return n;
 }
@@ -110,77 +110,75 @@
   talloc_free (body);
 }
 
-/* Answers if the list is good enough, or in any case; false when the caller is to wait. */
+/* Responds if the list is good enough or force is set. Returns false if the query is to be
+ * deferred. */
 static bool
-directory_try (struct Front *front,
-               struct HttpExchange *exchange,
-               const char *zone,
-               bool in_any_case)
+directory_try (struct Front *front, struct HttpExchange *exchange, const char *zone, bool force)
 {
-  size_t n, n_known = directory_known (front, zone);
+  size_t n, n_expected = directory_count_expected (front, zone);
   struct AddressCandidate *candidates = directory_candidates (front, front, zone, false, &n);
   size_t n_near = count_near (candidates, n);
   bool thin =
-      !store_reader_knows_nodes (front->node->reader) || address_list_is_thin (n_near, n_known);
+      !store_reader_knows_nodes (front->node->reader) || address_list_is_thin (n_near, n_expected);
 
-  if (thin && in_any_case)
+  if (thin && force)
     {
       talloc_free (candidates);
       candidates = directory_candidates (front, front, zone, true, &n);
       log_event (LOG_LEVEL_WARNING, "addresses_thin", NULL, NULL,
-                 "%zu of some %zu gateways of %s are ready, %zu live there, %zu in all", n_near,
-                 n_known, zone, count_near (candidates, n), n);
+                 "%zu of about %zu gateways in zone %s are ready, %zu live there, %zu in all",
+                 n_near, n_expected, zone, count_near (candidates, n), n);
     }
-  if (!thin || in_any_case)
+  if (!thin || force)
     directory_send (front, exchange, candidates, n);
   talloc_free (candidates);
-  return !thin || in_any_case;
+  return !thin || force;
 }
 
 static void
-asker_on_gone (struct HttpExchange *exchange)
+query_on_disconnect (struct HttpExchange *exchange)
 {
   talloc_free (exchange->handler_data);
 }
 
 static void
-asker_on_check (void *data)
+query_on_check (void *data)
 {
-  struct Asker *asker = data;
-  struct HttpExchange *exchange = asker->exchange;
-  int64_t waited_ms = timer_now_ms (asker->front->node->timers) - exchange->arrived_ms;
+  struct PendingQuery *query = data;
+  struct HttpExchange *exchange = query->exchange;
+  int64_t waited_ms = timer_now_ms (query->front->node->timers) - exchange->arrived_ms;
 
   exchange->gone = NULL;
-  if (directory_try (asker->front, exchange, asker->zone, waited_ms >= DIRECTORY_HOLD_MS))
+  if (directory_try (query->front, exchange, query->zone, waited_ms >= DIRECTORY_DEFER_MS))
     {
-      talloc_free (asker);
+      talloc_free (query);
       return;
     }
-  exchange->gone = asker_on_gone;
+  exchange->gone = query_on_disconnect;
 }
 
 void
 directory_answer (struct Front *front, struct HttpExchange *exchange)
 {
   char zone[NAME_MAX_BYTES + 1];
-  struct Asker *asker;
+  struct PendingQuery *query;
 
   front->node->dialect->asker_zone (exchange->target, zone);
   if (directory_try (front, exchange, zone, !front_is_starting (front)))
     return;
-  asker = talloc_zero (front, struct Asker);
-  if (asker == NULL
-      || timer_subscribe (asker, front->node->timers, DIRECTORY_CHECK_MS, DIRECTORY_CHECK_MS,
-                          asker_on_check, asker)
+  query = talloc_zero (front, struct PendingQuery);
+  if (query == NULL
+      || timer_subscribe (query, front->node->timers, DIRECTORY_CHECK_MS, DIRECTORY_CHECK_MS,
+                          query_on_check, query)
              == NULL)
     {
-      talloc_free (asker);
+      talloc_free (query);
       directory_try (front, exchange, zone, true);
       return;
     }
-  asker->front = front;
-  asker->exchange = exchange;
-  snprintf (asker->zone, sizeof asker->zone, "%s", zone);
-  exchange->handler_data = asker;
-  exchange->gone = asker_on_gone;
+  query->front = front;
+  query->exchange = exchange;
+  snprintf (query->zone, sizeof query->zone, "%s", zone);
+  exchange->handler_data = query;
+  exchange->gone = query_on_disconnect;
 }
--- a/gateway/directory.h
+++ b/gateway/directory.h
@@ -1,11 +1,11 @@
-/* Answers callers that ask which gateways to use. */
+/* Responds to callers that query the list of gateways. */
 #pragma once
 
 #include "front.h"
 
 struct HttpExchange;
 
-/* Answers exchange, at once or, while the gateway starts and knows few others, within
- * DIRECTORY_HOLD_MS. */
+/* Responds at once, or within DIRECTORY_DEFER_MS while the gateway is starting and its list is not
+ * yet good enough. */
 void
 directory_answer (struct Front *front, struct HttpExchange *exchange);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -16,7 +16,7 @@
 
 enum
 {
-  STORE_TIMEOUT_MS = 900, /* of one call: the store answers in some 4 ms, slow ones in 250 */
+  STORE_TIMEOUT_MS = 900, /* per call; the store responds in about 4 ms, if slow in 250 */
   STOP_CHECK_MS = 100
 };
 
@@ -60,8 +60,8 @@
                    gateway_on_stop_check, gateway);
 }
 
-/* The platform renders the settings anew and sends SIGHUP; addresses and names of a running process
- * do not change, and everything else comes from the store. */
+/* The platform sends SIGHUP after it has rendered the settings again. There is nothing to reload:
+ * the addresses and names of a running process don't change, and the rest comes from the store. */
 static void
 gateway_on_reload (struct tevent_context *events,
                    struct tevent_signal *signal,
@@ -77,10 +77,11 @@
   (void)info;
   (void)data;
   log_event (LOG_LEVEL_NOTICE, "reload_asked", NULL, NULL,
-             "settings are read at the start; the configuration is followed in the store");
+             "nothing reloaded: settings are read only at start, the configuration from the store");
 }
 
-/* Questions' ids must not meet those of the process before this one. */
+/* Derives the first request id from the clock, so that ids differ from those of the previous
+ * process of this instance. */
 static uint64_t
 first_id (void)
 {
@@ -121,18 +122,19 @@
   return node_start (node, fault);
 }
 
-/* What is switched off stands in the log: answers are else explained by what does not run. */
+/* Logs which decisions are switched off, so that results aren't attributed to a mechanism that is
+ * not running. */
 static void
 gateway_log_decisions (const struct Decisions *d)
 {
-  static const char *const words[] = { "off", "on" };
+  static const char *const states[] = { "off", "on" };
 
   log_event (LOG_LEVEL_NOTICE, "decisions", NULL, NULL,
              "sessions %s, parts %s, objects %s, zones %s, failures %s, owners %s, order %s, "
              "patience %s, resume %s, under_way %s",
-             words[d->sessions], words[d->parts], words[d->objects], words[d->zones],
-             words[d->failures], words[d->owners], words[d->order], words[d->patience],
-             words[d->resume], words[d->under_way]);
+             states[d->sessions], states[d->parts], states[d->objects], states[d->zones],
+             states[d->failures], states[d->owners], states[d->order], states[d->patience],
+             states[d->resume], states[d->under_way]);
 }
 
 int32_t
--- a/gateway/loop_echo.c
+++ b/gateway/loop_echo.c
@@ -8,15 +8,15 @@
 
 enum
 {
-  ECHO_PERIOD_MS = 250 /* half a heartbeat, in which the result is told */
+  ECHO_PERIOD_MS = 250 /* half the period of the heartbeats, which report the result */
 };
 
 struct LoopEcho
 {
   struct Node *node;
   struct LoopLag lag;
-  int ends[2];     /* of a pipe: read, write */
-  int64_t sent_ms; /* 0: no byte is on its way */
+  int ends[2];     /* of the pipe: read, write */
+  int64_t sent_ms; /* when the byte in the pipe was written; 0: none */
 };
 
 static int
@@ -30,11 +30,11 @@
 static void
 loop_echo_note (struct LoopEcho *echo, int64_t lag_ms)
 {
-  bool was_strained = echo->lag.strained;
+  bool was_overloaded = echo->lag.strained;
 
   loop_lag_note (&echo->lag, lag_ms);
   gauge_set (GAUGE_LOOP_LAG_MS, echo->lag.lag_ms);
-  if (echo->lag.strained != was_strained)
+  if (echo->lag.strained != was_overloaded)
     log_event (LOG_LEVEL_NOTICE, echo->lag.strained ? "strained" : "relieved", NULL, NULL,
                "events wait %u ms for the processor", echo->lag.lag_ms);
 }
--- a/gateway/loop_echo.h
+++ b/gateway/loop_echo.h
@@ -1,6 +1,6 @@
-/* Measures how long events of this process wait for its processor: a byte that it sends to itself
- * waits behind what callers and servers have sent. Timers would not tell, the loop serves them
- * first. */
+/* Measures how long events of this process wait for the processor, by a byte that the process sends
+ * to itself through a pipe and that queues behind input from callers and servers. A timer could not
+ * measure this, because the event loop handles timers first. */
 #pragma once
 
 #include "node.h"
@@ -9,7 +9,7 @@
 
 struct LoopEcho;
 
-/* NULL without memory or descriptors. */
+/* NULL without memory or file descriptors. */
 struct LoopEcho *
 loop_echo_new (TALLOC_CTX *ctx, struct Node *node);
 
--- a/gateway/node_directory.c
+++ b/gateway/node_directory.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* In a process's entry, after its peer address. */
+/* The role in the entry of a process, after its peer address. */
 #define ROLE_ARCHIVE "archive"
 #define ROLE_GATEWAY "gateway"
 
@@ -28,7 +28,7 @@
                "%s", item->key);
 }
 
-/* False for an entry that is not one of a process. */
+/* Returns false if the entry is not the entry of a process. */
 static bool
 entry_read (const struct SnapshotItem *item, struct NodeStatus *status)
 {
@@ -71,7 +71,9 @@
 }
 
 static void
-node_item (struct Snapshot *snapshot, const struct Node *node, const struct NodeStatus *status)
+snapshot_add_process (struct Snapshot *snapshot,
+                      const struct Node *node,
+                      const struct NodeStatus *status)
 {
   struct SnapshotItem *item = &snapshot->items[snapshot->n_items];
   char *value = talloc_size (snapshot, NODE_ENTRY_BYTES);
@@ -86,7 +88,7 @@
 }
 
 static void
-set_item (struct Snapshot *snapshot, const struct Node *node)
+snapshot_add_set (struct Snapshot *snapshot, const struct Node *node)
 {
   struct SnapshotItem *item = &snapshot->items[snapshot->n_items];
   uint8_t *bytes;
@@ -114,7 +116,7 @@
       return NULL;
     }
   for (size_t i = 0; i < node->peers->n_peers; i++)
-    node_item (snapshot, node, &node->peers->peers[i]->status);
-  set_item (snapshot, node);
+    snapshot_add_process (snapshot, node, &node->peers->peers[i]->status);
+  snapshot_add_set (snapshot, node);
   return snapshot;
 }
--- a/gateway/seeds.c
+++ b/gateway/seeds.c
@@ -11,15 +11,16 @@
 enum
 {
   SEEDS_MAX = 3,
-  /* Between two questions, until one is answered: after a stop of everything the seeds start with
-   * the others. */
-  ASK_FIRST_MS = 150,
-  /* Then, doubled each time: while a fleet starts a seed knows more processes with each that asks.
-   */
-  ASK_AGAIN_MS = 250,
-  ASK_AGAIN_MAX_MS = 4000,
-  /* Then the store is read. Not by all at once: where no seed is left, the first to read and
-   * register are found by the others. */
+  /* Interval of queries until the first response: when the whole fleet restarts, the seeds start at
+   * the same time as the other processes. */
+  QUERY_RETRY_MS = 150,
+  /* First interval after that, doubled with each query up to the maximum: while a fleet starts,
+   * each process that queries a seed adds to those that the seed can return. */
+  QUERY_INTERVAL_MS = 250,
+  QUERY_INTERVAL_MAX_MS = 4000,
+  /* Without a response, the store is read after AWAIT_MS and a part of AWAIT_SPREAD_MS that depends
+   * on the process's rank. The processes don't read at the same time: where no seed is left, the
+   * first ones to read and register are found by the others. */
   AWAIT_MS = 800,
   AWAIT_SPREAD_MS = 1200
 };
@@ -27,16 +28,17 @@
 struct Seeds
 {
   struct Node *node;
-  char addresses[SEEDS_MAX][ADDRESS_MAX_BYTES + 1]; /* of the peer listeners; also their names */
+  char addresses[SEEDS_MAX][ADDRESS_MAX_BYTES + 1]; /* of the peer listeners; used as names, too */
   size_t n;
   bool has_own;
-  size_t next; /* the one that is asked next */
-  uint32_t n_asked;
-  int64_t pause_ms;
+  size_t next; /* index, modulo n, of the next seed to query */
+  uint32_t n_queries;
+  int64_t interval_ms;
   bool answered;
 };
 
-/* seed is not terminated. port 0: the one that it names. */
+/* Copies the address in the first n bytes of seed, with port in place of its own port unless port
+ * is 0. */
 static void
 seed_address (char address[ADDRESS_MAX_BYTES + 1], const char *seed, size_t n, uint32_t port)
 {
@@ -72,7 +74,7 @@
 }
 
 static void
-seed_ask (struct Seeds *seeds, size_t i)
+seed_query (struct Seeds *seeds, size_t i)
 {
   const struct GatewayMessage want = { .kind = GATEWAY_SNAPSHOT_WANT,
                                        .snapshot_want = SNAPSHOT_CONTACTS };
@@ -82,26 +84,27 @@
 }
 
 static void
-seeds_on_ask (void *data)
+seeds_on_query (void *data)
 {
   struct Seeds *seeds = data;
   const struct Node *node = seeds->node;
   int64_t now_ms = timer_now_ms (node->timers);
-  bool again = seeds->n_asked++ > 0;
+  bool is_repeat = seeds->n_queries++ > 0;
 
-  if (!again || !peer_table_is_served (node->peers, now_ms))
+  if (!is_repeat || !peer_table_is_served (node->peers, now_ms))
     {
-      /* Those that speak for their zones join what different seeds know. */
-      if (seeds->has_own || (again && peer_table_is_aggregator (node->peers, now_ms)))
+      /* Seeds and aggregators query every seed, so that processes that have contacted different
+       * seeds find each other. */
+      if (seeds->has_own || (is_repeat && peer_table_is_aggregator (node->peers, now_ms)))
         for (size_t i = 0; i < seeds->n; i++)
-          seed_ask (seeds, i);
+          seed_query (seeds, i);
       else
-        seed_ask (seeds, seeds->next++ % seeds->n);
+        seed_query (seeds, seeds->next++ % seeds->n);
     }
-  if (seeds->answered && seeds->pause_ms < ASK_AGAIN_MAX_MS)
-    seeds->pause_ms *= 2;
-  timer_subscribe (seeds, node->timers, seeds->answered ? seeds->pause_ms : ASK_FIRST_MS, 0,
-                   seeds_on_ask, seeds);
+  if (seeds->answered && seeds->interval_ms < QUERY_INTERVAL_MAX_MS)
+    seeds->interval_ms *= 2;
+  timer_subscribe (seeds, node->timers, seeds->answered ? seeds->interval_ms : QUERY_RETRY_MS, 0,
+                   seeds_on_query, seeds);
 }
 
 struct Seeds *
@@ -112,9 +115,9 @@
   if (seeds == NULL)
     return NULL;
   seeds->node = node;
-  seeds->pause_ms = ASK_AGAIN_MS / 2;
+  seeds->interval_ms = QUERY_INTERVAL_MS / 2;
   seeds_read (seeds);
-  if (seeds->n == 0 || timer_subscribe (seeds, node->timers, 0, 0, seeds_on_ask, seeds) == NULL)
+  if (seeds->n == 0 || timer_subscribe (seeds, node->timers, 0, 0, seeds_on_query, seeds) == NULL)
     {
       talloc_free (seeds);
       return NULL;
@@ -187,7 +190,7 @@
         == ERROR_NONE)
       node_learn_peer (node, &status);
   if (!seeds->answered)
-    log_event (LOG_LEVEL_INFO, "seed_answered", NULL, NULL, "%zu processes, after %lld ms",
+    log_event (LOG_LEVEL_INFO, "seed_answered", NULL, NULL, "%zu processes received after %lld ms",
                contacts->n_items, (long long)(timer_now_ms (node->timers) - node->started_ms));
   seeds->answered = true;
   store_reader_note_contacts (node->reader);
--- a/gateway/zone_servers.c
+++ b/gateway/zone_servers.c
@@ -17,7 +17,7 @@
          || (level > reader->subset_level && subset->n_items == servers->n_items);
 }
 
-/* Nothing of it has changed, and it is as fresh as the list of all. */
+/* Marks the subset as unchanged and as current as the full list. */
 static void
 subset_confirm (struct StoreReader *reader)
 {
@@ -42,7 +42,7 @@
   message.snapshot = changes != NULL ? *changes : *subset;
   message.snapshot.age_ms =
       (uint32_t)(timer_now_ms (node->timers) - reader->topics[SNAPSHOT_SERVERS].read_ms);
-  /* The values of changes are those of the subset, which its copy does not share. */
+  /* The values of changes are owned by subset; the copy that the topic keeps has its own. */
   node_send_some (node, &message, PEERS_SERVED);
   topic_take (reader, subset, reader->topics[SNAPSHOT_SERVERS].read_ms);
   talloc_free (changes);
@@ -74,7 +74,7 @@
   subset->after_gap = topic_is_after_gap (reader, SNAPSHOT_SERVERS);
   if (reader->subset_level != level)
     log_event (LOG_LEVEL_NOTICE, "server_subset_level", NULL, NULL,
-               "level %u, %zu of %zu servers, before %u", level, subset->n_items,
+               "level %u, %zu of %zu servers, previously level %u", level, subset->n_items,
                servers->snapshot->n_items, reader->subset_level);
   reader->subset_of = servers->content;
   reader->subset_level = level;
@@ -89,8 +89,8 @@
 zone_servers_are_from (const struct Node *node, const char *sender)
 {
   const struct Peer *peer = node_peer (node, sender);
-  bool draws = node->reader->topics[SNAPSHOT_SERVERS].snapshot != NULL
-               && peer_table_is_aggregator (node->peers, timer_now_ms (node->timers));
+  bool builds_subset = node->reader->topics[SNAPSHOT_SERVERS].snapshot != NULL
+                       && peer_table_is_aggregator (node->peers, timer_now_ms (node->timers));
 
-  return !draws && peer != NULL && strcmp (peer->status.zone, node->settings->zone) == 0;
+  return !builds_subset && peer != NULL && strcmp (peer->status.zone, node->settings->zone) == 0;
 }
--- a/include/buckthornhead/gateway.h
+++ b/include/buckthornhead/gateway.h
@@ -1,9 +1,9 @@
-/* A gateway or an archive, from its settings to its planned stop. */
+/* Runs a gateway or an archive from its start to its planned stop. */
 #pragma once
 
 #include <buckthornhead/gateway_settings.h>
 
-/* Runs until a planned stop (SIGTERM, SIGINT) is complete. ERROR_NONE after one, else the error
- * that kept it from starting; the log says more. */
+/* Runs until a planned stop (SIGTERM or SIGINT) is complete. Returns ERROR_NONE, or the error that
+ * prevented the start or ended the event loop; a failed start is logged. */
 int32_t
 gateway_run (const struct GatewaySettings *settings);
