--- a/gateway/node.c
+++ b/gateway/node.c
@@ -11,17 +11,17 @@
 
 enum
 {
-  HEARTBEAT_MS = 500, /* half a second of age is fine for loads */
-  /* A question over a link that nothing has followed for so long: messages take another way. An
-   * answer takes milliseconds, on a starved machine some hundred. */
-  PEER_ANSWERS_MS = 650,
-  /* Then the link is taken for dead and dialled anew. */
-  LINK_SILENT_MS = 1600,
-  /* A gateway that has received nothing for two heartbeats and some is cut off itself. */
+  HEARTBEAT_MS = 500, /* loads may be half a second old */
+  /* A peer that has not replied to a request over its link for this long is unresponsive: messages
+   * take another path. A reply takes milliseconds, on an overloaded instance a few hundred. */
+  PEER_RESPONSE_MS = 650,
+  /* A link without a reply for this long is assumed to be broken, and is dialled again. */
+  LINK_TIMEOUT_MS = 1600,
+  /* A process that has received nothing for a little more than two heartbeats is cut off itself. */
   CUT_OFF_MS = 1150,
-  /* While a process starts it looks for archives and reports what it is ready for this often: with
-   * the heartbeat alone, a zone that had lost all power had 2 of its 34 gateways ready for callers
-   * after 0.7 s. */
+  /* During its start phase a process probes archives and reports changes of its status at a shorter
+   * period: at the period of the heartbeat, a zone that had lost all power had only 2 of its 34
+   * gateways ready for callers after 0.7 s. */
   STARTING_MS = 3000,
   STARTING_PERIOD_MS = 50
 };
@@ -51,7 +51,7 @@
 }
 
 static const char *
-stage_words (enum ArchiveStage stage)
+stage_suffix (enum ArchiveStage stage)
 {
   switch (stage)
     {
@@ -72,7 +72,7 @@
     return;
   node->set = *set;
   log_event (LOG_LEVEL_NOTICE, "archive_set", NULL, NULL, "generation %llu, %u members%s",
-             (unsigned long long)set->generation, set->members.n, stage_words (set->stage));
+             (unsigned long long)set->generation, set->members.n, stage_suffix (set->stage));
   if (node->handler.set_changed != NULL)
     node->handler.set_changed (node->handler.data);
   node_announce (node);
@@ -81,22 +81,23 @@
 bool
 node_peer_answers (const struct Node *node, const struct Peer *peer)
 {
-  return (peer->asked_ms == 0 || timer_now_ms (node->timers) - peer->asked_ms < PEER_ANSWERS_MS)
+  return (peer->asked_ms == 0
+          || timer_now_ms (node->timers) - peer->asked_ms < PEER_RESPONSE_MS)
          && node_peer_is_live (node, peer);
 }
 
 bool
 node_reaches_archives (const struct Node *node)
 {
-  struct ArchiveNames asked = archive_set_asked (&node->set);
+  struct ArchiveNames targets = archive_set_asked (&node->set);
   struct ArchiveNames reached = { .n = 0 };
 
-  for (uint32_t i = 0; i < asked.n; i++)
+  for (uint32_t i = 0; i < targets.n; i++)
     {
-      const struct Peer *peer = node_peer (node, asked.names[i]);
+      const struct Peer *peer = node_peer (node, targets.names[i]);
 
       if (peer != NULL && node_peer_answers (node, peer))
-        archive_names_add (&reached, asked.names[i]);
+        archive_names_add (&reached, targets.names[i]);
     }
   return archive_set_is_written (&node->set, node->settings->tolerated, &reached)
          && archive_set_is_read (&node->set, node->settings->tolerated, &reached);
@@ -132,12 +133,12 @@
                const struct GatewayMessage *message,
                const struct ArchiveNames *skip)
 {
-  struct ArchiveNames asked = archive_set_asked (&node->set);
+  struct ArchiveNames targets = archive_set_asked (&node->set);
   uint32_t n_sent = 0;
 
-  for (uint32_t i = 0; i < asked.n; i++)
-    if (!archive_names_have (skip, asked.names[i]))
-      n_sent += node_send_archive (node, asked.names[i], message) == ERROR_NONE;
+  for (uint32_t i = 0; i < targets.n; i++)
+    if (!archive_names_have (skip, targets.names[i]))
+      n_sent += node_send_archive (node, targets.names[i], message) == ERROR_NONE;
   return n_sent;
 }
 
@@ -149,7 +150,7 @@
   return settings->announce[0] != '\0' ? settings->announce : settings->peer_listen;
 }
 
-/* Questions that were open on the link are asked again by their own timers. */
+/* Requests that were open on the link are retried by their own timers. */
 static void
 node_on_closed (void *data, uint64_t link, const char *peer)
 {
@@ -158,7 +159,8 @@
   (void)peer;
 }
 
-/* Its machine answers and its process does not: sooner known than by silence. */
+/* The instance runs and refuses connections, so its process does not: this is detected sooner than
+ * by silence. */
 static void
 node_on_refused (void *data, const char *name, uint32_t n)
 {
@@ -171,7 +173,7 @@
   node_publish_soon (node);
 }
 
-/* A new link has not been silent yet, whatever the one before was. */
+/* The silence of the previous link does not count for the new one. */
 static void
 node_on_connected (void *data, const char *name)
 {
@@ -182,18 +184,18 @@
     peer->link_received_ms = timer_now_ms (node->timers);
 }
 
-/* Care of links. */
+/* Maintenance of links. */
 
-/* A link can fall silent for good without a reset: it is closed and dialled anew. */
+/* A broken link can stay silent without a reset, so it is closed and dialled again. */
 static void
 node_check_link (struct Node *node, struct Peer *peer, int64_t now_ms)
 {
   const char *name = peer->status.node;
 
-  if (peer->asked_ms == 0 || now_ms - peer->asked_ms < LINK_SILENT_MS
-      || now_ms - peer->link_received_ms < LINK_SILENT_MS || !peer_net_has_link (node->net, name))
+  if (peer->asked_ms == 0 || now_ms - peer->asked_ms < LINK_TIMEOUT_MS
+      || now_ms - peer->link_received_ms < LINK_TIMEOUT_MS || !peer_net_has_link (node->net, name))
     return;
-  log_event (LOG_LEVEL_WARNING, "peer_link_silent", NULL, NULL, "%s: nothing for %lld ms", name,
+  log_event (LOG_LEVEL_WARNING, "peer_link_silent", NULL, NULL, "%s: no reply for %lld ms", name,
              (long long)(now_ms - peer->asked_ms));
   peer->link_received_ms = now_ms;
   peer_net_drop (node->net, name);
@@ -203,7 +205,7 @@
 node_check_links (struct Node *node, int64_t now_ms)
 {
   const struct GatewayMessage probe = { .kind = GATEWAY_PROBE };
-  struct ArchiveNames asked = archive_set_asked (&node->set);
+  struct ArchiveNames targets = archive_set_asked (&node->set);
   struct PeerTable *table = node->peers;
   bool aggregates = peer_table_is_aggregator (table, now_ms);
 
@@ -212,7 +214,7 @@
       struct Peer *peer = table->peers[i];
 
       node_check_link (node, peer, now_ms);
-      if (!peer_table_must_probe (table, peer, archive_names_have (&asked, peer->status.node),
+      if (!peer_table_must_probe (table, peer, archive_names_have (&targets, peer->status.node),
                                   aggregates, now_ms))
         continue;
       peer->probed_ms = now_ms;
@@ -225,7 +227,7 @@
 {
   struct Node *node = data;
 
-  log_event (LOG_LEVEL_INFO, "peer_forgotten", NULL, NULL, "%s: silent for long",
+  log_event (LOG_LEVEL_INFO, "peer_forgotten", NULL, NULL, "%s: removed after a long silence",
              peer->status.node);
   peer_net_forget (node->net, peer->status.node);
 }
@@ -250,7 +252,7 @@
   node_check_links (node, now_ms);
   node_announce_changes (node);
   if (now_ms - node->started_ms >= STARTING_MS)
-    TALLOC_FREE (node->starting);
+    TALLOC_FREE (node->starting_timer);
 }
 
 int32_t
@@ -282,8 +284,8 @@
   if (node->reader == NULL)
     return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the store's reader");
   timer_subscribe (node->net, node->timers, HEARTBEAT_MS, HEARTBEAT_MS, node_on_heartbeat, node);
-  node->starting = timer_subscribe (node->net, node->timers, STARTING_PERIOD_MS, STARTING_PERIOD_MS,
-                                    node_on_starting, node);
+  node->starting_timer = timer_subscribe (node->net, node->timers, STARTING_PERIOD_MS,
+                                          STARTING_PERIOD_MS, node_on_starting, node);
   if (node->settings->seeds[0] != '\0')
     node->seeds = seeds_new (node);
   node_announce (node);
--- a/gateway/node.h
+++ b/gateway/node.h
@@ -1,10 +1,11 @@
-/* What gateways and archives share: the event loop, links to each other, who is there, and what
- * the platform's store says.
+/* State and messaging that gateways and archives share: the event loop, the links to other
+ * processes, the table of peers, and the copy of the platform's store.
  *
- * Who reports to whom follows from the table of peers (peer_table.h): heartbeats and lists go
- * member - aggregator
- * - aggregator - member, and links are dialled when they are needed. Calls to the store are dear,
- * so one process reads for all and its copy takes the same way (store_reader.c). */
+ * The table of peers (peer_table.h) decides which processes report to which. Heartbeats and lists
+ * travel from a member to its aggregators, between the aggregators of different zones, and from
+ * aggregators to their members. Links are dialled when they are needed. Calls to the store are
+ * expensive, so one process reads for all, and its copy is distributed along the same path
+ * (store_reader.c). */
 #pragma once
 
 #include <buckthornhead/dialect.h>
@@ -15,25 +16,26 @@
 #include <buckthornhead/peer_table.h>
 #include <buckthornhead/timer.h>
 
-/* Key of the set of archives, after the settings' prefix. */
+/* Store key of the set of archives, after the prefix from the settings. */
 #define ARCHIVE_SET_KEY "archives"
 
 struct Node;
 struct StoreReader;
 struct Seeds;
 
-/* What the role does with what the node receives. */
+/* Callbacks of the role, gateway or archive. */
 struct NodeHandler
 {
   void (*message) (void *data,
                    uint64_t link,
                    const char *sender,
                    const struct GatewayMessage *message);
-  /* The set of archives has changed; may be NULL. */
+  /* Called when the set of archives has changed; may be NULL. */
   void (*set_changed) (void *data);
-  /* A newer state of the store. after_gap: nobody had read it for a while before. */
+  /* Called with a newer snapshot of the store. after_gap: no process had read the store for a while
+   * before it was taken. */
   void (*snapshot) (void *data, const struct Snapshot *snapshot, bool after_gap);
-  /* Fills in the role's own fields of the status, and its loads; may be NULL. */
+  /* Fills in the role's fields of the status and its loads; may be NULL. */
   void (*describe) (void *data, TALLOC_CTX *ctx, struct Heartbeat *heartbeat);
   void *data;
 };
@@ -47,51 +49,53 @@
   struct PeerNet *net;
   struct KvPort *store;
   struct StoreReader *reader;
-  struct Seeds *seeds; /* NULL: none are named */
+  struct Seeds *seeds; /* NULL: the settings name none */
   struct NodeHandler handler;
   struct PeerTable *peers;
   int64_t started_ms;
-  struct Timer *starting;   /* NULL once it has started */
-  uint64_t start;           /* of this process, unique among its starts */
-  struct Timer *publishing; /* lists are drawn up when it fires; NULL: nothing has changed */
+  struct Timer *starting_timer; /* NULL once the start phase is over */
+  uint64_t start;               /* number of this start, unique among those of the instance */
+  struct Timer *publish_timer;  /* pending update of the lists; NULL: none */
   uint64_t next_id;
-  size_t next_relay;     /* place in the list of peers */
-  struct ArchiveSet set; /* the newest that is known */
+  size_t next_relay;     /* index in peers->peers */
+  struct ArchiveSet set; /* the newest one received */
 };
 
-/* Starts links, heartbeats and reading; events and timers exist already. */
+/* Starts the links, the heartbeats and the store's reader. Events and timers must exist. */
 int32_t
 node_start (struct Node *node, struct Fault *fault);
 
-/* A question's id, unique in this process. */
+/* Returns a request id that is unique in this process. */
 uint64_t
 node_next_id (struct Node *node);
 
-/* Sends over the link to peer, which is dialled if there is none. ERROR_UNREACHABLE: it certainly
- * never left. */
+/* Sends over the link to peer, which is dialled if there is none. ERROR_UNREACHABLE guarantees that
+ * the message was not sent. */
 int32_t
 node_send (struct Node *node, const char *peer, const struct GatewayMessage *message);
 
-/* Answers over the link on which a question came. */
+/* Replies over the link on which a request was received. */
 int32_t
 node_answer (struct Node *node, uint64_t link, const struct GatewayMessage *message);
 
-/* Which live peers a message is for. */
+/* The peers to which a message is sent. */
 enum PeerChoice
 {
-  PEERS_SERVED,          /* members of the zone whose aggregator this process is */
+  PEERS_SERVED,          /* members that this process serves as an aggregator of their zone */
   PEERS_AGGREGATORS,     /* of all zones */
   PEERS_OWN_AGGREGATORS, /* of the own zone */
   PEERS_OTHER_ZONES,     /* aggregators of the other zones */
-  PEERS_GATEWAYS,        /* all */
+  PEERS_GATEWAYS,        /* of all zones */
   PEERS_GATEWAYS_OF_ZONE /* of the own zone */
 };
 
-/* To all peers that choice means, packed once: a list of a thousand servers goes to dozens. */
+/* Sends to all peers of the choice. The message is packed only once: a list of a thousand servers
+ * is sent to dozens of peers. */
 void
 node_send_some (struct Node *node, const struct GatewayMessage *message, enum PeerChoice choice);
 
-/* To all archives that the set asks, except those in skip. Returns to how many it left. */
+/* Sends to all archives that requests go to, except those in skip. Returns the number of archives
+ * to which it was sent. */
 uint32_t
 node_send_set (struct Node *node,
                const struct GatewayMessage *message,
@@ -100,49 +104,51 @@
 struct Peer *
 node_peer (const struct Node *node, const char *name);
 
-/* Heard lately, here or by those who report on it. */
+/* Returns whether the peer is live, as peer_table_is_live. */
 bool
 node_peer_is_live (const struct Node *node, const struct Peer *peer);
 
-/* Processes that the store or a file lists. */
+/* Adds a process that the store, a seed or a file lists. */
 void
 node_learn_peer (struct Node *node, const struct NodeStatus *status);
 
-/* A set of archives, from the store or a peer: taken if it is newer, and announced to all peers. */
+/* Adopts a set of archives from the store or a peer if it is newer, and announces it to the peers.
+ */
 void
 node_take_set (struct Node *node, const struct ArchiveSet *set);
 
 bool
 node_is_archive (const struct Node *node);
 
-/* Where other processes reach this one. */
+/* Returns the address at which other processes reach this one. */
 const char *
 node_address (const struct Node *node);
 
-/* It lives, and has not left a question of this process open for long. */
+/* Returns whether the peer is live and has replied to this process's requests in time. */
 bool
 node_peer_answers (const struct Node *node, const struct Peer *peer);
 
-/* Enough archives for a turn answer directly. */
+/* Returns whether enough archives for a turn reply over direct links. */
 bool
 node_reaches_archives (const struct Node *node);
 
-/* Another gateway could relay to the archives. */
+/* Returns whether another gateway could relay messages to the archives. */
 bool
 node_has_relay (const struct Node *node);
 
-/* Directly if the link answers, else through another gateway. ERROR_UNREACHABLE: never left. */
+/* Sends directly if the archive replies over the link, otherwise through another gateway.
+ * ERROR_UNREACHABLE guarantees that the message was not sent. */
 int32_t
 node_send_archive (struct Node *node, const char *archive, const struct GatewayMessage *message);
 
-/* Sends this process's heartbeat to peer, whoever that is. */
+/* Sends the heartbeat of this process alone to peer, which need not be in the table of peers. */
 void
 node_introduce (struct Node *node, const char *peer);
 
-/* Tells about this process now, not at the next heartbeat. */
+/* Sends the heartbeats now, without waiting for the next period. */
 void
 node_announce (struct Node *node);
 
-/* The same if what it says of itself has changed. */
+/* Calls node_announce if the status of this process has changed. */
 void
 node_announce_changes (struct Node *node);
--- a/gateway/node_internal.h
+++ b/gateway/node_internal.h
@@ -1,16 +1,17 @@
-/* What the files of a node share: node.c starts it and looks after its links, node_send.c finds the
- * receivers, node_report.c says what they are sent, node_receive.c takes what they send. */
+/* Shared by the files of a node: node.c starts it and maintains its links, node_send.c selects the
+ * receivers of a message, node_report.c builds heartbeats and lists, and node_receive.c handles
+ * messages from peers. */
 #pragma once
 
 #include "node.h"
 
-/* Packs message for many receivers; the bytes are to be freed once it is sent. NULL without memory.
- */
+/* Packs message for several receivers. The caller frees the bytes after sending. NULL without
+ * memory. */
 uint8_t *
 node_pack (struct Node *node, const struct GatewayMessage *message, struct PeerMessage *envelope);
 
-/* Sends a packed message of that kind: to one peer, to those who aggregate the zone (this process
- * left out), to those of all other zones, or to those that choice means. */
+/* These send a packed message of that kind: to one peer, to the aggregators of a zone other than
+ * this process, to the aggregators of all other zones, or to the peers of a choice. */
 void
 node_send_packed (struct Node *node,
                   const char *name,
@@ -31,14 +32,14 @@
                   const struct PeerMessage *envelope,
                   enum PeerChoice choice);
 
-/* Draws up the lists a moment later and sends what has changed in them. */
+/* Schedules an update of the lists, which sends their changes. */
 void
 node_publish_soon (struct Node *node);
 
-/* A member that is new to its aggregator need not wait for the next heartbeat to learn what there
- * is: after a stop its callers wait with it. */
+/* Sends a new member the fleet's heartbeat at once: after a restart its callers wait until it has
+ * received the state. */
 void
-node_greet (struct Node *node, const char *name);
+node_send_fleet_heartbeat (struct Node *node, const char *name);
 
 void
 node_on_received (void *data,
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -1,4 +1,4 @@
-/* What a process receives from others. */
+/* Handles messages from peers. */
 #include "node_internal.h"
 
 #include "relay.h"
@@ -13,7 +13,7 @@
 
 enum
 {
-  WANT_AGAIN_MS = 300 /* between two requests for a list to one aggregator */
+  REQUEST_INTERVAL_MS = 300 /* between two requests for a full list to one aggregator */
 };
 
 void
@@ -25,9 +25,9 @@
     peer_net_know (node->net, status->node, status->peer_address);
 }
 
-/* Addresses of processes that lists name. */
+/* Stores the addresses of the processes in list for dialling. */
 static void
-node_know_addresses (struct Node *node, const struct Snapshot *list)
+node_store_addresses (struct Node *node, const struct Snapshot *list)
 {
   for (size_t i = 0; i < list->n_items; i++)
     {
@@ -39,23 +39,23 @@
 }
 
 static void
-node_want (struct Node *node, uint64_t link, const char *sender, enum SnapshotKind kind)
+node_request_list (struct Node *node, uint64_t link, const char *sender, enum SnapshotKind kind)
 {
   const struct GatewayMessage want = { .kind = GATEWAY_SNAPSHOT_WANT, .snapshot_want = kind };
   struct Peer *peer = node_peer (node, sender);
   int64_t now_ms = timer_now_ms (node->timers);
 
-  if (peer == NULL || now_ms - peer->wanted_ms < WANT_AGAIN_MS)
+  if (peer == NULL || now_ms - peer->wanted_ms < REQUEST_INTERVAL_MS)
     return;
   peer->wanted_ms = now_ms;
   node_answer (node, link, &want);
 }
 
 static void
-node_take_marks (struct Node *node,
-                 uint64_t link,
-                 const char *sender,
-                 const struct Heartbeat *heartbeat)
+node_handle_marks (struct Node *node,
+                   uint64_t link,
+                   const char *sender,
+                   const struct Heartbeat *heartbeat)
 {
   int64_t now_ms = timer_now_ms (node->timers);
 
@@ -68,7 +68,7 @@
         case SNAPSHOT_ZONE:
         case SNAPSHOT_FLEET:
           if (!peer_table_confirm_list (node->peers, sender, mark, now_ms))
-            node_want (node, link, sender, mark->kind);
+            node_request_list (node, link, sender, mark->kind);
           break;
         case SNAPSHOT_ROUTES:
         case SNAPSHOT_SERVERS:
@@ -87,10 +87,10 @@
 }
 
 static void
-node_take_heartbeat (struct Node *node,
-                     uint64_t link,
-                     const char *sender,
-                     const struct Heartbeat *heartbeat)
+node_handle_heartbeat (struct Node *node,
+                       uint64_t link,
+                       const char *sender,
+                       const struct Heartbeat *heartbeat)
 {
   const struct GatewayMessage alive = { .kind = GATEWAY_ALIVE };
   const char *name = heartbeat->status.node;
@@ -108,29 +108,29 @@
                heartbeat->status.peer_address);
   peer_net_know (node->net, name, heartbeat->status.peer_address);
   node_take_set (node, &heartbeat->set);
-  node_take_marks (node, link, sender, heartbeat);
+  node_handle_marks (node, link, sender, heartbeat);
   if (changed)
     node_publish_soon (node);
   if (heartbeat->scope == LOADS_OF_PROCESS && (!reported || !was_live)
       && strcmp (heartbeat->status.zone, node->settings->zone) == 0)
-    node_greet (node, name);
+    node_send_fleet_heartbeat (node, name);
 }
 
 static void
-node_take_list (struct Node *node, uint64_t link, const char *sender, const struct Snapshot *list)
+node_handle_list (struct Node *node, uint64_t link, const char *sender, const struct Snapshot *list)
 {
   if (!peer_table_take_list (node->peers, sender, list, timer_now_ms (node->timers)))
     {
-      node_want (node, link, sender, list->kind);
+      node_request_list (node, link, sender, list->kind);
       return;
     }
-  node_know_addresses (node, list);
+  node_store_addresses (node, list);
   if (list->kind == SNAPSHOT_ZONE)
     node_publish_soon (node);
 }
 
 static void
-node_answer_contacts (struct Node *node, uint64_t link)
+node_send_contacts (struct Node *node, uint64_t link)
 {
   struct GatewayMessage message = { .kind = GATEWAY_SNAPSHOT };
   struct Snapshot *contacts = seeds_contacts (node, node->net);
@@ -143,19 +143,20 @@
 }
 
 static void
-node_answer_want (struct Node *node, uint64_t link, enum SnapshotKind kind)
+node_handle_snapshot_want (struct Node *node, uint64_t link, enum SnapshotKind kind)
 {
   struct GatewayMessage message = { .kind = GATEWAY_SNAPSHOT };
   struct Snapshot *list = peer_table_published (node->peers, kind);
 
-  /* The one before has not left yet: another whole list behind it would only make all later.
-   * Whoever still needs it asks again. Guards against lists queued faster than a link of 30 Mbit/s
-   * takes them: of 300 machines that had started together, some had a configuration 6 s late. */
+  /* While earlier data is still queued, another full list would only delay everything behind it; a
+   * peer that still needs it requests it again. When lists were queued faster than a link of 30
+   * Mbit/s sends them, some of 300 instances that started together received their configuration
+   * 6 s late. */
   if (peer_net_queued_bytes (node->net, link) > 0)
     return;
   if (kind == SNAPSHOT_CONTACTS)
     {
-      node_answer_contacts (node, link);
+      node_send_contacts (node, link);
       return;
     }
   if (kind != SNAPSHOT_ZONE && kind != SNAPSHOT_FLEET)
@@ -170,10 +171,10 @@
 }
 
 static void
-node_take_snapshot (struct Node *node,
-                    uint64_t link,
-                    const char *sender,
-                    const struct Snapshot *snapshot)
+node_handle_snapshot (struct Node *node,
+                      uint64_t link,
+                      const char *sender,
+                      const struct Snapshot *snapshot)
 {
   struct GatewayMessage message = { .kind = GATEWAY_SNAPSHOT, .snapshot = *snapshot };
 
@@ -181,7 +182,7 @@
     {
     case SNAPSHOT_ZONE:
     case SNAPSHOT_FLEET:
-      node_take_list (node, link, sender, snapshot);
+      node_handle_list (node, link, sender, snapshot);
       break;
     case SNAPSHOT_CONTACTS:
       if (node->seeds != NULL)
@@ -205,17 +206,17 @@
 }
 
 static void
-node_deliver (struct Node *node,
-              uint64_t link,
-              const char *sender,
-              const struct GatewayMessage *message)
+node_dispatch (struct Node *node,
+               uint64_t link,
+               const char *sender,
+               const struct GatewayMessage *message)
 {
   const struct GatewayMessage alive = { .kind = GATEWAY_ALIVE };
 
   switch (message->kind)
     {
     case GATEWAY_HEARTBEAT:
-      node_take_heartbeat (node, link, sender, &message->heartbeat);
+      node_handle_heartbeat (node, link, sender, &message->heartbeat);
       break;
     case GATEWAY_PROBE:
       node_answer (node, link, &alive);
@@ -223,10 +224,10 @@
     case GATEWAY_ALIVE:
       break;
     case GATEWAY_SNAPSHOT:
-      node_take_snapshot (node, link, sender, &message->snapshot);
+      node_handle_snapshot (node, link, sender, &message->snapshot);
       break;
     case GATEWAY_SNAPSHOT_WANT:
-      node_answer_want (node, link, message->snapshot_want);
+      node_handle_snapshot_want (node, link, message->snapshot_want);
       break;
     case GATEWAY_TURN_OPEN:
     case GATEWAY_TURN_READ:
@@ -280,7 +281,7 @@
       return;
     }
   message_count_add (MESSAGE_RECEIVED, message->kind, envelope->gateway.n_bytes);
-  node_deliver (node, link, sender, message);
+  node_dispatch (node, link, sender, message);
   node_note_received (node, link, sender);
   talloc_free (message);
 }
--- a/gateway/node_report.c
+++ b/gateway/node_report.c
@@ -1,4 +1,4 @@
-/* What a process reports of itself and, as an aggregator, of others. */
+/* Heartbeats and lists: status of this process and, from an aggregator, of other processes. */
 #include "node_internal.h"
 
 #include "zone_servers.h"
@@ -8,12 +8,13 @@
 
 enum
 {
-  /* Changes of lists are gathered for this long: when a fleet starts, or many processes stop, each
-   * aggregator would else draw up and send a list for each of them. */
+  /* Changes of lists are collected for this long. Otherwise each aggregator would build and send a
+   * list for every single process when a fleet starts or many processes stop. */
   PUBLISH_MS = 100
 };
 
-/* What the role says of itself now, with its own loads; belongs to ctx. NULL without memory. */
+/* Returns a heartbeat with the current status and loads of this process, owned by ctx; NULL without
+ * memory. */
 static struct GatewayMessage *
 node_describe (struct Node *node, TALLOC_CTX *ctx)
 {
@@ -40,7 +41,8 @@
   return message;
 }
 
-/* The set of archives is long: it is sent while somebody who gets it may not know it. */
+/* Returns whether some peer may lack the current set of archives, which is too long to be sent in
+ * every heartbeat. */
 static bool
 node_must_send_set (const struct Node *node)
 {
@@ -53,7 +55,7 @@
 }
 
 static void
-heartbeat_add_list (struct Node *node, struct Heartbeat *heartbeat, enum SnapshotKind kind)
+heartbeat_add_mark (struct Node *node, struct Heartbeat *heartbeat, enum SnapshotKind kind)
 {
   const struct Snapshot *list = peer_table_published (node->peers, kind);
   struct StateMark *mark = &heartbeat->marks[heartbeat->n_marks];
@@ -66,7 +68,7 @@
   heartbeat->n_marks++;
 }
 
-/* What receivers of that scope get: own is what the role says of itself. */
+/* Returns the heartbeat for receivers of that scope, a child of own. */
 static struct GatewayMessage *
 node_heartbeat (struct Node *node, const struct GatewayMessage *own, enum LoadScope scope)
 {
@@ -85,10 +87,10 @@
     case LOADS_OF_PROCESS:
       return message;
     case LOADS_OF_ZONE:
-      heartbeat_add_list (node, heartbeat, SNAPSHOT_ZONE);
+      heartbeat_add_mark (node, heartbeat, SNAPSHOT_ZONE);
       break;
     case LOADS_OF_FLEET:
-      heartbeat_add_list (node, heartbeat, SNAPSHOT_FLEET);
+      heartbeat_add_mark (node, heartbeat, SNAPSHOT_FLEET);
       break;
     }
   heartbeat->loads = peer_table_loads (node->peers, message, &own->heartbeat, scope,
@@ -96,9 +98,9 @@
   return message;
 }
 
-/* Its own aggregators get a report of this process; those of other zones and the members of this
- * one get one of the zone if it aggregates. Without members to serve no sums for them are drawn up.
- */
+/* Sends the heartbeat of this process to the aggregators of its zone. An aggregator also sends the
+ * zone's heartbeat to the aggregators of other zones, and the fleet's heartbeat to its members; the
+ * latter and its sums are only built while there are members to serve. */
 static void
 node_send_heartbeats (struct Node *node, const struct GatewayMessage *own, bool serves)
 {
@@ -138,7 +140,7 @@
     }
 }
 
-/* Draws up the lists and sends what has changed in them. */
+/* Rebuilds the lists and sends their changes. */
 static void
 node_publish (struct Node *node)
 {
@@ -166,7 +168,7 @@
 }
 
 static bool
-node_aggregates (const struct Node *node)
+node_acts_as_aggregator (const struct Node *node)
 {
   const struct PeerTable *table = node->peers;
   int64_t now_ms = timer_now_ms (node->timers);
@@ -184,16 +186,16 @@
 {
   struct Node *node = data;
 
-  node->publishing = NULL;
-  if (node_aggregates (node))
+  node->publish_timer = NULL;
+  if (node_acts_as_aggregator (node))
     node_publish (node);
 }
 
 void
 node_publish_soon (struct Node *node)
 {
-  if (node->publishing == NULL)
-    node->publishing =
+  if (node->publish_timer == NULL)
+    node->publish_timer =
         timer_subscribe (node->net, node->timers, PUBLISH_MS, 0, node_on_publish, node);
 }
 
@@ -209,7 +211,7 @@
 }
 
 void
-node_greet (struct Node *node, const char *name)
+node_send_fleet_heartbeat (struct Node *node, const char *name)
 {
   node_send_heartbeat (node, name, LOADS_OF_FLEET);
 }
@@ -229,7 +231,7 @@
 
   if (own == NULL)
     return;
-  serves = node_aggregates (node);
+  serves = node_acts_as_aggregator (node);
   if (serves)
     node_publish (node);
   zone_servers_refresh (node->reader);
--- a/gateway/node_send.c
+++ b/gateway/node_send.c
@@ -1,4 +1,4 @@
-/* Who gets a message, and over which link. */
+/* Selects the receivers of a message and the links to them. */
 #include "node_internal.h"
 
 #include "relay.h"
@@ -26,9 +26,9 @@
   return error;
 }
 
-/* Whether the receiver answers over the same link, at once. */
+/* Returns whether the receiver replies over the same link, at once. */
 static bool
-message_is_question (enum GatewayKind kind)
+message_expects_reply (enum GatewayKind kind)
 {
   switch (kind)
     {
@@ -57,11 +57,11 @@
 }
 
 static void
-node_note_asked (struct Node *node, const char *name, enum GatewayKind kind)
+node_note_request (struct Node *node, const char *name, enum GatewayKind kind)
 {
   struct Peer *peer = node_peer (node, name);
 
-  if (peer != NULL && message_is_question (kind))
+  if (peer != NULL && message_expects_reply (kind))
     peer_note_asked (peer, timer_now_ms (node->timers));
 }
 
@@ -70,7 +70,7 @@
 {
   uint64_t link = peer_net_link_to (node->net, peer);
 
-  node_note_asked (node, peer, message->kind);
+  node_note_request (node, peer, message->kind);
   return link != PEER_LINK_NONE ? node_answer (node, link, message) : ERROR_UNREACHABLE;
 }
 
@@ -109,7 +109,7 @@
 {
   uint64_t link = peer_net_link_to (node->net, name);
 
-  node_note_asked (node, name, kind);
+  node_note_request (node, name, kind);
   if (link != PEER_LINK_NONE && peer_net_send (node->net, link, envelope) == ERROR_NONE)
     message_count_add (MESSAGE_SENT, kind, envelope->gateway.n_bytes);
 }
