--- a/core/membership/peer_aggregators.c
+++ b/core/membership/peer_aggregators.c
@@ -1,4 +1,4 @@
-/* Who aggregates a zone, and whom this process serves as one that does. */
+/* Which processes aggregate a zone, and which members an aggregator serves. */
 #include "peer_table_internal.h"
 
 #include <string.h>
@@ -10,7 +10,7 @@
   size_t n;
 };
 
-/* Keeps the lowest ranks. */
+/* Adds a candidate; the lowest ranks are kept. */
 static void
 choice_offer (struct AggregatorChoice *choice, const char *name, uint64_t rank)
 {
@@ -35,7 +35,8 @@
 peer_may_aggregate (const struct PeerTable *table, const struct Peer *peer, int64_t now_ms)
 {
   if (peer->status.leaving
-      || (peer->asked_ms > 0 && now_ms - peer->asked_ms >= PEER_TABLE_SILENT_MS))
+      || (peer->unanswered_since_ms > 0
+          && now_ms - peer->unanswered_since_ms >= PEER_TABLE_SILENT_MS))
     return false;
   return peer_table_is_live (table, peer, now_ms)
          || (now_ms - peer->known_ms < PEER_TABLE_NEW_MS && !peer_is_refused (peer, now_ms));
@@ -60,14 +61,15 @@
   return choice;
 }
 
-/* Those of a silent zone who probably aggregate it, by the order in which they did when they were
- * last received from; in every other second two others, in turn, in case they are gone for good. */
+/* Chooses the likely aggregators of a zone that is silent, by rank among the members that became
+ * unreachable together. Every other second it chooses two pseudo-random members instead, in case
+ * the likely ones have failed for good. */
 static struct AggregatorChoice
-choose_lost (const struct PeerTable *table, const char *zone, int64_t now_ms)
+choose_unreachable (const struct PeerTable *table, const char *zone, int64_t now_ms)
 {
   struct AggregatorChoice choice = { .n = 0 };
-  uint64_t turn = (uint64_t)now_ms / 1000;
-  uint64_t mixed = turn % 2 != 0 ? turn * 0x9e3779b97f4a7c15ULL : 0;
+  uint64_t second = (uint64_t)now_ms / 1000;
+  uint64_t mask = second % 2 != 0 ? second * 0x9e3779b97f4a7c15ULL : 0;
   int64_t last_ms = 0;
 
   for (size_t i = 0; i < table->n_peers; i++)
@@ -80,7 +82,7 @@
 
       if (!peer->status.is_archive && strcmp (peer->status.zone, zone) == 0
           && last_ms - peer_seen_ms (table, peer) < PEER_TABLE_TOGETHER_MS)
-        choice_offer (&choice, peer->status.node, peer->rank ^ mixed);
+        choice_offer (&choice, peer->status.node, peer->rank ^ mask);
     }
   return choice;
 }
@@ -93,11 +95,11 @@
 {
   struct AggregatorChoice choice = choose_aggregators (table, zone, false, now_ms);
 
-  /* Disks are few and busy: archives aggregate where there is nobody else. */
+  /* Archives are few and busy with their disks: they aggregate only in zones without gateways. */
   if (choice.n == 0)
     choice = choose_aggregators (table, zone, true, now_ms);
   if (choice.n == 0)
-    choice = choose_lost (table, zone, now_ms);
+    choice = choose_unreachable (table, zone, now_ms);
   for (size_t i = 0; i < choice.n; i++)
     names[i] = choice.names[i];
   return choice.n;
@@ -211,8 +213,8 @@
 {
   if (strcmp (peer->status.zone, table->own.zone) != 0)
     return false;
-  /* Also to those that fell silent: a process that has started again while the store is away learns
-   * from this who is there. */
+  /* Silent members are served as well: a process that restarts during an outage of the store
+   * receives its list of processes this way. */
   return (aggregates && now_ms - peer_seen_ms (table, peer) < PEER_TABLE_CALL_MS)
          || (peer->reported_ms > 0 && now_ms - peer->reported_ms < PEER_TABLE_LIVE_MS);
 }
--- a/core/membership/peer_lists.c
+++ b/core/membership/peer_lists.c
@@ -1,4 +1,4 @@
-/* What an aggregator passes on: lists and loads. */
+/* Lists and loads that an aggregator sends. */
 #include "peer_table_internal.h"
 
 #include <buckthornhead/snapshot_changes.h>
@@ -37,7 +37,7 @@
     list_add (list, table->own.node, packed, n_bytes);
 }
 
-/* A member of the own zone that reports to this process. */
+/* Returns whether the peer is a member of the own zone that sends heartbeats to this process. */
 static bool
 peer_is_member (const struct PeerTable *table, const struct Peer *peer, int64_t now_ms)
 {
@@ -45,20 +45,17 @@
          && now_ms - peer->status_ms < PEER_TABLE_LIVE_MS && !peer_is_refused (peer, now_ms);
 }
 
-/* A live aggregator of its zone lists it. */
+/* Returns whether the peer is a member of another zone that a live aggregator lists. */
 static bool
-peer_is_foreign (const struct PeerTable *table, const struct Peer *peer, int64_t now_ms)
+peer_is_other_zone_member (const struct PeerTable *table, const struct Peer *peer, int64_t now_ms)
 {
   return strcmp (peer->status.zone, table->own.zone) != 0
          && peer_is_listed (table, peer, SNAPSHOT_ZONE, now_ms);
 }
 
-/* The list of kind as of now; its values are the peers'. */
+/* Builds the current list of kind; its values are owned by the peers. */
 static struct Snapshot *
-list_draw_up (const struct PeerTable *table,
-              TALLOC_CTX *ctx,
-              enum SnapshotKind kind,
-              int64_t now_ms)
+list_build (const struct PeerTable *table, TALLOC_CTX *ctx, enum SnapshotKind kind, int64_t now_ms)
 {
   struct Snapshot *list = talloc_zero (ctx, struct Snapshot);
 
@@ -74,7 +71,7 @@
   list_add_own (list, table);
   for (size_t i = 0; i < table->n_peers; i++)
     if (peer_is_member (table, table->peers[i], now_ms)
-        || (kind == SNAPSHOT_FLEET && peer_is_foreign (table, table->peers[i], now_ms)))
+        || (kind == SNAPSHOT_FLEET && peer_is_other_zone_member (table, table->peers[i], now_ms)))
       list_add_peer (list, table->peers[i]);
   snapshot_sort_items (list->items, list->n_items);
   list->content = snapshot_content (list->items, list->n_items);
@@ -88,7 +85,7 @@
                     int64_t now_ms)
 {
   struct Snapshot *before = table->published[kind];
-  struct Snapshot *list = list_draw_up (table, ctx, kind, now_ms), *changes, *copy;
+  struct Snapshot *list = list_build (table, ctx, kind, now_ms), *changes, *copy;
 
   if (list == NULL || (before != NULL && before->content == list->content))
     {
@@ -105,7 +102,7 @@
       return NULL;
     }
   table->published[kind] = copy;
-  /* What is sent may still point to values of the list before. */
+  /* The result may still point to values of the previous list. */
   talloc_steal (changes != NULL ? changes : list, before);
   if (changes == NULL)
     return list;
@@ -143,8 +140,7 @@
     }
 }
 
-/* The aggregators of one zone report nearly the same of it: one of them counts, the last one
- * received. */
+/* The aggregators of a zone send nearly the same loads. Only the last one received is counted. */
 static const struct PeerListSource *
 zone_source (const struct PeerTable *table, const char *zone, int64_t now_ms)
 {
--- a/core/membership/peer_table.c
+++ b/core/membership/peer_table.c
@@ -49,7 +49,7 @@
 static void
 peer_set_status (struct Peer *peer, const struct NodeStatus *status)
 {
-  /* The name is the key of the table; it does not change. */
+  /* by_name points to the name, which is the same in every status of the peer. */
   peer->status = *status;
   TALLOC_FREE (peer->packed);
 }
@@ -89,10 +89,10 @@
 }
 
 static void
-loads_take (TALLOC_CTX *ctx,
-            struct ReplicaLoad **loads,
-            size_t *n_loads,
-            const struct Heartbeat *heartbeat)
+loads_replace (TALLOC_CTX *ctx,
+               struct ReplicaLoad **loads,
+               size_t *n_loads,
+               const struct Heartbeat *heartbeat)
 {
   talloc_free (*loads);
   *loads = talloc_memdup (ctx, heartbeat->loads, heartbeat->n_loads * sizeof *heartbeat->loads);
@@ -109,16 +109,16 @@
 }
 
 static void
-peer_table_take_loads (struct PeerTable *table,
-                       struct Peer *peer,
-                       const struct Heartbeat *heartbeat)
+peer_table_store_loads (struct PeerTable *table,
+                        struct Peer *peer,
+                        const struct Heartbeat *heartbeat)
 {
   struct PeerListSource *source;
 
   switch (heartbeat->scope)
     {
     case LOADS_OF_PROCESS:
-      loads_take (peer, &peer->loads, &peer->n_loads, heartbeat);
+      loads_replace (peer, &peer->loads, &peer->n_loads, heartbeat);
       return;
     case LOADS_OF_ZONE:
       source = source_find (table, peer->status.node, SNAPSHOT_ZONE);
@@ -130,7 +130,7 @@
       return;
     }
   if (source != NULL)
-    loads_take (table, &source->loads, &source->n_loads, heartbeat);
+    loads_replace (table, &source->loads, &source->n_loads, heartbeat);
 }
 
 void
@@ -143,8 +143,8 @@
 void
 peer_note_asked (struct Peer *peer, int64_t now_ms)
 {
-  if (peer->asked_ms == 0)
-    peer->asked_ms = now_ms;
+  if (peer->unanswered_since_ms == 0)
+    peer->unanswered_since_ms = now_ms;
 }
 
 struct Peer *
@@ -172,7 +172,7 @@
   if (heartbeat->scope == LOADS_OF_PROCESS)
     peer->reported_ms = now_ms;
   peer->server_level = heartbeat->server_level;
-  peer_table_take_loads (table, peer, heartbeat);
+  peer_table_store_loads (table, peer, heartbeat);
   return peer;
 }
 
@@ -196,7 +196,7 @@
                 enum SnapshotKind kind,
                 int64_t now_ms)
 {
-  for (uint64_t listed = peer->listed; listed != 0; listed &= listed - 1)
+  for (uint64_t listed = peer->listed_by; listed != 0; listed &= listed - 1)
     {
       const struct PeerListSource *source = &table->sources[__builtin_ctzll (listed)];
 
@@ -216,7 +216,7 @@
          || peer_is_listed (table, peer, SNAPSHOT_ZONE, now_ms);
 }
 
-/* How long an archive may be silent over its link before it is probed. */
+/* Returns how long an archive's link may be silent before the archive is probed. */
 static int64_t
 peer_table_probe_after_ms (const struct PeerTable *table,
                            const struct Peer *peer,
@@ -240,7 +240,7 @@
 {
   if (now_ms - peer->probed_ms < PEER_TABLE_PROBE_AFTER_MS)
     return false;
-  if (peer->asked_ms > 0)
+  if (peer->unanswered_since_ms > 0)
     return is_asked || peer_table_is_live (table, peer, now_ms);
   return is_asked && peer->status.is_archive
          && now_ms - peer->link_received_ms
@@ -263,7 +263,7 @@
 
   if (peer->listed_ms > seen_ms)
     seen_ms = peer->listed_ms;
-  for (uint64_t listed = peer->listed; listed != 0; listed &= listed - 1)
+  for (uint64_t listed = peer->listed_by; listed != 0; listed &= listed - 1)
     {
       int64_t received_ms = table->sources[__builtin_ctzll (listed)].received_ms;
 
@@ -303,7 +303,7 @@
   }
 }
 
-/* Lists of aggregators. */
+/* Lists from aggregators. */
 
 static void
 source_clear_bits (struct PeerTable *table, const struct PeerListSource *source, int64_t now_ms)
@@ -311,16 +311,19 @@
   uint64_t bit = 1ULL << (source - table->sources);
 
   for (size_t i = 0; i < table->n_peers; i++)
-    if ((table->peers[i]->listed & bit) != 0)
+    if ((table->peers[i]->listed_by & bit) != 0)
       {
-        table->peers[i]->listed &= ~bit;
+        table->peers[i]->listed_by &= ~bit;
         table->peers[i]->listed_ms = now_ms;
       }
 }
 
-/* A new source takes the place of the one that was silent for longest. */
+/* A new source replaces the one that has been silent for longest. */
 static struct PeerListSource *
-source_need (struct PeerTable *table, const char *node, enum SnapshotKind kind, int64_t now_ms)
+source_find_or_add (struct PeerTable *table,
+                    const char *node,
+                    enum SnapshotKind kind,
+                    int64_t now_ms)
 {
   struct PeerListSource *source = source_find (table, node, kind);
 
@@ -339,22 +342,23 @@
   return source;
 }
 
-/* Whether what a list says of the peer replaces what is known. Starts have no order, since clocks
- * step: a list with another start is taken, unless the process itself has reported. */
+/* Returns whether the status in a list replaces the current one. Start numbers come from clocks,
+ * which can step back, so they have no order: a status with another start replaces the current one
+ * unless the process itself has sent a heartbeat recently. */
 static bool
-status_is_news (const struct Peer *peer, const struct NodeStatus *status, int64_t now_ms)
+status_is_newer (const struct Peer *peer, const struct NodeStatus *status, int64_t now_ms)
 {
   if (peer->status.start == status->start)
     return status->version > peer->status.version;
   return peer->status_ms == 0 || now_ms - peer->status_ms >= PEER_TABLE_LIVE_MS;
 }
 
-/* False for an item that can not be read. */
+/* Returns false if the item is malformed, or without memory. */
 static bool
-source_take_item (struct PeerTable *table,
-                  const struct PeerListSource *source,
-                  const struct SnapshotItem *item,
-                  int64_t now_ms)
+source_apply_item (struct PeerTable *table,
+                   const struct PeerListSource *source,
+                   const struct SnapshotItem *item,
+                   int64_t now_ms)
 {
   uint64_t bit = 1ULL << (source - table->sources);
   struct Peer *peer = peer_table_find (table, item->key);
@@ -364,7 +368,7 @@
     {
       if (peer != NULL)
         {
-          peer->listed &= ~bit;
+          peer->listed_by &= ~bit;
           peer->listed_ms = now_ms;
         }
       return true;
@@ -376,14 +380,14 @@
     return false;
   if (peer == NULL)
     peer = peer_table_add (table, &status, now_ms);
-  else if (status_is_news (peer, &status, now_ms))
+  else if (status_is_newer (peer, &status, now_ms))
     peer_set_status (peer, &status);
   if (peer == NULL)
     return false;
-  /* It is there again for somebody: it gets another chance from this process. */
-  if ((peer->listed & bit) == 0)
-    peer->asked_ms = 0;
-  peer->listed |= bit;
+  /* Another process receives from it again, so this one uses it again as well. */
+  if ((peer->listed_by & bit) == 0)
+    peer->unanswered_since_ms = 0;
+  peer->listed_by |= bit;
   return true;
 }
 
@@ -393,7 +397,7 @@
                       const struct Snapshot *snapshot,
                       int64_t now_ms)
 {
-  struct PeerListSource *source = source_need (table, aggregator, snapshot->kind, now_ms);
+  struct PeerListSource *source = source_find_or_add (table, aggregator, snapshot->kind, now_ms);
 
   if (snapshot->base != 0 && (!source->has_list || source->content != snapshot->base))
     return source->has_list && source->content == snapshot->content;
@@ -402,9 +406,9 @@
   source->has_list = true;
   source->content = snapshot->content;
   source->received_ms = now_ms;
-  /* A list of which a part is missing is not the one that its aggregator speaks of. */
+  /* An incomplete list does not match the content that its aggregator refers to. */
   for (size_t i = 0; i < snapshot->n_items; i++)
-    if (!source_take_item (table, source, &snapshot->items[i], now_ms))
+    if (!source_apply_item (table, source, &snapshot->items[i], now_ms))
       source->has_list = false;
   return source->has_list;
 }
--- a/gateway/node.c
+++ b/gateway/node.c
@@ -81,8 +81,8 @@
 bool
 node_peer_answers (const struct Node *node, const struct Peer *peer)
 {
-  return (peer->asked_ms == 0
-          || timer_now_ms (node->timers) - peer->asked_ms < PEER_RESPONSE_MS)
+  return (peer->unanswered_since_ms == 0
+          || timer_now_ms (node->timers) - peer->unanswered_since_ms < PEER_RESPONSE_MS)
          && node_peer_is_live (node, peer);
 }
 
@@ -192,11 +192,11 @@
 {
   const char *name = peer->status.node;
 
-  if (peer->asked_ms == 0 || now_ms - peer->asked_ms < LINK_TIMEOUT_MS
+  if (peer->unanswered_since_ms == 0 || now_ms - peer->unanswered_since_ms < LINK_TIMEOUT_MS
       || now_ms - peer->link_received_ms < LINK_TIMEOUT_MS || !peer_net_has_link (node->net, name))
     return;
   log_event (LOG_LEVEL_WARNING, "peer_link_silent", NULL, NULL, "%s: no reply for %lld ms", name,
-             (long long)(now_ms - peer->asked_ms));
+             (long long)(now_ms - peer->unanswered_since_ms));
   peer->link_received_ms = now_ms;
   peer_net_drop (node->net, name);
 }
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -45,9 +45,9 @@
   struct Peer *peer = node_peer (node, sender);
   int64_t now_ms = timer_now_ms (node->timers);
 
-  if (peer == NULL || now_ms - peer->wanted_ms < REQUEST_INTERVAL_MS)
+  if (peer == NULL || now_ms - peer->list_requested_ms < REQUEST_INTERVAL_MS)
     return;
-  peer->wanted_ms = now_ms;
+  peer->list_requested_ms = now_ms;
   node_answer (node, link, &want);
 }
 
@@ -261,7 +261,7 @@
   if (!peer_net_is_dialled (node->net, link))
     return;
   peer->link_received_ms = now_ms;
-  peer->asked_ms = 0;
+  peer->unanswered_since_ms = 0;
 }
 
 void
--- a/tests/test_peer_table.c
+++ b/tests/test_peer_table.c
@@ -33,9 +33,9 @@
   return table;
 }
 
-/* A member's report as its aggregator gets it. */
+/* Delivers a heartbeat from node to table. */
 static struct Peer *
-hear (
+receive_heartbeat (
     struct PeerTable *table, const char *node, const char *zone, enum LoadScope scope, int64_t now)
 {
   struct Heartbeat heartbeat = { .status = status_of (node, zone), .scope = scope };
@@ -44,9 +44,9 @@
   return peer_table_take_heartbeat (table, &heartbeat, now, &changed);
 }
 
-/* What from publishes reaches to; false when the changes did not fit. */
+/* Publishes from's list and delivers it to to. Returns false if to needs the full list. */
 static bool
-pass_list (struct PeerTable *from, struct PeerTable *to, enum SnapshotKind kind, int64_t now)
+send_list (struct PeerTable *from, struct PeerTable *to, enum SnapshotKind kind, int64_t now)
 {
   struct Snapshot *list = peer_table_publish (from, from, kind, now);
   struct StateMark mark = { .kind = kind };
@@ -70,28 +70,28 @@
   return peer != NULL && peer_table_is_live (table, peer, now);
 }
 
-/* Callers are sent to a gateway that died: each of the two aggregators of its zone lists it because
- * the other one does. A list of the fleet holds of the own zone only what was heard from the
- * process itself, so that it goes from both. */
+/* Guards against callers being sent to a failed gateway that its zone's two aggregators keep
+ * listing for each other. For its own zone, an aggregator only lists processes that sent it
+ * heartbeats, so the gateway disappears from both lists. */
 static void
-test_two_aggregators_do_not_keep_a_dead_process_alive (void)
+test_two_aggregators_do_not_keep_a_failed_process_live (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *a = table_of (ctx, "a", "z"), *b = table_of (ctx, "b", "z");
-  int64_t now = START_MS, died_ms = START_MS + 2000;
+  int64_t now = START_MS, failed_ms = START_MS + 2000;
 
-  for (; now < died_ms + 10000; now += HALF_SECOND_MS)
+  for (; now < failed_ms + 10000; now += HALF_SECOND_MS)
     {
-      if (now < died_ms)
+      if (now < failed_ms)
         {
-          hear (a, "m", "z", LOADS_OF_PROCESS, now);
-          hear (b, "m", "z", LOADS_OF_PROCESS, now);
+          receive_heartbeat (a, "m", "z", LOADS_OF_PROCESS, now);
+          receive_heartbeat (b, "m", "z", LOADS_OF_PROCESS, now);
         }
-      hear (a, "b", "z", LOADS_OF_FLEET, now);
-      hear (b, "a", "z", LOADS_OF_FLEET, now);
-      if (!pass_list (a, b, SNAPSHOT_FLEET, now) || !pass_list (b, a, SNAPSHOT_FLEET, now))
-        CU_FAIL ("a list did not fit");
-      if (now == died_ms)
+      receive_heartbeat (a, "b", "z", LOADS_OF_FLEET, now);
+      receive_heartbeat (b, "a", "z", LOADS_OF_FLEET, now);
+      if (!send_list (a, b, SNAPSHOT_FLEET, now) || !send_list (b, a, SNAPSHOT_FLEET, now))
+        CU_FAIL ("a list was rejected");
+      if (now == failed_ms)
         CU_ASSERT_TRUE (is_live (a, "m", now));
     }
   CU_ASSERT_FALSE (is_live (a, "m", now));
@@ -100,10 +100,10 @@
   talloc_free (ctx);
 }
 
-/* Both aggregators of a zone lose power. Their members have nobody who tells them of others until
- * they have found and reported to the next two: nobody else may be taken for dead meanwhile. */
+/* Both aggregators of a zone lose power, and the members receive no lists until they have reported
+ * to the next two. Guards against other members seeming to have failed in the meantime. */
 static void
-test_nobody_seems_dead_while_the_next_aggregators_take_over (void)
+test_members_stay_live_during_an_aggregator_failover (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *first = table_of (ctx, "first", "z"), *second = table_of (ctx, "second", "z");
@@ -112,51 +112,51 @@
   int64_t now = START_MS, lost_ms;
   size_t n;
 
-  hear (first, "other", "z", LOADS_OF_PROCESS, now);
-  hear (member, "first", "z", LOADS_OF_FLEET, now);
-  CU_ASSERT_TRUE (pass_list (first, member, SNAPSHOT_FLEET, now));
+  receive_heartbeat (first, "other", "z", LOADS_OF_PROCESS, now);
+  receive_heartbeat (member, "first", "z", LOADS_OF_FLEET, now);
+  CU_ASSERT_TRUE (send_list (first, member, SNAPSHOT_FLEET, now));
   lost_ms = now;
-  /* Two seconds: silence is noticed after 1.6 s, the next heartbeat reports to the successor. */
+  /* Silence is detected after 1.6 s; the next heartbeat reports to the successor within 2.2 s. */
   for (; now < lost_ms + 2200; now += 100)
     CU_ASSERT_TRUE (is_live (member, "other", now));
   n = peer_table_aggregators (member, "z", now, names);
   for (size_t i = 0; i < n; i++)
     CU_ASSERT_STRING_NOT_EQUAL (names[i], "first");
-  hear (second, "other", "z", LOADS_OF_PROCESS, now);
-  CU_ASSERT_TRUE (pass_list (second, member, SNAPSHOT_FLEET, now));
+  receive_heartbeat (second, "other", "z", LOADS_OF_PROCESS, now);
+  CU_ASSERT_TRUE (send_list (second, member, SNAPSHOT_FLEET, now));
   now = lost_ms + PEER_TABLE_SOURCE_LIVE_MS + 100;
   CU_ASSERT_TRUE (is_live (member, "other", now));
   CU_ASSERT_FALSE (is_live (member, "first", now));
   talloc_free (ctx);
 }
 
-/* A process that was killed refuses connections at once; it is out before its silence is noticed,
- * and in again as soon as it is heard. */
+/* The instance of a killed process refuses connections at once. The process must count as failed
+ * before its silence is detected, and as live again with its next heartbeat. */
 static void
-test_a_refused_process_is_out_at_once (void)
+test_a_refused_connection_marks_a_peer_down_at_once (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *table = table_of (ctx, "a", "z");
-  struct Peer *peer = hear (table, "m", "z", LOADS_OF_PROCESS, START_MS);
+  struct Peer *peer = receive_heartbeat (table, "m", "z", LOADS_OF_PROCESS, START_MS);
 
   CU_ASSERT_TRUE (is_live (table, "m", START_MS + 100));
   peer->refused_ms = START_MS + 150;
   CU_ASSERT_FALSE (is_live (table, "m", START_MS + 200));
-  hear (table, "m", "z", LOADS_OF_PROCESS, START_MS + 400);
+  receive_heartbeat (table, "m", "z", LOADS_OF_PROCESS, START_MS + 400);
   CU_ASSERT_TRUE (is_live (table, "m", START_MS + 400));
   talloc_free (ctx);
 }
 
 static uint64_t
-config_seen (struct PeerTable *table, const char *name)
+config_version_of (struct PeerTable *table, const char *name)
 {
   return peer_table_find (table, name)->status.config_version;
 }
 
-/* A member is told of a gateway's new configuration by one aggregator, and then gets the list of
- * the other, which has not heard of it yet: what it knows does not go back. */
+/* A member receives a gateway's new configuration version from one aggregator, and then the list of
+ * the other one, which still has the old version. Guards against the member reverting to it. */
 static void
-test_a_list_that_is_behind_undoes_nothing (void)
+test_an_outdated_list_does_not_revert_a_status (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *quick = table_of (ctx, "quick", "z"), *late = table_of (ctx, "late", "z");
@@ -168,17 +168,17 @@
   heartbeat.status.version = 2;
   heartbeat.status.config_version = 7;
   peer_table_take_heartbeat (quick, &heartbeat, START_MS, &changed);
-  CU_ASSERT_TRUE (pass_list (quick, member, SNAPSHOT_FLEET, START_MS));
-  CU_ASSERT_EQUAL (config_seen (member, "m"), 7);
-  CU_ASSERT_TRUE (pass_list (late, member, SNAPSHOT_FLEET, START_MS));
-  CU_ASSERT_EQUAL (config_seen (member, "m"), 7);
+  CU_ASSERT_TRUE (send_list (quick, member, SNAPSHOT_FLEET, START_MS));
+  CU_ASSERT_EQUAL (config_version_of (member, "m"), 7);
+  CU_ASSERT_TRUE (send_list (late, member, SNAPSHOT_FLEET, START_MS));
+  CU_ASSERT_EQUAL (config_version_of (member, "m"), 7);
   talloc_free (ctx);
 }
 
-/* A machine's clock was set back while its process was away. The new process numbers its start from
- * that clock; what it says counts all the same. */
+/* An instance's clock is set back while its process restarts, so the new process has a lower start
+ * number. Guards against its status being ignored. */
 static void
-test_a_start_with_a_lower_number_is_believed (void)
+test_a_start_with_a_lower_number_is_accepted (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *aggregator = table_of (ctx, "a", "z"), *member = table_of (ctx, "member", "z");
@@ -189,21 +189,22 @@
   heartbeat.status.start = 500;
   heartbeat.status.version = 40;
   peer_table_take_heartbeat (aggregator, &heartbeat, now, &changed);
-  CU_ASSERT_TRUE (pass_list (aggregator, member, SNAPSHOT_FLEET, now));
+  CU_ASSERT_TRUE (send_list (aggregator, member, SNAPSHOT_FLEET, now));
   heartbeat.status.start = 3;
   heartbeat.status.version = 1;
   heartbeat.status.ready = false;
   now += 300;
   peer_table_take_heartbeat (aggregator, &heartbeat, now, &changed);
   CU_ASSERT_TRUE (changed);
-  CU_ASSERT_TRUE (pass_list (aggregator, member, SNAPSHOT_FLEET, now));
+  CU_ASSERT_TRUE (send_list (aggregator, member, SNAPSHOT_FLEET, now));
   CU_ASSERT_FALSE (peer_table_find (member, "m")->status.ready);
   talloc_free (ctx);
 }
 
-/* Changes that were lost with their link: the next ones do not fit, and the whole is asked for. */
+/* Changes are lost with their link. The next ones are based on a list that the member does not
+ * have, so they must be rejected; the full list must then be accepted. */
 static void
-test_changes_of_another_list_are_not_taken (void)
+test_changes_to_another_list_are_rejected (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *a = table_of (ctx, "a", "z"), *member = table_of (ctx, "member", "z");
@@ -212,13 +213,13 @@
   for (int i = 0; i < 6; i++)
     {
       snprintf (name, sizeof name, "m%d", i);
-      hear (a, name, "z", LOADS_OF_PROCESS, START_MS);
+      receive_heartbeat (a, name, "z", LOADS_OF_PROCESS, START_MS);
     }
-  CU_ASSERT_TRUE (pass_list (a, member, SNAPSHOT_FLEET, START_MS));
-  hear (a, "lost", "z", LOADS_OF_PROCESS, START_MS);
+  CU_ASSERT_TRUE (send_list (a, member, SNAPSHOT_FLEET, START_MS));
+  receive_heartbeat (a, "lost", "z", LOADS_OF_PROCESS, START_MS);
   talloc_free (peer_table_publish (a, ctx, SNAPSHOT_FLEET, START_MS));
-  hear (a, "next", "z", LOADS_OF_PROCESS, START_MS);
-  CU_ASSERT_FALSE (pass_list (a, member, SNAPSHOT_FLEET, START_MS));
+  receive_heartbeat (a, "next", "z", LOADS_OF_PROCESS, START_MS);
+  CU_ASSERT_FALSE (send_list (a, member, SNAPSHOT_FLEET, START_MS));
   CU_ASSERT_TRUE (
       peer_table_take_list (member, "a", peer_table_published (a, SNAPSHOT_FLEET), START_MS));
   CU_ASSERT_TRUE (is_live (member, "lost", START_MS));
@@ -226,10 +227,10 @@
   talloc_free (ctx);
 }
 
-/* A gateway that is about to stop hands over before it is gone; archives aggregate only where there
- * is no gateway. */
+/* A gateway that is about to stop is replaced as an aggregator before it exits. Archives aggregate
+ * only in zones without gateways. */
 static void
-test_who_aggregates (void)
+test_choice_of_aggregators (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *table = table_of (ctx, "a", "z");
@@ -265,11 +266,11 @@
 }
 
 static void
-hear_loads (struct PeerTable *table,
-            const char *node,
-            const char *zone,
-            enum LoadScope scope,
-            uint32_t in_flight)
+receive_loads (struct PeerTable *table,
+               const char *node,
+               const char *zone,
+               enum LoadScope scope,
+               uint32_t in_flight)
 {
   struct ReplicaLoad loads[1] = { { .replica = "desk", .in_flight = in_flight } };
   struct Heartbeat heartbeat = {
@@ -280,8 +281,8 @@
   peer_table_take_heartbeat (table, &heartbeat, START_MS, &changed);
 }
 
-/* Requests on their way to one server through all gateways: each is counted once, though two
- * aggregators of the other zone tell of them. */
+/* Guards against requests in flight to a server being counted twice because both aggregators of
+ * another zone report them. */
 static void
 test_loads_are_counted_once (void)
 {
@@ -293,14 +294,14 @@
   struct ReplicaLoad *loads;
   size_t n;
 
-  hear_loads (a, "m1", "z", LOADS_OF_PROCESS, 3);
-  hear_loads (a, "m2", "z", LOADS_OF_PROCESS, 4);
-  hear (a, "y1", "y", LOADS_OF_ZONE, START_MS);
-  hear (a, "y2", "y", LOADS_OF_ZONE, START_MS);
-  pass_list (y1, a, SNAPSHOT_ZONE, START_MS);
-  pass_list (y2, a, SNAPSHOT_ZONE, START_MS);
-  hear_loads (a, "y1", "y", LOADS_OF_ZONE, 50);
-  hear_loads (a, "y2", "y", LOADS_OF_ZONE, 50);
+  receive_loads (a, "m1", "z", LOADS_OF_PROCESS, 3);
+  receive_loads (a, "m2", "z", LOADS_OF_PROCESS, 4);
+  receive_heartbeat (a, "y1", "y", LOADS_OF_ZONE, START_MS);
+  receive_heartbeat (a, "y2", "y", LOADS_OF_ZONE, START_MS);
+  send_list (y1, a, SNAPSHOT_ZONE, START_MS);
+  send_list (y2, a, SNAPSHOT_ZONE, START_MS);
+  receive_loads (a, "y1", "y", LOADS_OF_ZONE, 50);
+  receive_loads (a, "y2", "y", LOADS_OF_ZONE, 50);
   loads = peer_table_loads (a, ctx, &own, LOADS_OF_ZONE, START_MS, &n);
   CU_ASSERT_EQUAL (load_of (loads, n, "desk"), 9);
   loads = peer_table_loads (a, ctx, &own, LOADS_OF_FLEET, START_MS, &n);
@@ -315,16 +316,16 @@
   ++*(int *)data;
 }
 
-/* Machines that were replaced do not stay in the table for ever. */
+/* Guards against replaced instances staying in the table forever. */
 static void
-test_the_silent_are_forgotten (void)
+test_silent_peers_are_removed (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *table = table_of (ctx, "a", "z");
   int n_forgotten = 0;
 
-  hear (table, "gone", "z", LOADS_OF_PROCESS, START_MS);
-  hear (table, "stays", "z", LOADS_OF_PROCESS, START_MS + PEER_TABLE_FORGET_MS);
+  receive_heartbeat (table, "gone", "z", LOADS_OF_PROCESS, START_MS);
+  receive_heartbeat (table, "stays", "z", LOADS_OF_PROCESS, START_MS + PEER_TABLE_FORGET_MS);
   peer_table_forget_silent (table, START_MS + PEER_TABLE_FORGET_MS, count_forgotten, &n_forgotten);
   CU_ASSERT_EQUAL (n_forgotten, 1);
   CU_ASSERT_PTR_NULL (peer_table_find (table, "gone"));
@@ -332,17 +333,18 @@
   talloc_free (ctx);
 }
 
-/* The gateways of a zone, who tell who lives in it, are cut off from all archives, and nobody else
- * speaks for the archive there. An archive outside the set took it for dead and its place, though
- * it answered every question; when the next disk was lost, too few were left for a second and a
- * half. It asks the others itself, and hears them. */
+/* The gateways of a zone, which report its live processes, are cut off from all archives, so no
+ * process reports the zone's archive as live. Guards against a spare archive assuming it to have
+ * failed and replacing it although it replied to every request: when the next disk was lost, too
+ * few archives were left for 1.5 s. The spare must probe the archive itself and count its replies.
+ */
 static void
-test_an_archive_asks_the_others_itself (void)
+test_an_archive_probes_other_archives_itself (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *spare = table_of (ctx, "spare", "a");
   int64_t now = START_MS;
-  struct Peer *member = hear (spare, "member", "b", LOADS_OF_PROCESS, now);
+  struct Peer *member = receive_heartbeat (spare, "member", "b", LOADS_OF_PROCESS, now);
 
   spare->own.is_archive = true;
   member->status.is_archive = true;
@@ -352,18 +354,19 @@
       CU_ASSERT_TRUE (peer_table_must_probe (spare, member, true, false, now));
       member->probed_ms = now;
       CU_ASSERT_FALSE (peer_table_must_probe (spare, member, true, false, now));
-      /* The answer. */
+      /* The reply. */
       peer_note_received (member, now);
       member->link_received_ms = now;
       CU_ASSERT_TRUE (peer_table_is_live (spare, member, now + HALF_SECOND_MS));
     }
-  /* One that counts for nothing is left alone. */
+  /* An archive that requests don't go to is not probed. */
   CU_ASSERT_FALSE (peer_table_must_probe (spare, member, false, false, now + 2 * HALF_SECOND_MS));
   talloc_free (ctx);
 }
 
-/* A seed that named all processes to each that starts would send 60 MB when a thousand do. Whoever
- * starts needs those that aggregate, and the same ones whatever the fleet's size. */
+/* Guards against a seed that returns all processes to each starting one: 60 MB when a thousand
+ * start. A starting process needs only the aggregators, whose number is the same for any size of
+ * the fleet. */
 static void
 test_contacts_stay_few_in_a_large_fleet (void)
 {
@@ -388,7 +391,7 @@
 
           snprintf (name, sizeof name, "front-%u", i);
           snprintf (zone, sizeof zone, "zone-%u", i % N_ZONES);
-          hear (table, name, zone, LOADS_OF_PROCESS, START_MS);
+          receive_heartbeat (table, name, zone, LOADS_OF_PROCESS, START_MS);
         }
       n = peer_table_contacts (table, START_MS, contacts);
       CU_ASSERT_EQUAL (n, N_ZONES * PEER_TABLE_CONTACTS);
@@ -401,7 +404,8 @@
     }
 }
 
-/* What a fleet of n processes asks of one archive in ten seconds, while it answers all of it. */
+/* Returns the number of probes that one member of a fleet of n processes sends to an archive in ten
+ * seconds, while the archive replies to all of them. */
 static uint32_t
 probes_in_ten_seconds (TALLOC_CTX *ctx, uint32_t n, bool is_listed)
 {
@@ -415,10 +419,10 @@
       char name[32];
 
       snprintf (name, sizeof name, "front-%u", i);
-      hear (member, name, "a", LOADS_OF_PROCESS, now);
+      receive_heartbeat (member, name, "a", LOADS_OF_PROCESS, now);
     }
-  hear (aggregator, "archive", "a", LOADS_OF_PROCESS, now)->status.is_archive = true;
-  CU_ASSERT_TRUE (pass_list (aggregator, member, SNAPSHOT_FLEET, now));
+  receive_heartbeat (aggregator, "archive", "a", LOADS_OF_PROCESS, now)->status.is_archive = true;
+  CU_ASSERT_TRUE (send_list (aggregator, member, SNAPSHOT_FLEET, now));
   archive = peer_table_find (member, "archive");
   archive->status.is_archive = true;
   archive->link_received_ms = now;
@@ -426,8 +430,9 @@
     {
       if (is_listed)
         {
-          hear (aggregator, "archive", "a", LOADS_OF_PROCESS, now)->status.is_archive = true;
-          pass_list (aggregator, member, SNAPSHOT_FLEET, now);
+          receive_heartbeat (aggregator, "archive", "a", LOADS_OF_PROCESS, now)->status.is_archive =
+              true;
+          send_list (aggregator, member, SNAPSHOT_FLEET, now);
         }
       if (!peer_table_must_probe (member, archive, true, false, now))
         continue;
@@ -439,23 +444,24 @@
   return n_probes;
 }
 
-/* Each of a thousand processes probed each archive twice a second, and the archive's machine was
- * busy with that alone. Together they probe no more often the more they are; one that nobody lists
- * any more is looked for as often as in a small fleet. */
+/* Guards against probes overloading an archive's instance, as when each of a thousand processes
+ * probed each archive twice a second. The total rate of probes must not grow with the fleet. An
+ * archive that is on no list any more must be probed as often as in a small fleet. */
 static void
 test_probes_of_an_archive_do_not_grow_with_the_fleet (void)
 {
   static const uint32_t sizes[] = { 1000, 2000 };
   enum
   {
-    ALL_IN_TEN_SECONDS_MAX = 5000
+    TOTAL_IN_TEN_SECONDS_MAX = 5000
   };
 
   for (size_t i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
     {
       TALLOC_CTX *ctx = talloc_new (NULL);
 
-      CU_ASSERT (sizes[i] * probes_in_ten_seconds (ctx, sizes[i], true) <= ALL_IN_TEN_SECONDS_MAX);
+      CU_ASSERT (sizes[i] * probes_in_ten_seconds (ctx, sizes[i], true)
+                 <= TOTAL_IN_TEN_SECONDS_MAX);
       CU_ASSERT (probes_in_ten_seconds (ctx, sizes[i], false) >= 12);
       talloc_free (ctx);
     }
@@ -463,18 +469,19 @@
 
 const char test_suite_name[] = "table";
 const struct TestCase test_cases[] = {
-  { "two aggregators do not keep a dead process alive",
-    test_two_aggregators_do_not_keep_a_dead_process_alive },
-  { "nobody seems dead while the next aggregators take over",
-    test_nobody_seems_dead_while_the_next_aggregators_take_over },
-  { "a refused process is out at once", test_a_refused_process_is_out_at_once },
-  { "a list that is behind undoes nothing", test_a_list_that_is_behind_undoes_nothing },
-  { "a start with a lower number is believed", test_a_start_with_a_lower_number_is_believed },
-  { "changes of another list are not taken", test_changes_of_another_list_are_not_taken },
-  { "who aggregates", test_who_aggregates },
+  { "two aggregators do not keep a failed process live",
+    test_two_aggregators_do_not_keep_a_failed_process_live },
+  { "members stay live during an aggregator failover",
+    test_members_stay_live_during_an_aggregator_failover },
+  { "a refused connection marks a peer down at once",
+    test_a_refused_connection_marks_a_peer_down_at_once },
+  { "an outdated list does not revert a status", test_an_outdated_list_does_not_revert_a_status },
+  { "a start with a lower number is accepted", test_a_start_with_a_lower_number_is_accepted },
+  { "changes to another list are rejected", test_changes_to_another_list_are_rejected },
+  { "choice of aggregators", test_choice_of_aggregators },
   { "loads are counted once", test_loads_are_counted_once },
-  { "the silent are forgotten", test_the_silent_are_forgotten },
-  { "an archive asks the others itself", test_an_archive_asks_the_others_itself },
+  { "silent peers are removed", test_silent_peers_are_removed },
+  { "an archive probes other archives itself", test_an_archive_probes_other_archives_itself },
   { "contacts stay few in a large fleet", test_contacts_stay_few_in_a_large_fleet },
   { "probes of an archive do not grow with the fleet",
     test_probes_of_an_archive_do_not_grow_with_the_fleet },
--- a/tests/test_peer_table_fleet.c
+++ b/tests/test_peer_table_fleet.c
@@ -1,5 +1,5 @@
-/* The table of peers on virtual time: a whole fleet of members in one process, with links that are
- * cut and members that stop, freeze or flap. Prints a table of sizes, times and bytes. */
+/* Simulates the tables of peers of a whole fleet on virtual time in one process, with links that
+ * are cut and members that stop, freeze or flap. Prints a table of sizes, times and bytes. */
 #include "test_main.h"
 
 #include <buckthornhead/peer_table.h>
@@ -10,21 +10,21 @@
 
 enum
 {
-  STEP_MS = 20, /* of virtual time; a message takes one */
+  STEP_MS = 20, /* of virtual time; a message is delivered one step after it was sent */
   HEARTBEAT_MS = 500,
   PUBLISH_MS = 100,
   BEGIN_MS = 1000000,
   MEMBERS_MAX = 1200,
   ZONES_MAX = 22,
-  VIEWERS_MAX = 200,
-  /* What is asked of control: bytes a second of a member that does not aggregate. */
+  SAMPLES_MAX = 200,
+  /* Limit for control traffic: bytes that a member other than an aggregator sends per second. */
   MEMBER_BYTES_S_MAX = 3 * 1024
 };
 
-/* A message on its way; its heartbeat or list belongs to it or is shared with others. */
-struct Letter
+/* A message in transit. The heartbeat or list may be shared with other messages. */
+struct QueuedMessage
 {
-  struct Letter *next;
+  struct QueuedMessage *next;
   uint32_t from, to;
   struct GatewayMessage *message;
 };
@@ -35,9 +35,9 @@
   uint32_t zone_number;
   struct PeerTable *table;
   bool is_up, is_frozen;
-  bool has_nodes; /* it knows the list of processes that the store holds */
+  bool has_nodes; /* it has the store's list of processes */
   uint32_t side;  /* members of different sides do not reach each other */
-  int64_t beat_ms, publish_ms;
+  int64_t heartbeat_ms, publish_ms;
   uint64_t sent_bytes, n_sent;
 };
 
@@ -46,7 +46,7 @@
   struct Member members[MEMBERS_MAX];
   uint32_t n, n_zones;
   int64_t now_ms;
-  struct Letter *first, **last;
+  struct QueuedMessage *first, **last;
 };
 
 static uint32_t
@@ -76,16 +76,16 @@
             struct GatewayMessage *message,
             size_t n_bytes)
 {
-  struct Letter *letter = talloc_zero (fleet, struct Letter);
+  struct QueuedMessage *queued = talloc_zero (fleet, struct QueuedMessage);
   struct Peer *peer = peer_table_find (from->table, fleet->members[to].name);
 
   if (peer != NULL && message->kind == GATEWAY_HEARTBEAT)
     peer_note_asked (peer, fleet->now_ms);
-  letter->from = (uint32_t)(from - fleet->members);
-  letter->to = to;
-  letter->message = talloc_reference (letter, message);
-  *fleet->last = letter;
-  fleet->last = &letter->next;
+  queued->from = (uint32_t)(from - fleet->members);
+  queued->to = to;
+  queued->message = talloc_reference (queued, message);
+  *fleet->last = queued;
+  fleet->last = &queued->next;
   from->sent_bytes += n_bytes;
   from->n_sent++;
 }
@@ -137,7 +137,8 @@
   message->kind = GATEWAY_HEARTBEAT;
   heartbeat->status = m->table->own;
   heartbeat->scope = scope;
-  /* As a real one has of what the store said: configuration, servers, processes, retiring. */
+  /* The marks of the store's snapshots in a real heartbeat: configuration, servers, processes,
+   * retired instances. */
   for (uint32_t i = 0; i < 4; i++)
     heartbeat->marks[heartbeat->n_marks++] =
         (struct StateMark){ SNAPSHOT_ROUTES + i, 123456, 0x123456789abcdef0, 300 };
@@ -158,7 +159,8 @@
       if (list != NULL)
         {
           message->kind = GATEWAY_SNAPSHOT;
-          /* Real ones are packed now; what the list points to may change before it is delivered. */
+          /* A real list is packed at this point. The copy keeps its values from changing before it
+           * is delivered. */
           message->snapshot = *snapshot_copy (message, list);
           if (kind == SNAPSHOT_FLEET)
             send_to_served (fleet, m, message);
@@ -170,7 +172,7 @@
 }
 
 static bool
-member_aggregates (const struct Fleet *fleet, const struct Member *m)
+member_acts_as_aggregator (const struct Fleet *fleet, const struct Member *m)
 {
   if (peer_table_is_aggregator (m->table, fleet->now_ms))
     return true;
@@ -181,12 +183,12 @@
 }
 
 static void
-member_beat (struct Fleet *fleet, struct Member *m)
+member_send_heartbeats (struct Fleet *fleet, struct Member *m)
 {
   struct GatewayMessage *message = heartbeat_of (m, LOADS_OF_PROCESS);
   const struct Peer *silent;
 
-  if (member_aggregates (fleet, m))
+  if (member_acts_as_aggregator (fleet, m))
     member_publish (fleet, m);
   send_to_aggregators (fleet, m, m->zone, message);
   talloc_unlink (NULL, message);
@@ -208,7 +210,7 @@
 }
 
 static void
-member_want (struct Fleet *fleet, struct Member *m, uint32_t from, enum SnapshotKind kind)
+member_request_list (struct Fleet *fleet, struct Member *m, uint32_t from, enum SnapshotKind kind)
 {
   struct GatewayMessage *want = talloc_zero (NULL, struct GatewayMessage);
 
@@ -219,7 +221,7 @@
 }
 
 static void
-member_answer_want (struct Fleet *fleet, struct Member *m, uint32_t to, enum SnapshotKind kind)
+member_send_list (struct Fleet *fleet, struct Member *m, uint32_t to, enum SnapshotKind kind)
 {
   const struct Snapshot *list = peer_table_published (m->table, kind);
   struct GatewayMessage *message;
@@ -240,9 +242,9 @@
     m->publish_ms = fleet->now_ms + PUBLISH_MS;
 }
 
-/* As when the list of processes comes from one that has it. */
+/* Acts as if the list of processes had been received from a peer that has it. */
 static void
-member_learn_all (struct Fleet *fleet, struct Member *m)
+member_add_all (struct Fleet *fleet, struct Member *m)
 {
   m->has_nodes = true;
   for (uint32_t i = 0; i < fleet->n; i++)
@@ -250,10 +252,10 @@
 }
 
 static void
-member_take_heartbeat (struct Fleet *fleet,
-                       struct Member *m,
-                       uint32_t from,
-                       const struct Heartbeat *heartbeat)
+member_handle_heartbeat (struct Fleet *fleet,
+                         struct Member *m,
+                         uint32_t from,
+                         const struct Heartbeat *heartbeat)
 {
   const char *name = fleet->members[from].name;
   const struct Peer *before = peer_table_find (m->table, name);
@@ -262,24 +264,24 @@
 
   peer_table_take_heartbeat (m->table, heartbeat, fleet->now_ms, &changed);
   if (!m->has_nodes && fleet->members[from].has_nodes)
-    member_learn_all (fleet, m);
+    member_add_all (fleet, m);
   for (size_t i = 0; i < heartbeat->n_marks; i++)
     if (heartbeat->marks[i].kind >= SNAPSHOT_ZONE
         && !peer_table_confirm_list (m->table, name, &heartbeat->marks[i], fleet->now_ms))
-      member_want (fleet, m, from, heartbeat->marks[i].kind);
+      member_request_list (fleet, m, from, heartbeat->marks[i].kind);
   if (changed)
     member_publish_soon (fleet, m);
   if (heartbeat->scope == LOADS_OF_PROCESS && !reported)
     {
-      struct GatewayMessage *greeting = heartbeat_of (m, LOADS_OF_FLEET);
+      struct GatewayMessage *reply = heartbeat_of (m, LOADS_OF_FLEET);
 
-      fleet_send (fleet, m, from, greeting, message_bytes (greeting));
-      talloc_unlink (NULL, greeting);
+      fleet_send (fleet, m, from, reply, message_bytes (reply));
+      talloc_unlink (NULL, reply);
     }
 }
 
 static void
-member_take (struct Fleet *fleet, struct Member *m, uint32_t from, struct GatewayMessage *message)
+member_handle (struct Fleet *fleet, struct Member *m, uint32_t from, struct GatewayMessage *message)
 {
   struct GatewayMessage *alive;
   struct Peer *peer;
@@ -287,7 +289,7 @@
   switch (message->kind)
     {
     case GATEWAY_HEARTBEAT:
-      member_take_heartbeat (fleet, m, from, &message->heartbeat);
+      member_handle_heartbeat (fleet, m, from, &message->heartbeat);
       alive = talloc_zero (NULL, struct GatewayMessage);
       alive->kind = GATEWAY_ALIVE;
       fleet_send (fleet, m, from, alive, message_bytes (alive));
@@ -296,12 +298,12 @@
     case GATEWAY_SNAPSHOT:
       if (!peer_table_take_list (m->table, fleet->members[from].name, &message->snapshot,
                                  fleet->now_ms))
-        member_want (fleet, m, from, message->snapshot.kind);
+        member_request_list (fleet, m, from, message->snapshot.kind);
       else if (message->snapshot.kind == SNAPSHOT_ZONE)
         member_publish_soon (fleet, m);
       break;
     case GATEWAY_SNAPSHOT_WANT:
-      member_answer_want (fleet, m, from, message->snapshot_want);
+      member_send_list (fleet, m, from, message->snapshot_want);
       break;
     default:
       break;
@@ -310,7 +312,7 @@
   if (peer == NULL)
     return;
   peer_note_received (peer, fleet->now_ms);
-  peer->asked_ms = 0;
+  peer->unanswered_since_ms = 0;
 }
 
 static void
@@ -328,46 +330,46 @@
   if (m->publish_ms > 0 && m->publish_ms <= fleet->now_ms)
     {
       m->publish_ms = 0;
-      if (member_aggregates (fleet, m))
+      if (member_acts_as_aggregator (fleet, m))
         member_publish (fleet, m);
     }
-  if (m->beat_ms > fleet->now_ms)
+  if (m->heartbeat_ms > fleet->now_ms)
     return;
-  m->beat_ms += HEARTBEAT_MS;
-  if (m->beat_ms <= fleet->now_ms) /* it was frozen */
-    m->beat_ms = fleet->now_ms + HEARTBEAT_MS;
-  member_beat (fleet, m);
+  m->heartbeat_ms += HEARTBEAT_MS;
+  if (m->heartbeat_ms <= fleet->now_ms) /* the member was frozen */
+    m->heartbeat_ms = fleet->now_ms + HEARTBEAT_MS;
+  member_send_heartbeats (fleet, m);
   peer_table_forget_silent (m->table, fleet->now_ms, ignore_forgotten, NULL);
 }
 
 static void
 fleet_step (struct Fleet *fleet)
 {
-  struct Letter *letter = fleet->first;
+  struct QueuedMessage *queued = fleet->first;
 
   fleet->first = NULL;
   fleet->last = &fleet->first;
   fleet->now_ms += STEP_MS;
-  while (letter != NULL)
+  while (queued != NULL)
     {
-      struct Letter *next = letter->next;
-      struct Member *to = &fleet->members[letter->to];
-      const struct Member *from = &fleet->members[letter->from];
+      struct QueuedMessage *next = queued->next;
+      struct Member *to = &fleet->members[queued->to];
+      const struct Member *from = &fleet->members[queued->from];
 
       if (to->is_up && to->is_frozen && from->side == to->side)
         {
-          /* It waits in the receiver's socket. */
-          letter->next = NULL;
-          *fleet->last = letter;
-          fleet->last = &letter->next;
+          /* The message stays in the receiver's socket. */
+          queued->next = NULL;
+          *fleet->last = queued;
+          fleet->last = &queued->next;
         }
       else
         {
           if (to->is_up && from->side == to->side)
-            member_take (fleet, to, letter->from, letter->message);
-          talloc_free (letter);
+            member_handle (fleet, to, queued->from, queued->message);
+          talloc_free (queued);
         }
-      letter = next;
+      queued = next;
     }
   for (uint32_t i = 0; i < fleet->n; i++)
     member_run (fleet, &fleet->members[i]);
@@ -394,11 +396,12 @@
   snprintf (own.caller_address, sizeof own.caller_address, "10.1.0.%u:8000", i);
   peer_table_describe (m->table, &own);
   m->is_up = true;
-  m->beat_ms = fleet->now_ms + i * 7 % 300;
+  m->heartbeat_ms = fleet->now_ms + i * 7 % 300;
   m->publish_ms = 0;
 }
 
-/* All start within 0.3 s. Each knows those that registered in the store before it. */
+/* All members start within 0.3 s. Each one has the members that registered in the store before it.
+ */
 static struct Fleet *
 fleet_new (uint32_t n, uint32_t n_zones)
 {
@@ -424,48 +427,51 @@
 }
 
 static bool
-member_sees (const struct Fleet *fleet, const struct Member *m, uint32_t other)
+member_considers_live (const struct Fleet *fleet, const struct Member *m, uint32_t other)
 {
   const struct Peer *peer = peer_table_find (m->table, fleet->members[other].name);
 
   return peer != NULL && peer_table_is_live (m->table, peer, fleet->now_ms);
 }
 
-/* What all of a large fleet believe is looked at through some of its members, of all zones. */
+/* Returns the step at which members are sampled: in a large fleet, the views of only some members,
+ * of all zones, are checked. */
 static uint32_t
-viewer_step (const struct Fleet *fleet)
+sample_step (const struct Fleet *fleet)
 {
-  return fleet->n <= VIEWERS_MAX ? 1 : fleet->n / VIEWERS_MAX;
+  return fleet->n <= SAMPLES_MAX ? 1 : fleet->n / SAMPLES_MAX;
 }
 
-/* All that are up and on the same side take each other for live, and the others for dead. */
+/* Returns whether all members that are up consider those live that are up on their own side, and no
+ * others. */
 static bool
 fleet_agrees (const struct Fleet *fleet)
 {
-  for (uint32_t i = 0; i < fleet->n; i += viewer_step (fleet))
+  for (uint32_t i = 0; i < fleet->n; i += sample_step (fleet))
     for (uint32_t j = 0; fleet->members[i].is_up && j < fleet->n; j++)
       if (i != j
-          && member_sees (fleet, &fleet->members[i], j)
+          && member_considers_live (fleet, &fleet->members[i], j)
                  != (fleet->members[j].is_up && fleet->members[i].side == fleet->members[j].side))
         return false;
   return true;
 }
 
-/* Pairs of members that are up of which the one takes the other for dead. */
+/* Returns the number of pairs of running members on one side of which the first does not consider
+ * the second live. */
 static uint32_t
-fleet_false_deaths (const struct Fleet *fleet)
+fleet_false_failures (const struct Fleet *fleet)
 {
   uint32_t n = 0;
 
-  for (uint32_t i = 0; i < fleet->n; i += viewer_step (fleet))
+  for (uint32_t i = 0; i < fleet->n; i += sample_step (fleet))
     for (uint32_t j = 0; fleet->members[i].is_up && j < fleet->n; j++)
       n += i != j && fleet->members[j].is_up && !fleet->members[j].is_frozen
            && !fleet->members[i].is_frozen && fleet->members[i].side == fleet->members[j].side
-           && !member_sees (fleet, &fleet->members[i], j);
+           && !member_considers_live (fleet, &fleet->members[i], j);
   return n;
 }
 
-/* Runs until all agree; the time that took, or limit_ms. */
+/* Runs until all views agree. Returns the time that took, or limit_ms. */
 static int64_t
 fleet_run_until_agreed (struct Fleet *fleet, int64_t limit_ms)
 {
@@ -491,7 +497,8 @@
     found[at] = fleet_find (fleet, names[at]);
 }
 
-/* Bytes a second that the member in the middle and the one that sends most send at rest. */
+/* Measures the bytes per second sent at rest by the busiest member and, on average, by a member
+ * that does not aggregate. */
 static void
 fleet_bytes_at_rest (struct Fleet *fleet, double *most, double *member)
 {
@@ -519,14 +526,14 @@
   *member = n_members > 0 ? (double)sum / SECONDS / n_members : 0;
 }
 
-/* A fleet starts; one process dies; both aggregators of a zone die at once. Who is there is known
- * to all within some seconds each time, nobody who lives is taken for dead, and a member sends no
- * more in a large fleet than in a small one. */
+/* A fleet starts, one process fails, and then both aggregators of a zone fail at once. Each time
+ * all views must agree within seconds. No live process may seem to have failed, and a member may
+ * not send more in a large fleet than in a small one. */
 static void
-play_size (uint32_t n, uint32_t n_zones)
+run_size (uint32_t n, uint32_t n_zones)
 {
   struct Fleet *fleet = fleet_new (n, n_zones);
-  int64_t start_ms, death_ms, takeover_ms;
+  int64_t start_ms, failure_ms, takeover_ms;
   uint32_t lost[PEER_TABLE_AGGREGATORS], worst = 0;
   double most, member;
 
@@ -542,21 +549,22 @@
         fleet->members[i].is_up = false;
         break;
       }
-  death_ms = fleet_run_until_agreed (fleet, 20000);
-  CU_ASSERT (death_ms <= 3000);
+  failure_ms = fleet_run_until_agreed (fleet, 20000);
+  CU_ASSERT (failure_ms <= 3000);
   fleet->members[lost[0]].is_up = false;
   fleet->members[lost[1]].is_up = false;
   for (takeover_ms = 0; takeover_ms < 20000 && !fleet_agrees (fleet); takeover_ms += 100)
     {
       fleet_run (fleet, 100);
-      if (fleet_false_deaths (fleet) > worst)
-        worst = fleet_false_deaths (fleet);
+      if (fleet_false_failures (fleet) > worst)
+        worst = fleet_false_failures (fleet);
     }
   CU_ASSERT (takeover_ms <= 6000);
   CU_ASSERT_EQUAL (worst, 0);
-  printf ("\n    %5u members, %2u zones: all know all after %5lld ms, a death %5lld ms, of both "
-          "aggregators %5lld ms; bytes/s sent: %5.0f a member, %6.0f the busiest ",
-          n, n_zones, (long long)start_ms, (long long)death_ms, (long long)takeover_ms, member,
+  printf ("\n    %5u members, %2u zones: views agree %5lld ms after the start, %5lld ms after a "
+          "failure, %5lld ms after that of both aggregators; bytes/s sent: %5.0f per member, %6.0f "
+          "by the busiest ",
+          n, n_zones, (long long)start_ms, (long long)failure_ms, (long long)takeover_ms, member,
           most);
   talloc_free (fleet);
 }
@@ -564,16 +572,16 @@
 static void
 test_sizes (void)
 {
-  play_size (12, 3);
-  play_size (75, 3);
-  play_size (195, 5);
-  play_size (MEMBERS_MAX, ZONES_MAX);
+  run_size (12, 3);
+  run_size (75, 3);
+  run_size (195, 5);
+  run_size (MEMBERS_MAX, ZONES_MAX);
 }
 
-/* Two regions lose each other. Each goes on with those that it reaches; when they are back all know
- * each other, without anyone having read the store. */
+/* Two regions lose their connection. Each one continues with the members that it reaches. After the
+ * partition all views must agree again without a read of the store. */
 static void
-test_regions_apart_come_together (void)
+test_separated_regions_reconnect (void)
 {
   struct Fleet *fleet = fleet_new (120, 6);
   int64_t apart_ms, back_ms;
@@ -588,15 +596,16 @@
     fleet->members[i].side = 0;
   back_ms = fleet_run_until_agreed (fleet, 20000);
   CU_ASSERT (back_ms <= 3000);
-  printf ("\n    apart known after %lld ms, together after %lld ms ", (long long)apart_ms,
+  printf ("\n    partition detected after %lld ms, reconnected after %lld ms ", (long long)apart_ms,
           (long long)back_ms);
   talloc_free (fleet);
 }
 
-/* An aggregator freezes for four seconds and wakes with old news in its sockets. The other one of
- * its zone goes on; no one who lives is taken for dead, then or when it wakes. */
+/* An aggregator freezes for four seconds and resumes with outdated messages in its sockets. The
+ * other aggregator of its zone continues. No live process may seem to have failed, neither during
+ * the freeze nor after it. */
 static void
-test_a_frozen_aggregator_misleads_nobody (void)
+test_a_frozen_aggregator_causes_no_false_failures (void)
 {
   struct Fleet *fleet = fleet_new (100, 5);
   uint32_t frozen[PEER_TABLE_AGGREGATORS], worst = 0;
@@ -609,19 +618,19 @@
       if (ms == 4000)
         fleet->members[frozen[0]].is_frozen = false;
       fleet_run (fleet, 100);
-      /* What the woken one itself believes of others in its first second is its own affair. */
-      if ((ms < 4000 || ms > 5000) && fleet_false_deaths (fleet) > worst)
-        worst = fleet_false_deaths (fleet);
+      /* In the first second after the freeze the resumed member's own view may be wrong. */
+      if ((ms < 4000 || ms > 5000) && fleet_false_failures (fleet) > worst)
+        worst = fleet_false_failures (fleet);
     }
   CU_ASSERT_EQUAL (worst, 0);
   CU_ASSERT_TRUE (fleet_agrees (fleet));
   talloc_free (fleet);
 }
 
-/* One process is killed and starts again each second, with an empty memory, and the store away: the
- * others tell it who is there, and it disturbs nobody. */
+/* A process is killed and restarts every second with an empty table while the store is unreachable.
+ * It must receive the list of processes from its peers and not disturb their views. */
 static void
-test_a_flapping_process_learns_from_others (void)
+test_a_flapping_process_receives_the_list_from_its_peers (void)
 {
   struct Fleet *fleet = fleet_new (60, 3);
   uint32_t flapping;
@@ -640,13 +649,13 @@
   talloc_free (fleet);
 }
 
-/* All processes of the fleet are killed and start again at the same moment, those with a disk alone
- * remember who there was. */
+/* All processes of the fleet are killed and restart at the same time. Only those with a disk still
+ * have the list of processes. */
 static void
-test_a_fleet_that_starts_again_without_the_store (void)
+test_a_fleet_restarts_without_the_store (void)
 {
   struct Fleet *fleet = fleet_new (60, 3);
-  int64_t together_ms;
+  int64_t agreed_ms;
 
   fleet_run (fleet, 5000);
   for (uint32_t i = 0; i < fleet->n; i++)
@@ -654,21 +663,22 @@
       member_start (fleet, i);
       fleet->members[i].has_nodes = false;
       if (i < 3)
-        member_learn_all (fleet, &fleet->members[i]);
+        member_add_all (fleet, &fleet->members[i]);
     }
-  together_ms = fleet_run_until_agreed (fleet, 20000);
-  CU_ASSERT (together_ms <= 5000);
-  printf ("\n    all know all after %lld ms ", (long long)together_ms);
+  agreed_ms = fleet_run_until_agreed (fleet, 20000);
+  CU_ASSERT (agreed_ms <= 5000);
+  printf ("\n    views agree after %lld ms ", (long long)agreed_ms);
   talloc_free (fleet);
 }
 
 const char test_suite_name[] = "peer_table_fleet";
 const struct TestCase test_cases[] = {
   { "sizes", test_sizes },
-  { "regions apart come together", test_regions_apart_come_together },
-  { "a frozen aggregator misleads nobody", test_a_frozen_aggregator_misleads_nobody },
-  { "a flapping process learns from others", test_a_flapping_process_learns_from_others },
-  { "a fleet that starts again without the store",
-    test_a_fleet_that_starts_again_without_the_store },
+  { "separated regions reconnect", test_separated_regions_reconnect },
+  { "a frozen aggregator causes no false failures",
+    test_a_frozen_aggregator_causes_no_false_failures },
+  { "a flapping process receives the list from its peers",
+    test_a_flapping_process_receives_the_list_from_its_peers },
+  { "a fleet restarts without the store", test_a_fleet_restarts_without_the_store },
   { NULL, NULL },
 };
