--- a/core/customers/customer_table.c
+++ b/core/customers/customer_table.c
@@ -12,7 +12,7 @@
 struct CustomerKey
 {
   const char *text;
-  const struct Customer *owner;
+  const struct Customer *customer;
   UT_hash_handle hh;
 };
 
@@ -51,7 +51,7 @@
 }
 
 static bool
-limit_is_sound (double limit)
+limit_is_in_range (double limit)
 {
   return limit >= 0 && limit <= CUSTOMER_RATE_MAX_PER_S;
 }
@@ -66,13 +66,13 @@
   if (customer->name[0] == '\0')
     return fault_set (fault, ERROR_INVALID, "give each customer a name", "a customer has no name");
   if (customer_table_find (table, customer->name) != NULL)
-    return fault_set (fault, ERROR_INVALID, "give each customer a name of its own",
-                      "two customers are called %s", customer->name);
-  if (!limit_is_sound (customer->rate_per_s) || !limit_is_sound (customer->burst))
-    return fault_set (fault, ERROR_INVALID, "give a rate and a burst from 0 to ten million",
-                      "customer %s has a limit out of bounds", customer->name);
+    return fault_set (fault, ERROR_INVALID, "give each customer a unique name",
+                      "duplicate customer name %s", customer->name);
+  if (!limit_is_in_range (customer->rate_per_s) || !limit_is_in_range (customer->burst))
+    return fault_set (fault, ERROR_INVALID, "set rate and burst to values from 0 to 10,000,000",
+                      "customer %s has a rate or burst out of range", customer->name);
   if (table->n_entries == table->n_entries_max)
-    return fault_set (fault, ERROR_INVALID, NULL, "more customers than were announced");
+    return fault_set (fault, ERROR_INVALID, NULL, "more customers than the table was created for");
   entry = &table->entries[table->n_entries++];
   entry->customer = *customer;
   HASH_ADD_STR (table->by_name, customer.name, entry);
@@ -82,26 +82,26 @@
 int32_t
 customer_table_add_key (struct CustomerTable *table, const char *key, struct Fault *fault)
 {
-  const struct Customer *owner = &table->entries[table->n_entries - 1].customer;
+  const struct Customer *customer = &table->entries[table->n_entries - 1].customer;
   size_t n_bytes = strlen (key);
   const struct Customer *other = customer_table_find_key (table, key, n_bytes);
   struct CustomerKey *entry;
 
   if (n_bytes == 0 || n_bytes > CUSTOMER_KEY_MAX_BYTES)
-    return fault_set (fault, ERROR_INVALID, "give keys of 1 to 4,096 bytes",
-                      "a key of customer %s has %zu bytes", owner->name, n_bytes);
-  if (other == owner)
+    return fault_set (fault, ERROR_INVALID, "use keys of 1 to 4,096 bytes",
+                      "a key of customer %s is %zu bytes long", customer->name, n_bytes);
+  if (other == customer)
     return ERROR_NONE;
   if (other != NULL)
-    return fault_set (fault, ERROR_INVALID, "give each customer keys of its own",
-                      "customers %s and %s have a key in common", other->name, owner->name);
+    return fault_set (fault, ERROR_INVALID, "use each key for one customer only",
+                      "customers %s and %s share a key", other->name, customer->name);
   entry = talloc_zero (table, struct CustomerKey);
   if (entry == NULL)
     return ERROR_NO_MEMORY;
   entry->text = talloc_strdup (entry, key);
   if (entry->text == NULL)
     return ERROR_NO_MEMORY;
-  entry->owner = owner;
+  entry->customer = customer;
   HASH_ADD_KEYPTR (hh, table->by_key, entry->text, n_bytes, entry);
   return ERROR_NONE;
 }
@@ -112,7 +112,7 @@
   struct CustomerKey *entry = NULL;
 
   HASH_FIND (hh, table->by_key, key, key_bytes, entry);
-  return entry != NULL ? entry->owner : NULL;
+  return entry != NULL ? entry->customer : NULL;
 }
 
 const struct Customer *
--- a/core/customers/quota.c
+++ b/core/customers/quota.c
@@ -7,22 +7,23 @@
 
 enum
 {
-  /* What others told is of no use after two heartbeats are missing. */
-  TOLD_LIVE_MS = 2500,
-  /* Programs that began under a higher limit may end: about as long as one takes. */
+  /* A report expires after two missing heartbeats. */
+  REPORT_VALID_MS = 2500,
+  /* Time for programs that began under a higher limit to end: about the duration of one program. */
   LOWER_LIMIT_GRACE_MS = 1500,
-  NEED_FIRST = 11, /* until programs were observed */
-  /* After its start a gateway hears of the fleet within some hundred milliseconds, or is alone. */
-  LEARNING_MS = 800,
+  PROGRAM_SIZE_INITIAL = 11, /* until programs have been observed */
+  /* A gateway receives its first report of the fleet within some hundred milliseconds of its start,
+   * unless it is the only one. */
+  STARTUP_DEFER_MS = 800,
   RETRY_UNDER_WAY_MS = 300,
   RETRY_BEGIN_MS = 1000
 };
 
-/* The span in which demand is measured: a part of the window, so that a surge shows long before it
- * has filled the window. */
-static const double WANTED_SPAN = 0.4;
-/* Of the burst and the slack, what demand may come to before it counts as a surge. */
-static const double SURGE_SPARE = 0.5;
+/* The span over which demand is measured, as a fraction of the window: short, so that a surge is
+ * detected long before it has filled the window. */
+static const double DEMAND_SPAN_FRACTION = 0.4;
+/* The fraction of the burst and the slack that demand may reach before it counts as a surge. */
+static const double SURGE_HEADROOM_FRACTION = 0.5;
 
 static int
 ledger_free (struct QuotaLedger *ledger)
@@ -42,11 +43,11 @@
   if (ledger == NULL)
     return NULL;
   ledger->rules = *rules;
-  ledger->wanted_ms = (uint32_t)(rules->window_ms * WANTED_SPAN);
+  ledger->demand_span_ms = (uint32_t)(rules->window_ms * DEMAND_SPAN_FRACTION);
   ledger->seed = XXH3_64bits (instance, strlen (instance));
   ledger->fleet = (struct QuotaFleet){ .n_known = 1, .n_received = 1 };
   ledger->started_ms = now_ms;
-  ledger->need = NEED_FIRST;
+  ledger->program_size = PROGRAM_SIZE_INITIAL;
   talloc_set_destructor (ledger, ledger_free);
   return ledger;
 }
@@ -88,53 +89,53 @@
     return NULL;
   snprintf (entry->customer, sizeof entry->customer, "%s", customer);
   entry->credit = quota_phase (ledger, customer);
-  entry->need_scale = 1;
+  entry->program_size_ratio = 1;
   HASH_ADD_STR (ledger->entries, customer, entry);
   return entry;
 }
 
 double
-quota_age (const struct QuotaLedger *ledger, int64_t now_ms)
+quota_uptime_windows (const struct QuotaLedger *ledger, int64_t now_ms)
 {
   return fmin ((double)(now_ms - ledger->started_ms) / ledger->rules.window_ms, 1);
 }
 
 double
-quota_before_starts (const struct QuotaLedger *ledger, const struct QuotaEntry *entry)
+quota_prestart_requests (const struct QuotaLedger *ledger, const struct QuotaEntry *entry)
 {
-  return entry->rate_per_s * quota_window_s (ledger) * ledger->before_starts_part;
+  return entry->rate_per_s * quota_window_s (ledger) * ledger->prestart_fraction;
 }
 
 struct CustomerUse
-quota_own_use (const struct QuotaLedger *ledger, struct QuotaEntry *entry, int64_t now_ms)
+quota_own_usage (const struct QuotaLedger *ledger, struct QuotaEntry *entry, int64_t now_ms)
 {
   uint32_t window_ms = ledger->rules.window_ms;
-  struct CustomerUse use = {
-    .taken = use_window_total (&entry->taken, window_ms, now_ms),
-    .begun = use_window_total (&entry->begun, window_ms, now_ms),
-    .wanted = use_window_total (&entry->wanted, ledger->wanted_ms, now_ms),
+  struct CustomerUse usage = {
+    .taken = usage_window_total (&entry->taken, window_ms, now_ms),
+    .begun = usage_window_total (&entry->begun, window_ms, now_ms),
+    .wanted = usage_window_total (&entry->wanted, ledger->demand_span_ms, now_ms),
   };
 
-  memcpy (use.customer, entry->customer, sizeof use.customer);
-  return use;
+  memcpy (usage.customer, entry->customer, sizeof usage.customer);
+  return usage;
 }
 
 double
-quota_may_want (const struct QuotaLedger *ledger, const struct QuotaEntry *entry)
+quota_demand_limit (const struct QuotaLedger *ledger, const struct QuotaEntry *entry)
 {
-  return entry->rate_per_s * ledger->wanted_ms / 1000.0
-         + SURGE_SPARE * (entry->burst + ledger->rules.slack);
+  return entry->rate_per_s * ledger->demand_span_ms / 1000.0
+         + SURGE_HEADROOM_FRACTION * (entry->burst + ledger->rules.slack);
 }
 
 bool
 quota_is_surge (const struct QuotaLedger *ledger,
                 const struct QuotaEntry *entry,
-                const struct CustomerUse *use)
+                const struct CustomerUse *usage)
 {
-  return use->wanted > quota_may_want (ledger, entry);
+  return usage->wanted > quota_demand_limit (ledger, entry);
 }
 
-/* Configuration. */
+/* Configuration */
 
 static void
 entry_configure (struct QuotaLedger *ledger,
@@ -151,8 +152,8 @@
   now = quota_limit (ledger, entry);
   if (!was_limited || now >= before)
     return;
-  entry->old_limit = before;
-  entry->old_until_ms = now_ms + LOWER_LIMIT_GRACE_MS;
+  entry->previous_limit = before;
+  entry->previous_limit_until_ms = now_ms + LOWER_LIMIT_GRACE_MS;
   memset (&entry->taken, 0, sizeof entry->taken);
   memset (&entry->begun, 0, sizeof entry->begun);
 }
@@ -211,23 +212,26 @@
       if (entry->rate_per_s <= 0)
         continue;
       (*n_standings)++;
-      own = quota_own_use (ledger, entry, now_ms);
+      own = quota_own_usage (ledger, entry, now_ms);
       memcpy (standing->customer, entry->customer, sizeof standing->customer);
       standing->rate_per_s = entry->rate_per_s;
       standing->burst = entry->burst;
       standing->taken_here = own.taken;
       standing->refused_here = entry->n_refused;
       standing->begin_permille =
-          (uint32_t)(1000 * quota_part (ledger, entry, &own, QUOTA_ASK_BEGIN, now_ms, &fleet));
+          (uint32_t)(1000
+                     * quota_pass_fraction (ledger, entry, &own, QUOTA_ASK_BEGIN, now_ms, &fleet));
       standing->under_way_permille =
-          (uint32_t)(1000 * quota_part (ledger, entry, &own, QUOTA_ASK_UNDER_WAY, now_ms, &fleet));
+          (uint32_t)(1000
+                     * quota_pass_fraction (ledger, entry, &own, QUOTA_ASK_UNDER_WAY, now_ms,
+                                            &fleet));
       standing->taken_by_fleet = fleet.taken;
     }
   return standings;
 }
 
 static uint32_t
-ask_need (const struct QuotaLedger *ledger, enum QuotaAsk ask)
+expected_requests (const struct QuotaLedger *ledger, enum QuotaAsk ask)
 {
   switch (ask)
     {
@@ -242,39 +246,44 @@
 }
 
 static bool
-ledger_knows_fleet (const struct QuotaLedger *ledger, int64_t now_ms)
+ledger_has_fresh_report (const struct QuotaLedger *ledger, int64_t now_ms)
 {
-  return ledger->reported_ms > 0 && now_ms - ledger->reported_ms < TOLD_LIVE_MS;
+  return ledger->last_report_ms > 0 && now_ms - ledger->last_report_ms < REPORT_VALID_MS;
 }
 
 static void
-entry_take (struct QuotaLedger *ledger, struct QuotaEntry *entry, enum QuotaAsk ask, int64_t now_ms)
+entry_count_taken (struct QuotaLedger *ledger,
+                   struct QuotaEntry *entry,
+                   enum QuotaAsk ask,
+                   int64_t now_ms)
 {
-  use_window_add (&entry->taken, ledger->rules.window_ms, now_ms, 1);
-  use_window_add (&entry->begun, ledger->rules.window_ms, now_ms, ask_need (ledger, ask));
+  usage_window_add (&entry->taken, ledger->rules.window_ms, now_ms, 1);
+  usage_window_add (&entry->begun, ledger->rules.window_ms, now_ms,
+                    expected_requests (ledger, ask));
   if (ask == QUOTA_ASK_SINGLE)
     return;
-  use_window_add (&ledger->requests, ledger->rules.window_ms, now_ms, 1);
+  usage_window_add (&ledger->program_requests, ledger->rules.window_ms, now_ms, 1);
   if (ask == QUOTA_ASK_BEGIN)
-    use_window_add (&ledger->programs, ledger->rules.window_ms, now_ms, 1);
+    usage_window_add (&ledger->programs_begun, ledger->rules.window_ms, now_ms, 1);
 }
 
 static void
-entry_refuse (const struct QuotaLedger *ledger,
-              struct QuotaEntry *entry,
-              enum QuotaAsk ask,
-              int64_t now_ms,
-              struct QuotaVerdict *verdict)
+entry_count_refused (const struct QuotaLedger *ledger,
+                     struct QuotaEntry *entry,
+                     enum QuotaAsk ask,
+                     int64_t now_ms,
+                     struct QuotaVerdict *verdict)
 {
   verdict->retry_after_ms = ask == QUOTA_ASK_UNDER_WAY ? RETRY_UNDER_WAY_MS : RETRY_BEGIN_MS;
-  verdict->first = entry->refused_ms == 0 || now_ms - entry->refused_ms > ledger->rules.window_ms;
-  entry->refused_ms = now_ms;
+  verdict->first =
+      entry->last_refused_ms == 0 || now_ms - entry->last_refused_ms > ledger->rules.window_ms;
+  entry->last_refused_ms = now_ms;
   entry->n_refused++;
 }
 
-/* Everything is one kind where programs do not go first. */
+/* Treats all requests as single ones if programs under way are not preferred. */
 static enum QuotaAsk
-ledger_ask (const struct QuotaLedger *ledger, enum QuotaAsk ask)
+ledger_request_kind (const struct QuotaLedger *ledger, enum QuotaAsk ask)
 {
   return ledger->rules.programs_first ? ask : QUOTA_ASK_SINGLE;
 }
@@ -285,8 +294,8 @@
   struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
 
   if (entry != NULL)
-    use_window_add (&entry->wanted, ledger->wanted_ms, now_ms,
-                    ask_need (ledger, ledger_ask (ledger, ask)));
+    usage_window_add (&entry->wanted, ledger->demand_span_ms, now_ms,
+                      expected_requests (ledger, ledger_request_kind (ledger, ask)));
 }
 
 bool
@@ -298,8 +307,8 @@
   const struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
 
   return ledger->rules.sharing == QUOTA_BY_COUNTS && ask != QUOTA_ASK_UNDER_WAY && entry != NULL
-         && entry->rate_per_s > 0 && entry->begun.total > 0 && ledger->reported_ms == 0
-         && now_ms - ledger->started_ms < LEARNING_MS;
+         && entry->rate_per_s > 0 && entry->begun.total > 0 && ledger->last_report_ms == 0
+         && now_ms - ledger->started_ms < STARTUP_DEFER_MS;
 }
 
 struct QuotaVerdict
@@ -310,17 +319,17 @@
 
   if (entry == NULL || entry->rate_per_s <= 0)
     return verdict;
-  ask = ledger_ask (ledger, ask);
-  if (ledger->reported_ms > 0)
-    verdict.report_age_ms = now_ms - ledger->reported_ms;
-  if (ledger->rules.sharing == QUOTA_BY_COUNTS && !ledger_knows_fleet (ledger, now_ms)
+  ask = ledger_request_kind (ledger, ask);
+  if (ledger->last_report_ms > 0)
+    verdict.report_age_ms = now_ms - ledger->last_report_ms;
+  if (ledger->rules.sharing == QUOTA_BY_COUNTS && !ledger_has_fresh_report (ledger, now_ms)
       && !ledger->fleet.is_cut_off)
     memset (&entry->others, 0, sizeof entry->others);
   quota_decide (ledger, entry, ask, now_ms, &verdict);
   if (verdict.taken)
-    entry_take (ledger, entry, ask, now_ms);
+    entry_count_taken (ledger, entry, ask, now_ms);
   else
-    entry_refuse (ledger, entry, ask, now_ms, &verdict);
+    entry_count_refused (ledger, entry, ask, now_ms, &verdict);
   return verdict;
 }
 
@@ -332,12 +341,12 @@
                  int64_t now_ms)
 {
   struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
-  uint32_t need;
+  uint32_t expected;
 
   if (entry == NULL)
     return;
-  ask = ledger_ask (ledger, ask);
-  need = ask_need (ledger, ask);
-  use_window_take_back (&entry->taken, ledger->rules.window_ms, taken_ms, now_ms, 1);
-  use_window_take_back (&entry->begun, ledger->rules.window_ms, taken_ms, now_ms, need);
+  ask = ledger_request_kind (ledger, ask);
+  expected = expected_requests (ledger, ask);
+  usage_window_subtract (&entry->taken, ledger->rules.window_ms, taken_ms, now_ms, 1);
+  usage_window_subtract (&entry->begun, ledger->rules.window_ms, taken_ms, now_ms, expected);
 }
--- a/core/customers/quota_internal.h
+++ b/core/customers/quota_internal.h
@@ -1,5 +1,5 @@
-/* What the files of limits share: quota.c counts what is asked, quota_reports.c takes and gives
- * what gateways report, quota_part.c says which part of what asks may pass. */
+/* Shared by the files that enforce limits: quota.c counts requests, quota_reports.c exchanges usage
+ * with other gateways, quota_part.c computes the fraction of requests that may pass. */
 #pragma once
 
 #include <buckthornhead/customers/quota.h>
@@ -11,32 +11,32 @@
 {
   char customer[NAME_MAX_BYTES + 1];
   double rate_per_s, burst;
-  double old_limit; /* a higher one, until old_until_ms */
-  int64_t old_until_ms;
+  double previous_limit; /* a higher limit, in force until previous_limit_until_ms */
+  int64_t previous_limit_until_ms;
   bool configured;
-  struct UseWindow taken, begun, wanted;
-  double need_scale; /* of this customer's programs against all customers' */
+  struct UsageWindow taken, begun, wanted;
+  double program_size_ratio; /* mean number of requests, relative to all customers */
   uint64_t n_refused;
-  int64_t refused_ms;          /* the last one; 0: none */
-  double credit;               /* of a request that only a part of passes */
-  struct CustomerUse reported; /* what this gateway reported last */
-  struct CustomerUse others;   /* as others reported */
+  int64_t last_refused_ms;     /* time of the last refusal; 0: none */
+  double credit;               /* accumulated fractions of requests that may pass */
+  struct CustomerUse reported; /* last reported by this gateway */
+  struct CustomerUse others;   /* reported by other gateways */
   UT_hash_handle hh;
 };
 
 struct QuotaLedger
 {
   struct QuotaRules rules;
-  uint32_t wanted_ms;
+  uint32_t demand_span_ms;
   uint64_t seed;
   struct QuotaEntry *entries;
-  /* Of all customers: requests of programs, and programs that began. */
-  struct UseWindow requests, programs;
-  double need;               /* requests of a program */
-  double before_starts_part; /* of the fleet's window, what lies before gateways started */
+  /* Totals over all customers: requests of programs, and programs that began. */
+  struct UsageWindow program_requests, programs_begun;
+  double program_size;      /* mean number of requests of a program */
+  double prestart_fraction; /* of the fleet's window, before its gateways started */
   struct QuotaFleet fleet;
   int64_t started_ms;
-  int64_t reported_ms; /* when sums came last; 0: never */
+  int64_t last_report_ms; /* arrival of the last sums; 0: never */
 };
 
 struct QuotaEntry *
@@ -45,49 +45,49 @@
 double
 quota_window_s (const struct QuotaLedger *ledger);
 
-/* Requests a window. */
+/* Returns the limit in requests per window. */
 double
 quota_limit (const struct QuotaLedger *ledger, const struct QuotaEntry *entry);
 
-/* Where a gateway's first request of a customer stands between none and one: differs between
- * gateways, so that of a hundred that may each pass a tenth of a request ten pass one. */
+/* Returns the initial credit of a customer at this gateway, in [0, 1). It differs between gateways,
+ * so that of a hundred gateways that may each pass a tenth of a request ten pass one. */
 double
 quota_phase (const struct QuotaLedger *ledger, const char *customer);
 
-/* This gateway's use now. */
+/* Returns this gateway's current usage. */
 struct CustomerUse
-quota_own_use (const struct QuotaLedger *ledger, struct QuotaEntry *entry, int64_t now_ms);
+quota_own_usage (const struct QuotaLedger *ledger, struct QuotaEntry *entry, int64_t now_ms);
 
-/* In windows, at most one: before, a burst may have been spent that this process knows nothing of.
- */
+/* Returns the time since this gateway's start in windows, at most 1. Below 1, a burst may have been
+ * spent before the start, of which this process has no record. */
 double
-quota_age (const struct QuotaLedger *ledger, int64_t now_ms);
+quota_uptime_windows (const struct QuotaLedger *ledger, int64_t now_ms);
 
-/* Requests of the window that lie before starts of gateways, at the full rate. */
+/* Returns the requests of the window that lie before the start of gateways, at the full rate. */
 double
-quota_before_starts (const struct QuotaLedger *ledger, const struct QuotaEntry *entry);
+quota_prestart_requests (const struct QuotaLedger *ledger, const struct QuotaEntry *entry);
 
-/* What may begin in the span in which demand is measured; more is a surge. */
+/* Returns the number of requests that may be wanted within the span in which demand is measured;
+ * more is a surge. */
 double
-quota_may_want (const struct QuotaLedger *ledger, const struct QuotaEntry *entry);
+quota_demand_limit (const struct QuotaLedger *ledger, const struct QuotaEntry *entry);
 
-/* use: the fleet's, of the entry's customer. */
+/* usage: the fleet's, of the entry's customer. */
 bool
 quota_is_surge (const struct QuotaLedger *ledger,
                 const struct QuotaEntry *entry,
-                const struct CustomerUse *use);
+                const struct CustomerUse *usage);
 
-/* The part of a customer's requests of that kind that passes. own: this gateway's use now; the
- * fleet's as known here is written to *fleet. */
+/* Returns the fraction of a customer's requests of the given kind that passes. own: this gateway's
+ * current usage; the fleet's estimated usage is written to *fleet. */
 double
-quota_part (const struct QuotaLedger *ledger,
-            const struct QuotaEntry *entry,
-            const struct CustomerUse *own,
-            enum QuotaAsk ask,
-            int64_t now_ms,
-            struct CustomerUse *fleet);
+quota_pass_fraction (const struct QuotaLedger *ledger,
+                     const struct QuotaEntry *entry,
+                     const struct CustomerUse *own,
+                     enum QuotaAsk ask,
+                     int64_t now_ms,
+                     struct CustomerUse *fleet);
 
-/* Decides on one request. */
 void
 quota_decide (const struct QuotaLedger *ledger,
               struct QuotaEntry *entry,
--- a/core/customers/quota_part.c
+++ b/core/customers/quota_part.c
@@ -4,58 +4,61 @@
 
 enum
 {
-  GROWING_OTHERS_MAX = 3 /* in larger fleets each gateway sees too little of a customer */
+  /* In larger fleets each gateway sees too small a share of a customer. */
+  EXTRAPOLATED_GATEWAYS_MAX = 3
 };
 
-/* How near to a limit requests may come. What others let through meanwhile is known only later: in
- * a surge that is much. */
+/* How near to a limit requests may come. Others' requests are known only after a delay, and in a
+ * surge these are many. */
 struct QuotaMargins
 {
-  double begin_spare;                  /* of burst and slack, for programs that begin */
-  double under_way_spare;              /* of the slack, for what is under way */
-  double under_way_from, under_way_to; /* parts of the limit between which that is held back */
+  double begin_headroom;     /* fraction of burst and slack granted to new programs */
+  double under_way_headroom; /* fraction of the slack granted to programs under way */
+  /* Fractions of the limit between which programs under way are throttled. */
+  double under_way_from, under_way_to;
 };
 
 static const struct QuotaMargins calm_margins = {
-  .begin_spare = 0.8,
-  .under_way_spare = 0.7,
+  .begin_headroom = 0.8,
+  .under_way_headroom = 0.7,
   .under_way_from = 0.98,
   .under_way_to = 1.04,
 };
 
 static const struct QuotaMargins surge_margins = {
-  .begin_spare = 0.5,
-  .under_way_spare = 0.85,
+  .begin_headroom = 0.5,
+  .under_way_headroom = 0.85,
   .under_way_from = 0.92,
   .under_way_to = 1.0,
 };
 
-/* Of what may begin, where programs that begin are held back by degrees. */
-static const double BEGUN_FROM = 0.9;
-/* Of an equal part, what a gateway that is cut off spends. Others leave half of one for each that
- * they do not hear, and no more than this of all. */
-static const double CUT_OFF_PART = 0.4, CUT_OFF_PARTS_MAX = 0.25;
-/* Of what may have passed before a start, what is held against programs that begin: a customer with
- * its usual load is not to notice that everything has started anew. */
-static const double BEGUN_BEFORE_START = 0.8;
-
-/* 1 up to full, 0 from none on, by degrees between. */
+/* The fraction of the allowed begun requests from which on new programs are throttled gradually. */
+static const double BEGUN_THROTTLE_FROM = 0.9;
+/* CUT_OFF_SHARE: the fraction of its equal share that a gateway spends while cut off. The others
+ * reserve half of an equal share for each gateway that they do not receive from, but at most
+ * UNREACHED_RESERVE_MAX of the limit. */
+static const double CUT_OFF_SHARE = 0.4, UNREACHED_RESERVE_MAX = 0.25;
+/* The fraction of the requests that may have passed before a start that counts against new
+ * programs: a customer with its usual load must not notice a restart of all gateways. */
+static const double PRESTART_BEGUN_FRACTION = 0.8;
+
+/* Returns 1 up to full, 0 from none on, and interpolates linearly between. */
 static double
-falling (double value, double full, double none)
+linear_falloff (double value, double full, double none)
 {
   if (value <= full)
     return 1;
   return value >= none ? 0 : (none - value) / (none - full);
 }
 
-/* The part of limits that gateways which hear each other may spend. */
+/* Returns the fraction of limits that gateways which receive each other's reports may spend. */
 static double
-received_part (const struct QuotaLedger *ledger)
+connected_fraction (const struct QuotaLedger *ledger)
 {
   const struct QuotaFleet *fleet = &ledger->fleet;
-  double unheard = 1 - (double)fleet->n_received / fleet->n_known;
+  double unreached = 1 - (double)fleet->n_received / fleet->n_known;
 
-  return 1 - fmin (fmax (unheard, 0) / 2, CUT_OFF_PARTS_MAX);
+  return 1 - fmin (fmax (unreached, 0) / 2, UNREACHED_RESERVE_MAX);
 }
 
 static const struct QuotaMargins *
@@ -64,101 +67,106 @@
                const struct CustomerUse *fleet,
                int64_t now_ms)
 {
-  return quota_is_surge (ledger, entry, fleet) || quota_age (ledger, now_ms) < 1 ? &surge_margins
-                                                                                 : &calm_margins;
+  return quota_is_surge (ledger, entry, fleet) || quota_uptime_windows (ledger, now_ms) < 1
+             ? &surge_margins
+             : &calm_margins;
 }
 
-/* The part of what is under way that passes. */
+/* Returns the fraction of requests of programs under way that passes. */
 static double
-under_way_part (const struct QuotaLedger *ledger,
-                const struct QuotaEntry *entry,
-                const struct CustomerUse *fleet,
-                int64_t now_ms)
+under_way_fraction (const struct QuotaLedger *ledger,
+                    const struct QuotaEntry *entry,
+                    const struct CustomerUse *fleet,
+                    int64_t now_ms)
 {
   const struct QuotaMargins *margins = entry_margins (ledger, entry, fleet, now_ms);
-  double spare = margins->under_way_spare * ledger->rules.slack;
-  double limit = quota_limit (ledger, entry), received = received_part (ledger);
+  double headroom = margins->under_way_headroom * ledger->rules.slack;
+  double limit = quota_limit (ledger, entry), connected = connected_fraction (ledger);
 
   if (quota_is_surge (ledger, entry, fleet))
-    limit -= entry->burst * (1 - quota_age (ledger, now_ms));
-  if (now_ms < entry->old_until_ms && entry->old_limit > limit)
-    limit = entry->old_limit;
-  limit *= received;
-  spare *= received;
-  return falling (fleet->taken, margins->under_way_from * limit + spare,
-                  margins->under_way_to * limit + spare);
+    limit -= entry->burst * (1 - quota_uptime_windows (ledger, now_ms));
+  if (now_ms < entry->previous_limit_until_ms && entry->previous_limit > limit)
+    limit = entry->previous_limit;
+  limit *= connected;
+  headroom *= connected;
+  return linear_falloff (fleet->taken, margins->under_way_from * limit + headroom,
+                         margins->under_way_to * limit + headroom);
 }
 
-/* The part of what begins that passes: by demand, which tells of a surge first; and by what has
- * begun, which pays back what passed before the surge was known. */
+/* Returns the fraction of new programs that may begin: limited by demand, which shows a surge
+ * first, and by the begun requests, which compensates for what passed before the surge was
+ * known. */
 static double
-begin_part (const struct QuotaLedger *ledger,
-            const struct QuotaEntry *entry,
-            const struct CustomerUse *fleet,
-            int64_t now_ms)
+begin_fraction (const struct QuotaLedger *ledger,
+                const struct QuotaEntry *entry,
+                const struct CustomerUse *fleet,
+                int64_t now_ms)
 {
-  double burst = entry->burst * quota_age (ledger, now_ms), received = received_part (ledger);
+  double burst = entry->burst * quota_uptime_windows (ledger, now_ms),
+         connected = connected_fraction (ledger);
   const struct QuotaMargins *margins = entry_margins (ledger, entry, fleet, now_ms);
-  double spare = margins->begin_spare * (burst + ledger->rules.slack);
-  double limit = (entry->rate_per_s * quota_window_s (ledger) + spare) * received;
-  /* Half of the next one as well: of a small limit one program is a large part. */
-  double begun = (fleet->begun + quota_ledger_need (ledger) / 2) * entry->need_scale;
-  double part = falling (begun, BEGUN_FROM * limit, limit);
-  double may_want = quota_may_want (ledger, entry) * received;
-
-  if (fleet->wanted > may_want)
-    part = fmin (part, may_want / fleet->wanted);
-  return part;
+  double headroom = margins->begin_headroom * (burst + ledger->rules.slack);
+  double limit = (entry->rate_per_s * quota_window_s (ledger) + headroom) * connected;
+  /* Half of the next program counts too: one program is a large part of a small limit. */
+  double begun = (fleet->begun + quota_ledger_need (ledger) / 2) * entry->program_size_ratio;
+  double fraction = linear_falloff (begun, BEGUN_THROTTLE_FROM * limit, limit);
+  double demand_limit = quota_demand_limit (ledger, entry) * connected;
+
+  if (fleet->wanted > demand_limit)
+    fraction = fmin (fraction, demand_limit / fleet->wanted);
+  return fraction;
 }
 
-/* As many more for each of the others as this gateway counted since it told its own. */
+/* Extrapolates others' usage: each of them is assumed to have grown as much as this gateway's own
+ * since its last report. */
 static uint32_t
-grown (uint32_t others, uint32_t own, uint32_t own_then, uint32_t n_others)
+extrapolate (uint32_t others, uint32_t own, uint32_t own_reported, uint32_t n_others)
 {
-  return others + (own > own_then ? (own - own_then) * n_others : 0);
+  return others + (own > own_reported ? (own - own_reported) * n_others : 0);
 }
 
-/* Guards against the age of the word in small fleets, where each gateway sees a large part of a
- * surge: the others are taken to go on as this one does. */
+/* Estimates the fleet's current usage. Reports are old compared with a surge in small fleets, where
+ * each gateway sees a large share of it: the others are assumed to grow as this one does. */
 static struct CustomerUse
-entry_fleet (const struct QuotaLedger *ledger,
-             const struct QuotaEntry *entry,
-             const struct CustomerUse *own)
+estimate_fleet_usage (const struct QuotaLedger *ledger,
+                      const struct QuotaEntry *entry,
+                      const struct CustomerUse *own)
 {
-  const struct CustomerUse *others = &entry->others, *then = &entry->reported;
+  const struct CustomerUse *others = &entry->others, *reported = &entry->reported;
   uint32_t n_others = ledger->fleet.n_received - 1;
-  double before = quota_before_starts (ledger, entry);
+  double prestart = quota_prestart_requests (ledger, entry);
 
-  if (n_others > GROWING_OTHERS_MAX)
+  if (n_others > EXTRAPOLATED_GATEWAYS_MAX)
     n_others = 0;
   return (struct CustomerUse){
-    .taken =
-        own->taken + grown (others->taken, own->taken, then->taken, n_others) + (uint32_t)before,
-    .begun = own->begun + grown (others->begun, own->begun, then->begun, n_others)
-             + (uint32_t)(BEGUN_BEFORE_START * before),
-    .wanted = own->wanted + grown (others->wanted, own->wanted, then->wanted, n_others),
+    .taken = own->taken + extrapolate (others->taken, own->taken, reported->taken, n_others)
+             + (uint32_t)prestart,
+    .begun = own->begun + extrapolate (others->begun, own->begun, reported->begun, n_others)
+             + (uint32_t)(PRESTART_BEGUN_FRACTION * prestart),
+    .wanted = own->wanted + extrapolate (others->wanted, own->wanted, reported->wanted, n_others),
   };
 }
 
-/* Part of an equal share that this gateway has left, as a part of the next request. */
+/* Returns whether the gateway may take a request within the given fraction of its equal share. The
+ * remainder of a request is rounded up at some gateways only, by quota_phase. */
 static bool
-equal_part_allows (const struct QuotaLedger *ledger,
-                   const struct QuotaEntry *entry,
-                   const struct CustomerUse *own,
-                   double part)
+equal_share_allows (const struct QuotaLedger *ledger,
+                    const struct QuotaEntry *entry,
+                    const struct CustomerUse *own,
+                    double fraction)
 {
-  double share = part * quota_limit (ledger, entry) / ledger->fleet.n_known;
+  double share = fraction * quota_limit (ledger, entry) / ledger->fleet.n_known;
 
   return own->taken < floor (share + quota_phase (ledger, entry->customer));
 }
 
-/* True for part of the requests that it is asked for, evenly. */
+/* Returns true for the given fraction of calls, evenly spaced. */
 static bool
-entry_draw (struct QuotaEntry *entry, double part)
+entry_spend_credit (struct QuotaEntry *entry, double fraction)
 {
-  if (part >= 1)
+  if (fraction >= 1)
     return true;
-  entry->credit += part;
+  entry->credit += fraction;
   if (entry->credit < 1)
     return false;
   entry->credit -= 1;
@@ -166,18 +174,20 @@
 }
 
 double
-quota_part (const struct QuotaLedger *ledger,
-            const struct QuotaEntry *entry,
-            const struct CustomerUse *own,
-            enum QuotaAsk ask,
-            int64_t now_ms,
-            struct CustomerUse *fleet)
+quota_pass_fraction (const struct QuotaLedger *ledger,
+                     const struct QuotaEntry *entry,
+                     const struct CustomerUse *own,
+                     enum QuotaAsk ask,
+                     int64_t now_ms,
+                     struct CustomerUse *fleet)
 {
-  double part;
+  double fraction;
 
-  *fleet = entry_fleet (ledger, entry, own);
-  part = under_way_part (ledger, entry, fleet, now_ms);
-  return ask == QUOTA_ASK_UNDER_WAY ? part : fmin (part, begin_part (ledger, entry, fleet, now_ms));
+  *fleet = estimate_fleet_usage (ledger, entry, own);
+  fraction = under_way_fraction (ledger, entry, fleet, now_ms);
+  return ask == QUOTA_ASK_UNDER_WAY
+             ? fraction
+             : fmin (fraction, begin_fraction (ledger, entry, fleet, now_ms));
 }
 
 void
@@ -187,18 +197,18 @@
               int64_t now_ms,
               struct QuotaVerdict *verdict)
 {
-  struct CustomerUse own = quota_own_use (ledger, entry, now_ms), fleet;
-  double part = quota_part (ledger, entry, &own, ask, now_ms, &fleet);
+  struct CustomerUse own = quota_own_usage (ledger, entry, now_ms), fleet;
+  double fraction = quota_pass_fraction (ledger, entry, &own, ask, now_ms, &fleet);
 
   verdict->limit = (uint32_t)quota_limit (ledger, entry);
   verdict->fleet_taken = fleet.taken;
   if (ledger->rules.sharing == QUOTA_BY_EQUAL_PARTS || ledger->fleet.is_cut_off)
     {
-      part = ledger->fleet.is_cut_off ? CUT_OFF_PART : 1;
-      verdict->taken = equal_part_allows (ledger, entry, &own, part);
+      fraction = ledger->fleet.is_cut_off ? CUT_OFF_SHARE : 1;
+      verdict->taken = equal_share_allows (ledger, entry, &own, fraction);
       verdict->permille = verdict->taken ? 1000 : 0;
       return;
     }
-  verdict->permille = (uint32_t)(1000 * part);
-  verdict->taken = entry_draw (entry, part);
+  verdict->permille = (uint32_t)(1000 * fraction);
+  verdict->taken = entry_spend_credit (entry, fraction);
 }
--- a/core/customers/use_board.c
+++ b/core/customers/use_board.c
@@ -6,10 +6,10 @@
 
 enum
 {
-  REPORT_LIVE_MS = 1600 /* three reports of half a second are missing */
+  REPORT_VALID_MS = 1600 /* three reports, sent every 500 ms, are missing */
 };
 
-struct BoardRow
+struct ReportRow
 {
   char key[NAME_MAX_BYTES + 3]; /* scope and sender */
   int64_t reported_ms;
@@ -19,61 +19,61 @@
 
 struct UseBoard
 {
-  struct BoardRow *rows;
+  struct ReportRow *rows;
   int64_t received_ms;
 };
 
 static int
-board_free (struct UseBoard *board)
+table_free (struct UseBoard *table)
 {
-  HASH_CLEAR (hh, board->rows);
+  HASH_CLEAR (hh, table->rows);
   return 0;
 }
 
 struct UseBoard *
 use_board_new (TALLOC_CTX *ctx)
 {
-  struct UseBoard *board = talloc_zero (ctx, struct UseBoard);
+  struct UseBoard *table = talloc_zero (ctx, struct UseBoard);
 
-  if (board != NULL)
-    talloc_set_destructor (board, board_free);
-  return board;
+  if (table != NULL)
+    talloc_set_destructor (table, table_free);
+  return table;
 }
 
 static void
-board_expire (struct UseBoard *board, int64_t now_ms)
+table_expire (struct UseBoard *table, int64_t now_ms)
 {
-  struct BoardRow *row, *next;
+  struct ReportRow *row, *next;
 
-  HASH_ITER (hh, board->rows, row, next)
+  HASH_ITER (hh, table->rows, row, next)
   {
-    if (now_ms - row->reported_ms < REPORT_LIVE_MS)
+    if (now_ms - row->reported_ms < REPORT_VALID_MS)
       continue;
-    HASH_DEL (board->rows, row);
+    HASH_DEL (table->rows, row);
     talloc_free (row);
   }
 }
 
 void
-use_board_take (struct UseBoard *board,
+use_board_take (struct UseBoard *table,
                 const char *sender,
                 const struct UseReport *report,
                 int64_t now_ms)
 {
   char key[NAME_MAX_BYTES + 3];
-  struct BoardRow *row = NULL;
+  struct ReportRow *row = NULL;
 
   snprintf (key, sizeof key, "%d %s", (int)report->scope, sender);
-  HASH_FIND_STR (board->rows, key, row);
+  HASH_FIND_STR (table->rows, key, row);
   if (row == NULL)
     {
-      row = talloc_zero (board, struct BoardRow);
+      row = talloc_zero (table, struct ReportRow);
       if (row == NULL)
         return;
       memcpy (row->key, key, sizeof key);
-      HASH_ADD_STR (board->rows, key, row);
+      HASH_ADD_STR (table->rows, key, row);
     }
-  board->received_ms = now_ms;
+  table->received_ms = now_ms;
   row->reported_ms = now_ms;
   talloc_free (row->report.uses);
   row->report = *report;
@@ -82,60 +82,60 @@
     row->report.n_uses = 0;
 }
 
-/* Sums. */
+/* Sums */
 
-struct UseSumRow
+struct UsageSumRow
 {
-  struct CustomerUse use;
+  struct CustomerUse usage;
   UT_hash_handle hh;
 };
 
-struct UseSum
+struct UsageSum
 {
   TALLOC_CTX *ctx;
-  struct UseSumRow *rows;
+  struct UsageSumRow *rows;
 };
 
 static void
-sum_add (struct UseSum *sum, const struct CustomerUse *uses, size_t n_uses)
+sum_add (struct UsageSum *sum, const struct CustomerUse *usages, size_t n_usages)
 {
-  for (size_t i = 0; i < n_uses; i++)
+  for (size_t i = 0; i < n_usages; i++)
     {
-      struct UseSumRow *row = NULL;
+      struct UsageSumRow *row = NULL;
 
-      HASH_FIND_STR (sum->rows, uses[i].customer, row);
+      HASH_FIND_STR (sum->rows, usages[i].customer, row);
       if (row == NULL)
         {
-          row = talloc_zero (sum->ctx, struct UseSumRow);
+          row = talloc_zero (sum->ctx, struct UsageSumRow);
           if (row == NULL)
             return;
-          memcpy (row->use.customer, uses[i].customer, sizeof row->use.customer);
-          HASH_ADD_STR (sum->rows, use.customer, row);
+          memcpy (row->usage.customer, usages[i].customer, sizeof row->usage.customer);
+          HASH_ADD_STR (sum->rows, usage.customer, row);
         }
-      row->use.taken += uses[i].taken;
-      row->use.begun += uses[i].begun;
-      row->use.wanted += uses[i].wanted;
+      row->usage.taken += usages[i].taken;
+      row->usage.begun += usages[i].begun;
+      row->usage.wanted += usages[i].wanted;
     }
 }
 
 static struct CustomerUse *
-sum_finish (struct UseSum *sum, TALLOC_CTX *ctx, size_t *n_uses)
+sum_finish (struct UsageSum *sum, TALLOC_CTX *ctx, size_t *n_usages)
 {
-  struct CustomerUse *uses = talloc_array (ctx, struct CustomerUse, HASH_COUNT (sum->rows));
+  struct CustomerUse *usages = talloc_array (ctx, struct CustomerUse, HASH_COUNT (sum->rows));
 
-  *n_uses = 0;
-  for (struct UseSumRow *row = sum->rows; uses != NULL && row != NULL; row = row->hh.next)
-    uses[(*n_uses)++] = row->use;
+  *n_usages = 0;
+  for (struct UsageSumRow *row = sum->rows; usages != NULL && row != NULL; row = row->hh.next)
+    usages[(*n_usages)++] = row->usage;
   HASH_CLEAR (hh, sum->rows);
   talloc_free (sum->ctx);
-  return uses;
+  return usages;
 }
 
-/* Another aggregator of the same zone has told later. */
+/* Returns whether another aggregator of the same zone has reported later. */
 static bool
-zone_reported_later (const struct UseBoard *board, const struct BoardRow *row)
+zone_reported_later (const struct UseBoard *table, const struct ReportRow *row)
 {
-  for (const struct BoardRow *other = board->rows; other != NULL; other = other->hh.next)
+  for (const struct ReportRow *other = table->rows; other != NULL; other = other->hh.next)
     if (other != row && other->report.scope == USE_OF_ZONE
         && strcmp (other->report.zone, row->report.zone) == 0
         && (other->reported_ms > row->reported_ms
@@ -145,48 +145,48 @@
 }
 
 struct CustomerUse *
-use_board_sum (struct UseBoard *board,
+use_board_sum (struct UseBoard *table,
                TALLOC_CTX *ctx,
                enum UseScope scope,
                const struct CustomerUse *own,
                size_t n_own,
                int64_t now_ms,
-               size_t *n_uses)
+               size_t *n_usages)
 {
-  struct UseSum sum = { .ctx = talloc_new (ctx) };
+  struct UsageSum sum = { .ctx = talloc_new (ctx) };
 
-  board_expire (board, now_ms);
+  table_expire (table, now_ms);
   sum_add (&sum, own, n_own);
-  for (const struct BoardRow *row = board->rows; row != NULL; row = row->hh.next)
+  for (const struct ReportRow *row = table->rows; row != NULL; row = row->hh.next)
     switch (row->report.scope)
       {
       case USE_OF_GATEWAY:
         sum_add (&sum, row->report.uses, row->report.n_uses);
         break;
       case USE_OF_ZONE:
-        if (scope == USE_OF_FLEET && !zone_reported_later (board, row))
+        if (scope == USE_OF_FLEET && !zone_reported_later (table, row))
           sum_add (&sum, row->report.uses, row->report.n_uses);
         break;
       case USE_OF_FLEET:
         break;
       }
-  return sum_finish (&sum, ctx, n_uses);
+  return sum_finish (&sum, ctx, n_usages);
 }
 
 const struct UseReport *
-use_board_fleet (struct UseBoard *board, int64_t now_ms)
+use_board_fleet (struct UseBoard *table, int64_t now_ms)
 {
-  const struct BoardRow *best = NULL;
+  const struct ReportRow *best = NULL;
 
-  board_expire (board, now_ms);
-  for (const struct BoardRow *row = board->rows; row != NULL; row = row->hh.next)
+  table_expire (table, now_ms);
+  for (const struct ReportRow *row = table->rows; row != NULL; row = row->hh.next)
     if (row->report.scope == USE_OF_FLEET && (best == NULL || row->reported_ms > best->reported_ms))
       best = row;
   return best != NULL ? &best->report : NULL;
 }
 
 int64_t
-use_board_received_ms (const struct UseBoard *board)
+use_board_received_ms (const struct UseBoard *table)
 {
-  return board->received_ms;
+  return table->received_ms;
 }
--- a/include/buckthornhead/customers/use_board.h
+++ b/include/buckthornhead/customers/use_board.h
@@ -1,18 +1,20 @@
-/* What other gateways told of customers' use, and its sums.
+/* Customers' usage as reported by other gateways, and its sums.
  *
- * A gateway tells its own use to the aggregators of its zone; these tell the zone's sum to those of
- * other zones, and the fleet's to their members. Two aggregators of a zone say nearly the same: the
- * one heard last counts. Whoever is silent for long counts no more. Pure. */
+ *
+ * A gateway reports its own usage to the aggregators of its zone; these report the zone's sum to
+ * the aggregators of other zones, and the fleet's sum to their members. Two aggregators of a zone
+ * report nearly the same sum, so only the later report counts. Reports of senders that are silent
+ * for too long expire. Pure. */
 #pragma once
 
 #include <buckthornhead/customers/quota.h>
 
-/* Whose use a message sums. */
+/* What a report sums. */
 enum UseScope
 {
-  USE_OF_GATEWAY = 0, /* the sender's own */
-  USE_OF_ZONE = 1,    /* of all gateways of the sender's zone */
-  USE_OF_FLEET = 2    /* of all gateways, for those of the sender's zone */
+  USE_OF_GATEWAY = 0, /* the sender's own usage */
+  USE_OF_ZONE = 1,    /* usage of all gateways of the sender's zone */
+  USE_OF_FLEET = 2    /* usage of all gateways, sent to those of the sender's zone */
 };
 
 struct UseReport
@@ -25,32 +27,32 @@
 
 struct UseBoard;
 
-/* NULL without memory. */
+/* Returns NULL when out of memory. */
 struct UseBoard *
 use_board_new (TALLOC_CTX *ctx);
 
-/* A newer word of the same sender and scope takes the place of the older one. */
+/* Stores a report; it replaces the previous one of the same sender and scope. */
 void
-use_board_take (struct UseBoard *board,
+use_board_take (struct UseBoard *table,
                 const char *sender,
                 const struct UseReport *report,
                 int64_t now_ms);
 
-/* The sum of own, and of what the gateways that report here told of themselves; for USE_OF_FLEET
- * with other zones'. Belongs to ctx; NULL without memory. */
+/* Returns the sum of own and of the usage that gateways reported to this one; for USE_OF_FLEET
+ * other zones' sums are added. Allocated on ctx; NULL when out of memory. */
 struct CustomerUse *
-use_board_sum (struct UseBoard *board,
+use_board_sum (struct UseBoard *table,
                TALLOC_CTX *ctx,
                enum UseScope scope,
                const struct CustomerUse *own,
                size_t n_own,
                int64_t now_ms,
-               size_t *n_uses);
+               size_t *n_usages);
 
-/* The last word about the fleet; NULL when there is none that still counts. */
+/* Returns the last report of the fleet's usage, or NULL if there is none or it has expired. */
 const struct UseReport *
-use_board_fleet (struct UseBoard *board, int64_t now_ms);
+use_board_fleet (struct UseBoard *table, int64_t now_ms);
 
-/* When any gateway was heard last; 0: never. */
+/* Returns when the last report of any gateway arrived; 0: never. */
 int64_t
-use_board_received_ms (const struct UseBoard *board);
+use_board_received_ms (const struct UseBoard *table);
--- a/tests/test_customer_table.c
+++ b/tests/test_customer_table.c
@@ -15,15 +15,15 @@
 }
 
 static const char *
-owner (const struct CustomerTable *table, const char *key)
+customer_of (const struct CustomerTable *table, const char *key)
 {
   const struct Customer *customer = customer_table_find_key (table, key, strlen (key));
 
-  return customer != NULL ? customer->name : "nobody";
+  return customer != NULL ? customer->name : "unknown";
 }
 
 static void
-test_a_key_is_one_customers (void)
+test_key_belongs_to_one_customer (void)
 {
   struct CustomerTable *table = customer_table_new (NULL, 2);
   struct Fault fault;
@@ -34,23 +34,23 @@
   CU_ASSERT_EQUAL (customer_table_add_key (table, "k2", &fault), ERROR_NONE);
   CU_ASSERT_EQUAL (add (table, "bela", 0, &fault), ERROR_NONE);
   CU_ASSERT_EQUAL (customer_table_add_key (table, "k3", &fault), ERROR_NONE);
-  CU_ASSERT_STRING_EQUAL (owner (table, "k1"), "alma");
-  CU_ASSERT_STRING_EQUAL (owner (table, "k2"), "alma");
-  CU_ASSERT_STRING_EQUAL (owner (table, "k3"), "bela");
-  /* Compared whole: neither a beginning nor another case will do. */
-  CU_ASSERT_STRING_EQUAL (owner (table, "k"), "nobody");
-  CU_ASSERT_STRING_EQUAL (owner (table, "K1"), "nobody");
-  CU_ASSERT_STRING_EQUAL (owner (table, "k11"), "nobody");
-  CU_ASSERT_STRING_EQUAL (owner (table, ""), "nobody");
+  CU_ASSERT_STRING_EQUAL (customer_of (table, "k1"), "alma");
+  CU_ASSERT_STRING_EQUAL (customer_of (table, "k2"), "alma");
+  CU_ASSERT_STRING_EQUAL (customer_of (table, "k3"), "bela");
+  /* Keys are compared whole and case-sensitively. */
+  CU_ASSERT_STRING_EQUAL (customer_of (table, "k"), "unknown");
+  CU_ASSERT_STRING_EQUAL (customer_of (table, "K1"), "unknown");
+  CU_ASSERT_STRING_EQUAL (customer_of (table, "k11"), "unknown");
+  CU_ASSERT_STRING_EQUAL (customer_of (table, ""), "unknown");
   CU_ASSERT_EQUAL (customer_table_count (table), 2);
   CU_ASSERT_EQUAL (customer_table_find (table, "alma")->rate_per_s, 10);
   CU_ASSERT_PTR_NULL (customer_table_find (table, "k1"));
   talloc_free (table);
 }
 
-/* The operators' slips: each is refused by its name, and no message tells a key. */
+/* Configuration errors name the customer concerned, and no message contains a key. */
 static void
-test_slips_are_named_and_keys_are_not (void)
+test_errors_name_customers_but_no_keys (void)
 {
   struct CustomerTable *table = customer_table_new (NULL, 3);
   struct Fault fault;
@@ -93,7 +93,7 @@
     {
       snprintf (name, sizeof name, "customer-%u", i);
       snprintf (key, sizeof key, "key-%u-of-%u", i % n_keys, i);
-      n_found += strcmp (owner (table, key), name) == 0;
+      n_found += strcmp (customer_of (table, key), name) == 0;
     }
   CU_ASSERT_EQUAL (n_found, n_customers);
   talloc_free (table);
@@ -101,8 +101,8 @@
 
 const char test_suite_name[] = "customer_table";
 const struct TestCase test_cases[] = {
-  { "a key is one customer's", test_a_key_is_one_customers },
-  { "slips are named and keys are not", test_slips_are_named_and_keys_are_not },
+  { "a key belongs to one customer", test_key_belongs_to_one_customer },
+  { "errors name customers but no keys", test_errors_name_customers_but_no_keys },
   { "thousands of customers are found", test_thousands_of_customers_are_found },
   { NULL, NULL },
 };
--- a/tests/test_quota_fleet.c
+++ b/tests/test_quota_fleet.c
@@ -1,6 +1,6 @@
-/* Limits on virtual time: gateways of several zones that tell each other of use as heartbeats do,
- * and customers whose programs come through any of them. Checks each sliding window from what ran.
- * Prints a table of what was used of each limit, by either way of sharing it. */
+/* Simulates customers' limits in virtual time: gateways of several zones exchange usage as
+ * heartbeats do, and customers send programs through any of them. Checks each sliding window of the
+ * requests that ran. Prints a table of the usage of each limit, for each way of sharing it. */
 #include "test_main.h"
 
 #include <buckthornhead/customers/quota.h>
@@ -13,36 +13,36 @@
 {
   STEP_MS = 10,
   HEARTBEAT_MS = 500,
-  HEAR_MS = 100,      /* between two looks at what was told */
-  NEAR_MS = 300,      /* between two tellings of customers near their limit */
-  LINKED_MS = 400,    /* from an aggregator's start until its members report to it */
-  STARTING_MS = 3000, /* a gateway tells each time it looks */
+  POLL_MS = 100,        /* between two polls for reports */
+  NEAR_REPORT_MS = 300, /* between two reports on customers near their limit */
+  LINKED_MS = 400,      /* from an aggregator's start until its members report to it */
+  STARTING_MS = 3000,   /* a gateway reports at each poll */
   WINDOW_MS = 5000,
   SLACK = 20,
   BEGIN_MS = 1000000,
   GATEWAYS_MAX = 1220,
   ZONES = 3,
   CUSTOMERS = 4,
-  ROWS = CUSTOMERS + 1, /* what is told: the last of all customers */
+  ROWS = CUSTOMERS + 1, /* rows of a report; the last is the total over all customers */
   RUNS_MAX = 400000,
   PROGRAMS_MAX = 60000,
   TURN_MS = 180, /* between two requests of a program */
-  /* A failed turn comes again twice, each time with one more attempt. */
+  /* A failed turn is retried twice, each time with one more attempt. */
   TRIES = 6
 };
 
-/* The operators' bound: a tenth over the limit, and the slack. */
-static const double OVER = 1.1;
+/* The bound that operators require: a tenth over the limit, plus the slack. */
+static const double BOUND_FACTOR = 1.1;
 
-/* The usual load of a customer, as a part of its limit's rate. */
-static const double USUAL = 0.625;
+/* A customer's usual load, as a fraction of its limit's rate. */
+static const double USUAL_LOAD = 0.625;
 
 struct SimGateway
 {
   struct QuotaLedger *ledger;
   bool is_up, is_cut;
   struct CustomerUse reported[ROWS]; /* to its zone's aggregator */
-  int64_t started_ms, beat_ms, hear_ms, down_until_ms;
+  int64_t started_ms, beat_ms, poll_ms, down_until_ms;
 };
 
 struct SimProgram
@@ -51,7 +51,7 @@
   uint32_t n_left; /* requests, the next one included */
   uint32_t n_tries;
   bool has_begun, is_over;
-  bool is_held; /* by .gateway, which has just started */
+  bool is_deferred; /* by .gateway, which has just started */
   uint32_t gateway;
   int64_t next_ms, began_ms;
 };
@@ -64,8 +64,8 @@
 
 struct SimResult
 {
-  uint32_t n_runs, n_refused, n_asked, n_whole, n_failed, n_refused_begins;
-  double worst; /* of the bound, in the worst window */
+  uint32_t n_runs, n_refused, n_started, n_completed, n_failed, n_refused_begins;
+  double fullest; /* fullest window, as a fraction of the bound */
 };
 
 struct Sim
@@ -73,24 +73,24 @@
   struct SimGateway gateways[GATEWAYS_MAX];
   uint32_t n_gateways;
   struct CustomerTable *customers;
-  double rates[CUSTOMERS];       /* limits, a second */
-  double bound_rates[CUSTOMERS]; /* that the check holds them to */
+  double rates[CUSTOMERS];       /* limits, per second */
+  double bound_rates[CUSTOMERS]; /* used by the check */
   int64_t bound_from_ms[CUSTOMERS];
-  struct CustomerUse zone_told[ZONES][ROWS]; /* to other zones */
+  struct CustomerUse zone_reports[ZONES][ROWS]; /* to other zones */
   int64_t zone_beat_ms[ZONES];
-  struct CustomerUse fleet_told[ZONES][ROWS]; /* to members */
-  size_t n_fleet_told[ZONES];
-  bool zone_has_told[ZONES];
+  struct CustomerUse fleet_reports[ZONES][ROWS]; /* to members */
+  size_t n_fleet_reports[ZONES];
+  bool zone_has_reported[ZONES];
   enum QuotaUrgency zone_urgency[ZONES];
-  int64_t zone_look_ms[ZONES], zone_told_ms[ZONES];
+  int64_t zone_poll_ms[ZONES], zone_reported_ms[ZONES];
   struct SimProgram *programs;
   uint32_t n_programs;
   struct SimRun *runs;
   uint32_t n_runs;
   struct SimResult results[CUSTOMERS];
-  double load[CUSTOMERS];         /* times the usual, now */
-  double owed[CUSTOMERS];         /* programs that should have begun and have not */
-  uint32_t n_requests[CUSTOMERS]; /* of each program */
+  double load[CUSTOMERS];         /* current multiple of the usual load */
+  double n_due[CUSTOMERS];        /* programs that should have begun already, in fractions */
+  uint32_t n_requests[CUSTOMERS]; /* per program */
   uint32_t n_at_once;             /* requests that a program sends together */
   int64_t now_ms;
   uint64_t random;
@@ -130,7 +130,7 @@
 }
 
 static void
-gateway_begin (struct Sim *sim, uint32_t g)
+gateway_start (struct Sim *sim, uint32_t g)
 {
   struct SimGateway *gateway = &sim->gateways[g];
   char name[32];
@@ -140,8 +140,8 @@
   gateway->ledger = quota_ledger_new (sim, &sim->rules, name, sim->now_ms);
   gateway->is_up = true;
   gateway->started_ms = sim->now_ms;
-  gateway->beat_ms = sim->now_ms + draw (sim, HEAR_MS);
-  gateway->hear_ms = sim->now_ms + draw (sim, HEAR_MS);
+  gateway->beat_ms = sim->now_ms + draw (sim, POLL_MS);
+  gateway->poll_ms = sim->now_ms + draw (sim, POLL_MS);
   memset (gateway->reported, 0, sizeof gateway->reported);
   quota_ledger_configure (gateway->ledger, sim->customers, sim->now_ms);
 }
@@ -169,37 +169,37 @@
   sim->n_at_once = 1;
   sim_configure (sim);
   for (uint32_t g = 0; g < n_gateways; g++)
-    gateway_begin (sim, g);
+    gateway_start (sim, g);
   sim->now_ms += WINDOW_MS; /* traffic starts later than gateways */
   for (uint32_t z = 0; z < ZONES; z++)
     sim->zone_beat_ms[z] = sim->now_ms + draw (sim, HEARTBEAT_MS);
   return sim;
 }
 
-/* Control. */
+/* Control */
 
 static void
-use_add (struct CustomerUse *sum, const struct CustomerUse *use)
+usage_add (struct CustomerUse *sum, const struct CustomerUse *usage)
 {
-  memcpy (sum->customer, use->customer, sizeof sum->customer);
-  sum->taken += use->taken;
-  sum->begun += use->begun;
-  sum->wanted += use->wanted;
+  memcpy (sum->customer, usage->customer, sizeof sum->customer);
+  sum->taken += usage->taken;
+  sum->begun += usage->begun;
+  sum->wanted += usage->wanted;
 }
 
 static void
-sim_gateway_tells (struct Sim *sim, struct SimGateway *gateway)
+sim_gateway_report (struct Sim *sim, struct SimGateway *gateway)
 {
   size_t n;
-  struct CustomerUse *uses = quota_ledger_uses (gateway->ledger, sim, sim->now_ms, &n);
+  struct CustomerUse *usages = quota_ledger_uses (gateway->ledger, sim, sim->now_ms, &n);
 
   memset (gateway->reported, 0, sizeof gateway->reported);
   for (size_t i = 0; i < n; i++)
-    if (uses[i].customer[0] == '\0')
-      gateway->reported[CUSTOMERS] = uses[i];
+    if (usages[i].customer[0] == '\0')
+      gateway->reported[CUSTOMERS] = usages[i];
     else
-      gateway->reported[atoi (uses[i].customer + strlen ("customer-"))] = uses[i];
-  talloc_free (uses);
+      gateway->reported[atoi (usages[i].customer + strlen ("customer-"))] = usages[i];
+  talloc_free (usages);
 }
 
 static bool
@@ -209,25 +209,25 @@
 }
 
 static int64_t
-sim_tells_again_ms (const struct Sim *sim, uint32_t g)
+sim_report_interval_ms (const struct Sim *sim, uint32_t g)
 {
   if (sim_is_starting (sim, g))
-    return HEAR_MS;
+    return POLL_MS;
   switch (sim->zone_urgency[g % ZONES])
     {
     case QUOTA_CALM:
       return HEARTBEAT_MS;
     case QUOTA_NEAR:
-      return NEAR_MS;
+      return NEAR_REPORT_MS;
     case QUOTA_SURGE:
-      return HEAR_MS;
+      return POLL_MS;
     }
   return HEARTBEAT_MS;
 }
 
-/* The aggregator of zone z sums its members and what the other zones told last. */
+/* The aggregator of zone z sums its members' usage and the other zones' last reports. */
 static void
-sim_zone_looks (struct Sim *sim, uint32_t z, bool heartbeat)
+sim_zone_poll (struct Sim *sim, uint32_t z, bool heartbeat)
 {
   struct CustomerUse sum[ROWS] = { 0 }, own[ROWS], near[ROWS];
   size_t n = 0;
@@ -235,12 +235,12 @@
   for (uint32_t g = z; g < sim->n_gateways; g += ZONES)
     if (sim->gateways[g].is_up && !sim->gateways[g].is_cut)
       for (uint32_t c = 0; c < ROWS; c++)
-        use_add (&sum[c], &sim->gateways[g].reported[c]);
+        usage_add (&sum[c], &sim->gateways[g].reported[c]);
   for (uint32_t c = 0; c < ROWS; c++)
     own[c] = sum[c];
   for (uint32_t other = 0; other < ZONES; other++)
     for (uint32_t c = 0; other != z && c < ROWS; c++)
-      use_add (&sum[c], &sim->zone_told[other][c]);
+      usage_add (&sum[c], &sim->zone_reports[other][c]);
   for (uint32_t c = 0; c < ROWS; c++)
     {
       if (c < CUSTOMERS)
@@ -249,18 +249,18 @@
     }
   n = quota_ledger_near_limit (sim->gateways[z].ledger, near, n);
   sim->zone_urgency[z] = quota_ledger_urgency (sim->gateways[z].ledger, near, n);
-  if (!heartbeat && sim->now_ms < sim->zone_told_ms[z] + sim_tells_again_ms (sim, z))
+  if (!heartbeat && sim->now_ms < sim->zone_reported_ms[z] + sim_report_interval_ms (sim, z))
     return;
-  sim->zone_told_ms[z] = sim->now_ms;
-  memcpy (sim->zone_told[z], own, sizeof own);
-  memset (sim->fleet_told[z], 0, sizeof sim->fleet_told[z]);
-  memcpy (sim->fleet_told[z], near, n * sizeof near[0]);
-  sim->n_fleet_told[z] = n;
-  sim->zone_has_told[z] = true;
+  sim->zone_reported_ms[z] = sim->now_ms;
+  memcpy (sim->zone_reports[z], own, sizeof own);
+  memset (sim->fleet_reports[z], 0, sizeof sim->fleet_reports[z]);
+  memcpy (sim->fleet_reports[z], near, n * sizeof near[0]);
+  sim->n_fleet_reports[z] = n;
+  sim->zone_has_reported[z] = true;
 }
 
 static uint32_t
-sim_heard (const struct Sim *sim, uint32_t by)
+sim_count_received (const struct Sim *sim, uint32_t by)
 {
   uint32_t n = 0;
 
@@ -271,39 +271,39 @@
 }
 
 static void
-sim_gateway_hears (struct Sim *sim, uint32_t g)
+sim_gateway_receive (struct Sim *sim, uint32_t g)
 {
   struct SimGateway *gateway = &sim->gateways[g];
   const struct QuotaFleet fleet = { .n_known = sim->n_gateways,
-                                    .n_received = sim_heard (sim, g),
+                                    .n_received = sim_count_received (sim, g),
                                     .is_cut_off = gateway->is_cut };
 
   quota_ledger_note_fleet (gateway->ledger, &fleet);
-  if (!gateway->is_cut && sim->zone_has_told[g % ZONES])
-    quota_ledger_take_report (gateway->ledger, sim->fleet_told[g % ZONES],
-                              sim->n_fleet_told[g % ZONES], sim->now_ms);
+  if (!gateway->is_cut && sim->zone_has_reported[g % ZONES])
+    quota_ledger_take_report (gateway->ledger, sim->fleet_reports[g % ZONES],
+                              sim->n_fleet_reports[g % ZONES], sim->now_ms);
 }
 
 static void
-sim_control (struct Sim *sim)
+sim_exchange_reports (struct Sim *sim)
 {
   for (uint32_t g = 0; g < sim->n_gateways; g++)
     {
       struct SimGateway *gateway = &sim->gateways[g];
 
       if (!gateway->is_up && sim->now_ms >= gateway->down_until_ms)
-        gateway_begin (sim, g);
+        gateway_start (sim, g);
       if (gateway->is_up && sim->now_ms >= gateway->beat_ms)
         {
-          gateway->beat_ms += sim_tells_again_ms (sim, g);
-          sim_gateway_tells (sim, gateway);
+          gateway->beat_ms += sim_report_interval_ms (sim, g);
+          sim_gateway_report (sim, gateway);
         }
-      if (gateway->is_up && sim->now_ms >= gateway->hear_ms)
+      if (gateway->is_up && sim->now_ms >= gateway->poll_ms)
         {
-          gateway->hear_ms +=
-              sim_is_starting (sim, g) || sim->zone_urgency[g % ZONES] == QUOTA_SURGE ? HEAR_MS
-                                                                                      : 2 * HEAR_MS;
-          sim_gateway_hears (sim, g);
+          gateway->poll_ms +=
+              sim_is_starting (sim, g) || sim->zone_urgency[g % ZONES] == QUOTA_SURGE ? POLL_MS
+                                                                                      : 2 * POLL_MS;
+          sim_gateway_receive (sim, g);
         }
     }
   for (uint32_t z = 0; z < ZONES; z++)
@@ -312,23 +312,23 @@
 
       if (!sim->gateways[z].is_up)
         continue;
-      if (sim->now_ms < sim->zone_look_ms[z]
+      if (sim->now_ms < sim->zone_poll_ms[z]
           || sim->now_ms - sim->gateways[z].started_ms < LINKED_MS)
         continue;
       if (sim->now_ms >= sim->zone_beat_ms[z])
         sim->zone_beat_ms[z] += HEARTBEAT_MS;
-      sim->zone_look_ms[z] =
-          sim->now_ms + (sim->zone_urgency[z] == QUOTA_SURGE ? HEAR_MS : 2 * HEAR_MS);
-      sim_zone_looks (sim, z, heartbeat);
+      sim->zone_poll_ms[z] =
+          sim->now_ms + (sim->zone_urgency[z] == QUOTA_SURGE ? POLL_MS : 2 * POLL_MS);
+      sim_zone_poll (sim, z, heartbeat);
     }
 }
 
-/* Load. */
+/* Load */
 
 static void
-program_asks (struct Sim *sim, struct SimProgram *program)
+program_send (struct Sim *sim, struct SimProgram *program)
 {
-  uint32_t number = program->is_held ? program->gateway : draw (sim, sim->n_gateways);
+  uint32_t number = program->is_deferred ? program->gateway : draw (sim, sim->n_gateways);
   struct SimGateway *gateway = &sim->gateways[number];
   enum QuotaAsk ask = program->has_begun ? QUOTA_ASK_UNDER_WAY : QUOTA_ASK_BEGIN;
   char name[NAME_MAX_BYTES + 1];
@@ -340,10 +340,10 @@
       return;
     }
   customer_name (program->customer, name);
-  if (!program->is_held)
+  if (!program->is_deferred)
     quota_want (gateway->ledger, name, ask, sim->now_ms);
-  program->is_held = quota_must_wait (gateway->ledger, name, ask, sim->now_ms);
-  if (program->is_held)
+  program->is_deferred = quota_must_wait (gateway->ledger, name, ask, sim->now_ms);
+  if (program->is_deferred)
     {
       program->gateway = number;
       program->next_ms = sim->now_ms + 2 * STEP_MS;
@@ -366,7 +366,7 @@
       program->next_ms = sim->now_ms + verdict.retry_after_ms + draw (sim, 100);
     }
   program->is_over = program->n_left == 0 || program->n_tries == TRIES;
-  sim->results[program->customer].n_whole += program->n_left == 0;
+  sim->results[program->customer].n_completed += program->n_left == 0;
   sim->results[program->customer].n_failed += program->n_tries == TRIES && program->has_begun;
   sim->results[program->customer].n_refused_begins +=
       program->n_tries == TRIES && !program->has_begun;
@@ -377,20 +377,20 @@
 {
   for (uint32_t c = 0; c < CUSTOMERS; c++)
     {
-      sim->owed[c] += sim->load[c] * USUAL * sim->rates[c] / sim->n_requests[c] * STEP_MS / 1000.0
-                      * (draw (sim, 2000) / 1000.0);
-      for (; sim->owed[c] >= 1 && sim->n_programs < PROGRAMS_MAX; sim->owed[c]--)
+      sim->n_due[c] += sim->load[c] * USUAL_LOAD * sim->rates[c] / sim->n_requests[c] * STEP_MS
+                       / 1000.0 * (draw (sim, 2000) / 1000.0);
+      for (; sim->n_due[c] >= 1 && sim->n_programs < PROGRAMS_MAX; sim->n_due[c]--)
         {
           sim->programs[sim->n_programs++] = (struct SimProgram){ .customer = c,
                                                                   .n_left = sim->n_requests[c],
                                                                   .next_ms = sim->now_ms };
-          sim->results[c].n_asked++;
+          sim->results[c].n_started++;
         }
     }
   for (uint32_t i = 0; i < sim->n_programs; i++)
     if (!sim->programs[i].is_over && sim->now_ms >= sim->programs[i].next_ms)
       for (uint32_t n = 0; n < sim->n_at_once && !sim->programs[i].is_over; n++)
-        program_asks (sim, &sim->programs[i]);
+        program_send (sim, &sim->programs[i]);
 }
 
 static void
@@ -398,12 +398,12 @@
 {
   for (int64_t end_ms = sim->now_ms + for_ms; sim->now_ms < end_ms; sim->now_ms += STEP_MS)
     {
-      sim_control (sim);
+      sim_exchange_reports (sim);
       sim_load (sim);
     }
 }
 
-/* The fullest sliding window of each customer, as a part of its bound. */
+/* Finds each customer's fullest sliding window, as a fraction of its bound. */
 static void
 sim_check (struct Sim *sim)
 {
@@ -422,12 +422,12 @@
           most = n > most ? n : most;
           sim->results[c].n_runs++;
         }
-      sim->results[c].worst = most / (limit * OVER + SLACK);
+      sim->results[c].fullest = most / (limit * BOUND_FACTOR + SLACK);
     }
 }
 
 static void
-sim_print (const struct Sim *sim, const char *what)
+sim_print (const struct Sim *sim, const char *title)
 {
   for (uint32_t c = 0; c < CUSTOMERS; c++)
     {
@@ -435,18 +435,18 @@
 
       printf ("%-34s rate %4.0f: fullest window %.2f of the bound; %u programs, %u whole, %u "
               "failed under way, %u not begun, %u requests refused\n",
-              what, sim->rates[c], r->worst, r->n_asked, r->n_whole, r->n_failed,
+              title, sim->rates[c], r->fullest, r->n_started, r->n_completed, r->n_failed,
               r->n_refused_begins, r->n_refused);
     }
 }
 
 static void
-sim_expect_bound (struct Sim *sim, const char *what)
+sim_expect_bound (struct Sim *sim, const char *title)
 {
   sim_check (sim);
-  sim_print (sim, what);
+  sim_print (sim, title);
   for (uint32_t c = 0; c < CUSTOMERS; c++)
-    CU_ASSERT (sim->results[c].worst <= 1);
+    CU_ASSERT (sim->results[c].fullest <= 1);
 }
 
 static void
@@ -467,8 +467,8 @@
     }
 }
 
-/* A customer sends seven and a half times its usual at once. Its limit holds in each window, the
- * programs that are let in run whole, and the others notice nothing. */
+/* A customer suddenly sends 7.5 times its usual load. Its limit must hold in each window, the
+ * programs that are admitted must run to their end, and other customers must not be affected. */
 static void
 test_a_hot_customer_gets_its_limit_in_whole_programs (void)
 {
@@ -477,7 +477,7 @@
       {
         struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
         struct SimResult *r = &sim->results[hot];
-        double held;
+        double n_covered;
 
         sim_run (sim, 8000);
         sim->load[hot] = 7.5;
@@ -485,10 +485,10 @@
         sim->load[hot] = 1;
         sim_run (sim, 8000);
         sim_expect_bound (sim, "one customer 7.5 times its usual");
-        held = sim->rates[hot] * 28 / sim->n_requests[hot];
-        CU_ASSERT (r->n_whole >= 0.75 * (held < r->n_asked ? held : r->n_asked));
-        /* One in twenty, or two where a window holds no more. */
-        CU_ASSERT (r->n_failed * 20 <= r->n_whole + 40);
+        n_covered = sim->rates[hot] * 28 / sim->n_requests[hot];
+        CU_ASSERT (r->n_completed >= 0.75 * (n_covered < r->n_started ? n_covered : r->n_started));
+        /* One in twenty, or two where a window covers no more. */
+        CU_ASSERT (r->n_failed * 20 <= r->n_completed + 40);
         for (uint32_t c = 0; c < CUSTOMERS; c++)
           if (c != hot)
             CU_ASSERT_EQUAL (sim->results[c].n_failed + sim->results[c].n_refused_begins, 0);
@@ -496,10 +496,10 @@
       }
 }
 
-/* Programs call several tools together, and operators lower limits to what customers use or less.
- * Some twenty requests of a small customer come between two reports of its use. */
+/* Programs send several requests together, and operators lower limits to what customers use or
+ * less. About twenty requests of a small customer arrive between two reports of its usage. */
 static void
-test_programs_that_call_tools_together_stay_within_a_lower_limit (void)
+test_concurrent_requests_stay_within_a_lower_limit (void)
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
@@ -531,16 +531,16 @@
     }
   for (uint32_t z = 0; z < ZONES; z++)
     {
-      sim->zone_has_told[z] = false;
+      sim->zone_has_reported[z] = false;
       sim->zone_urgency[z] = QUOTA_CALM;
     }
 }
 
-/* Customers' programs need more or fewer requests than those of all together, and one customer
- * after the other is hot. What its own need is learned: else a limit is broken, or a part of it
- * unused. */
+/* Programs of some customers need more or fewer requests than the mean of all, and one customer
+ * after the other is hot. Unless each customer's own program size is learned, a limit is exceeded
+ * or partly unused. */
 static void
-test_a_hot_customers_programs_are_like_no_others (void)
+test_a_hot_customers_program_size_is_learned (void)
 {
   static const uint32_t requests[CUSTOMERS] = { 12, 15, 8, 12 };
 
@@ -554,16 +554,16 @@
         sim_run (sim, 8000);
         sim->load[hot] = 4.3;
         sim_run (sim, 16000);
-        sim_expect_bound (sim, "hot, with programs of its own kind");
+        sim_expect_bound (sim, "hot, with its own program size");
         /* 1.1 times the rate is what a window allows in the long run. */
-        CU_ASSERT (r->n_whole * sim->n_requests[hot] >= 0.75 * sim->rates[hot] * 22);
-        CU_ASSERT (r->n_failed * 10 <= r->n_whole + 40);
+        CU_ASSERT (r->n_completed * sim->n_requests[hot] >= 0.75 * sim->rates[hot] * 22);
+        CU_ASSERT (r->n_failed * 10 <= r->n_completed + 40);
         talloc_free (sim);
       }
 }
 
-/* All gateways stop at once and are back within a second, knowing nothing, while two customers send
- * several times their limits. They get no second burst. */
+/* All gateways stop at once and restart within a second, without state, while two customers send
+ * several times their limits. The restart must not grant a second burst. */
 static void
 test_a_stop_of_everything_gives_no_second_burst (void)
 {
@@ -581,8 +581,8 @@
     }
 }
 
-/* The same with nobody over a limit: after the stop all programs come again at once, and none of
- * them is held to what its customer may have used before. */
+/* All gateways restart while no customer is over its limit. All programs send their requests again
+ * at once, and none may be refused for usage that its customer may have had before. */
 static void
 test_a_stop_of_everything_refuses_nobody (void)
 {
@@ -600,10 +600,10 @@
     }
 }
 
-/* A quarter of the gateways is cut off from the others and still reached by callers and servers.
- * What they let through does not break the limit together with the others. */
+/* A quarter of the gateways is cut off from the others but still reached by callers and servers.
+ * Both sides together must keep the limit. */
 static void
-test_gateways_that_are_cut_off_keep_to_a_part (void)
+test_cut_off_gateways_keep_the_limit (void)
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
@@ -624,8 +624,8 @@
     }
 }
 
-/* A limit is lowered far below what its customer sends, then raised again. The lower one holds from
- * the moment at which it is in force; with the higher one all pass again at once. */
+/* A limit is lowered far below its customer's load, then raised again. The lower limit must hold
+ * from the moment it is in force; with the higher one all requests pass again at once. */
 static void
 test_a_lower_limit_holds_and_a_higher_one_at_once (void)
 {
@@ -659,7 +659,7 @@
     }
 }
 
-/* All customers come to a little more than their limits, by degrees, and stay there. */
+/* All customers rise to loads somewhat over their limits and stay there. */
 static void
 test_a_little_over_the_limit (void)
 {
@@ -679,8 +679,8 @@
       }
 }
 
-/* Three customers are hot together, before hundreds of gateways: each sees next to nothing of any
- * of them. */
+/* Three customers are hot together in fleets of hundreds of gateways, where each gateway sees only
+ * a tiny share of any customer. */
 static void
 test_three_hot_customers_in_large_fleets (void)
 {
@@ -700,10 +700,10 @@
     }
 }
 
-/* Three gateways, and customers that send twelve times their usual. Between two words each gateway
- * lets a third of the surge in and knows nothing of the rest. */
+/* Three gateways, and customers that send twelve times their usual load. Between two reports each
+ * gateway admits a third of the surge without knowing of the rest. */
 static void
-test_a_surge_before_three_gateways (void)
+test_a_surge_at_three_gateways (void)
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
@@ -718,9 +718,9 @@
     }
 }
 
-/* Not checks but a table: what the other ways make of the same load. */
+/* Checks nothing: prints how the other ways of sharing handle the same load. */
 static void
-test_table_of_ways (void)
+test_sharing_table (void)
 {
   static const struct
   {
@@ -753,18 +753,17 @@
   { "usual load is not refused", test_usual_load_is_not_refused },
   { "a hot customer gets its limit in whole programs",
     test_a_hot_customer_gets_its_limit_in_whole_programs },
-  { "a hot customer's programs are like no others",
-    test_a_hot_customers_programs_are_like_no_others },
+  { "a hot customer's program size is learned", test_a_hot_customers_program_size_is_learned },
   { "a stop of everything gives no second burst", test_a_stop_of_everything_gives_no_second_burst },
   { "a stop of everything refuses nobody", test_a_stop_of_everything_refuses_nobody },
-  { "gateways that are cut off keep to a part", test_gateways_that_are_cut_off_keep_to_a_part },
+  { "cut-off gateways keep the limit", test_cut_off_gateways_keep_the_limit },
   { "a lower limit holds, a higher one at once",
     test_a_lower_limit_holds_and_a_higher_one_at_once },
   { "a little over the limit", test_a_little_over_the_limit },
   { "three hot customers in large fleets", test_three_hot_customers_in_large_fleets },
-  { "a surge before three gateways", test_a_surge_before_three_gateways },
-  { "table of ways", test_table_of_ways },
+  { "a surge at three gateways", test_a_surge_at_three_gateways },
+  { "table of ways of sharing", test_sharing_table },
   { "programs that call tools together stay within a lower limit",
-    test_programs_that_call_tools_together_stay_within_a_lower_limit },
+    test_concurrent_requests_stay_within_a_lower_limit },
   { NULL, NULL },
 };
