--- a/core/dispatch_estimate.c
+++ b/core/dispatch_estimate.c
@@ -6,20 +6,22 @@
 
 enum
 {
-  /* A program that has received this little counts as new. */
+  /* A program that has received no more tokens than this ranks about like a new one. */
   QUEUE_QUANTUM_TOKENS = 500,
   QUEUE_RETRY_MIN_MS = 500,
   QUEUE_RETRY_MAX_MS = 60000
 };
 
-/* A newcomer is refused when its first call alone would probably wait this share of its time. */
-static const double QUEUE_WAIT_SHARE = 0.5;
-static const double QUEUE_WAIT_FORGET_MS = 10000;
+/* A new program is refused if its first call alone would probably wait for this fraction of its
+ * time. */
+static const double QUEUE_WAIT_FRACTION_MAX = 0.5;
+static const double QUEUE_WAIT_DECAY_MS = 10000;
 
 double
 queue_generated (const struct FairService *service, const struct DispatchItem *item)
 {
-  double tokens = service->generated_tokens > 0 ? service->generated_tokens : QUEUE_GENERATED_FIRST;
+  double tokens =
+      service->generated_tokens > 0 ? service->generated_tokens : QUEUE_GENERATED_INITIAL;
 
   return item->max_tokens > 0 && tokens > item->max_tokens ? item->max_tokens : tokens;
 }
@@ -47,7 +49,7 @@
   return prefill + queue_generated (service, item) * queue->limit.best_pace_ms;
 }
 
-/* Time in which all that waits now would be sent. */
+/* Returns the time in which all calls waiting now would be sent. */
 static double
 queue_drain_ms (const struct DispatchQueue *queue)
 {
@@ -58,21 +60,21 @@
 queue_backlog_ms (const struct DispatchQueue *queue)
 {
   double drain = queue_drain_ms (queue);
-  double outside = 0;
+  double unadmitted = 0;
 
-  if (policy_heap_first (&queue->fair.outside) != NULL)
-    outside = queue->admit_gap_ms * queue->n_waiting;
-  return outside > drain ? outside : drain;
+  if (policy_heap_first (&queue->fair.unadmitted) != NULL)
+    unadmitted = queue->admit_interval_ms * queue->n_waiting;
+  return unadmitted > drain ? unadmitted : drain;
 }
 
-/* Expected wait of a program's first call. Forgotten when none has been sent for a while: else a
- * high value would refuse the very newcomers whose waits would lower it. */
+/* Returns the expected wait of a program's first call. The value decays while none is sent:
+ * otherwise a high value would refuse the very programs whose waits would lower it. */
 static double
 queue_wait_new_ms (const struct FairService *service, int64_t now_ms)
 {
   double age_ms = (double)(now_ms - service->wait_new_at_ms);
 
-  return service->wait_new_ms * exp (-age_ms / QUEUE_WAIT_FORGET_MS);
+  return service->wait_new_ms * exp (-age_ms / QUEUE_WAIT_DECAY_MS);
 }
 
 void
@@ -86,11 +88,11 @@
   service->wait_new_at_ms = now_ms;
 }
 
-/* Smaller is more urgent. For the program rule the key is a time: a call that has waited ageing_ms
- * longer stands even with one whose program has received half as much. So the urgency doubles in
- * that time, yet the order never changes while calls wait and a heap can hold it; and a call waits
- * behind newcomers for ageing_ms x log2 (its program's tokens / quantum) at most. What a program
- * has received includes the prompt that this call brings: it is known to be work to come. */
+/* Returns the ordering key; smaller is more urgent. Under POLICY_PROGRAM the key is a time: a call
+ * that has waited ageing_ms longer is equal to one whose program has received half as many tokens.
+ * So the urgency doubles in that time, yet the order of waiting calls never changes and a heap can
+ * hold it; and a call waits behind new programs for at most ageing_ms x log2 (its program's tokens
+ * / quantum). The tokens include this call's uncached prompt: that work is certain to come. */
 double
 queue_urgency (const struct PolicyWeights *weights, const struct DispatchItem *item, int64_t now_ms)
 {
@@ -136,21 +138,21 @@
              int64_t now_ms,
              struct Fault *fault)
 {
-  bool newcomer = item->attained_tokens == 0;
-  /* Programs under way have cost something already: they may use twice the queue. */
-  uint32_t room = newcomer ? weights->queue_limit : weights->queue_limit * 2;
+  bool is_new = item->attained_tokens == 0;
+  /* Programs under way have already used resources: they may fill twice the queue. */
+  uint32_t queue_max = is_new ? weights->queue_limit : weights->queue_limit * 2;
   double left = (double)(item->deadline_ms - now_ms);
 
-  if (room > 0 && service->n_waiting >= room)
-    return fault_set (fault, ERROR_OVERLOADED, NULL, "%u calls of %s wait already",
+  if (queue_max > 0 && service->n_waiting >= queue_max)
+    return fault_set (fault, ERROR_OVERLOADED, NULL, "%u calls of %s are already queued",
                       service->n_waiting, item->service);
   if (item->deadline_ms == 0)
     return ERROR_NONE;
   if (queue_service_ms (queue, service, item) > left)
-    return fault_set (fault, ERROR_DEADLINE, NULL, "the call needs longer than the %.0f ms left",
-                      left);
-  if (weights->rule == POLICY_PROGRAM && newcomer
-      && queue_wait_new_ms (service, now_ms) > left * QUEUE_WAIT_SHARE)
+    return fault_set (fault, ERROR_DEADLINE, NULL,
+                      "the call would take longer than the %.0f ms left", left);
+  if (weights->rule == POLICY_PROGRAM && is_new
+      && queue_wait_new_ms (service, now_ms) > left * QUEUE_WAIT_FRACTION_MAX)
     return fault_set (fault, ERROR_OVERLOADED, NULL,
                       "a program that starts now would probably miss its deadline");
   return ERROR_NONE;
--- a/core/dispatch_estimate.h
+++ b/core/dispatch_estimate.h
@@ -1,48 +1,48 @@
-/* What the dispatch queue expects of a call before it runs, how urgent it is, and whether it is
- * refused. */
+/* Estimates of a call's cost before it runs, its urgency and whether the queue refuses it. */
 #pragma once
 
 #include "dispatch_state.h"
 
 enum
 {
-  /* A generated token takes about as long as this many prefilled ones. */
+  /* Number of prefilled tokens that take about as long as one generated token. */
   QUEUE_GENERATED_COST = 8
 };
 
-static const double QUEUE_GENERATED_FIRST = 64; /* tokens, until learned */
+static const double QUEUE_GENERATED_INITIAL = 64; /* tokens, until learned */
 static const double QUEUE_GAIN = 0.05;
 
-/* Tokens that the call will probably generate. */
+/* Returns the number of tokens that the call will probably generate. */
 double
 queue_generated (const struct FairService *service, const struct DispatchItem *item);
-/* Prompt tokens that are probably cached, by the home's hint, and that are not. */
+/* Return the number of prompt tokens that are probably cached, by the home's hint, and that are
+ * not. */
 uint32_t
 queue_cached (const struct DispatchItem *item);
 uint32_t
 queue_uncached (const struct DispatchItem *item);
 
-/* Least time the call takes once sent. */
+/* Returns the minimum duration of the call once sent. */
 double
 queue_service_ms (const struct DispatchQueue *queue,
                   const struct FairService *service,
                   const struct DispatchItem *item);
-/* Time in which all programs that wait for a place would get one: what a home compares servers by.
- * Made from the backlog, so that it shows a change at once. */
+/* Returns the time in which all programs waiting to be admitted would be; homes compare servers by
+ * it. Computed from the backlog, so that it reflects a change at once. */
 double
 queue_backlog_ms (const struct DispatchQueue *queue);
 
-/* The call is sent now: learns how long its service's newcomers wait. */
+/* Updates the learned wait of new programs of the call's service; called when the call is sent. */
 void
 queue_learn_wait (struct QueuedCall *call, int64_t now_ms);
 
-/* Key of the call among those that wait; smaller is more urgent. */
+/* Returns the ordering key of a waiting call; smaller is more urgent. */
 double
 queue_urgency (const struct PolicyWeights *weights,
                const struct DispatchItem *item,
                int64_t now_ms);
 
-/* ERROR_NONE, or why the call is refused at once. */
+/* Returns ERROR_NONE, or the reason for refusing the call at once. */
 int32_t
 queue_check (const struct DispatchQueue *queue,
              const struct FairService *service,
@@ -50,6 +50,7 @@
              const struct DispatchItem *item,
              int64_t now_ms,
              struct Fault *fault);
-/* When a refused caller should come back; callers with different seeds come back apart. */
+/* Returns the delay before a refused caller should retry; it differs by seed, to spread the
+ * retries. */
 uint32_t
 queue_retry_after_ms (const struct DispatchQueue *queue, uint32_t spread_seed, int64_t now_ms);
--- a/core/dispatch_queue.c
+++ b/core/dispatch_queue.c
@@ -7,10 +7,10 @@
 
 enum
 {
-  QUEUE_OVERDUE_TURN = 4,
+  QUEUE_OVERDUE_INTERVAL = 4,
   QUEUE_OVERDUE_AGEINGS = 2,
-  QUEUE_PREFILL_TOKENS = 1536,
-  QUEUE_PREFILL_PATIENCE = 4
+  QUEUE_PREFILL_TOKENS_MAX = 1536,
+  QUEUE_PREFILL_TIMEOUT_FACTOR = 4
 };
 
 struct DispatchQueue *
@@ -66,10 +66,10 @@
     return false;
   call->new_tokens =
       queue_uncached (&call->item) + (uint32_t)queue_generated (call->service, &call->item);
-  active_set_called (&queue->set, program, queue_cached (&call->item), call->new_tokens, now_ms);
+  active_set_add_call (&queue->set, program, queue_cached (&call->item), call->new_tokens, now_ms);
   active_set_admit_small (&queue->set, program);
   call->program = program;
-  /* The home's hint knows the branch: a sub-agent's first call has nothing cached, whatever its
+  /* The home's hint is per branch: a sub-agent's first call has nothing cached, whatever its
    * program holds. */
   call->expected_tokens = program->active ? call->item.cached_tokens_hint : 0;
   call->ready = program->active;
@@ -93,8 +93,8 @@
       program->n_waiting--;
       queue_unlink (program, call);
     }
-  active_set_done (&queue->set, program, call->new_tokens, call->grown_tokens);
-  active_set_paused (queue, &queue->set, program, now_ms);
+  active_set_end_call (&queue->set, program, call->new_tokens, call->grown_tokens);
+  active_set_pause_if_idle (queue, &queue->set, program, now_ms);
 }
 
 static bool
@@ -127,7 +127,7 @@
 }
 
 static void
-queue_drop (struct DispatchQueue *queue, struct QueuedCall *call, int64_t now_ms)
+queue_free_call (struct DispatchQueue *queue, struct QueuedCall *call, int64_t now_ms)
 {
   queue_leave_program (queue, call, now_ms);
   policy_table_remove (&queue->calls, &call->by_id);
@@ -177,7 +177,7 @@
 
   *retry_after_ms = 0;
   if (service == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory to queue a call");
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory while queueing a call");
   service->weights = *weights;
   error = queue_check (queue, service, weights, item, now_ms, fault);
   if (error != ERROR_NONE)
@@ -186,10 +186,10 @@
       return error;
     }
   if (queue_find (queue, item->id) != NULL)
-    return fault_set (fault, ERROR_CONFLICT, NULL, "the item is queued already");
+    return fault_set (fault, ERROR_CONFLICT, NULL, "the item is already queued");
   call = talloc_zero (queue, struct QueuedCall);
   if (call == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory to queue a call");
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory while queueing a call");
   call->item = *item;
   call->service = service;
   call->pushed_ms = now_ms;
@@ -199,27 +199,27 @@
   if (queue_insert (queue, call, now_ms))
     return ERROR_NONE;
   talloc_free (call);
-  return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory to queue a call");
+  return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory while queueing a call");
 }
 
 /* ---- Pop ---- */
 
-/* Engines compute prompts one after the other, first in first out: what is sent behind long prompts
+/* Engines compute prompts one after the other, first in first out: a call sent behind long prompts
  * waits in the engine, where no priority reaches it. So only as much is sent as keeps the engine
- * busy. Where no first tokens are ever seen, a guess of the time taken lets the next one go. */
+ * busy. If first tokens are never seen, the estimated time taken lets the next call go. */
 static bool
 queue_prefill_has_room (const struct DispatchQueue *queue,
                         const struct QueuedCall *call,
                         int64_t now_ms)
 {
-  double guess_ms = (double)queue->prefill_tokens * queue->limit.best_prefill_us / 1000;
+  double estimate_ms = (double)queue->prefill_tokens * queue->limit.best_prefill_us / 1000;
 
   if (call->service->weights.rule != POLICY_PROGRAM || queue->prefill_tokens == 0
       || queue->limit.best_prefill_us == 0)
     return true;
-  if ((double)(now_ms - queue->prefill_sent_ms) > guess_ms * QUEUE_PREFILL_PATIENCE)
+  if ((double)(now_ms - queue->prefill_sent_ms) > estimate_ms * QUEUE_PREFILL_TIMEOUT_FACTOR)
     return true;
-  return queue->prefill_tokens + queue_uncached (&call->item) <= QUEUE_PREFILL_TOKENS;
+  return queue->prefill_tokens + queue_uncached (&call->item) <= QUEUE_PREFILL_TOKENS_MAX;
 }
 
 static void
@@ -255,9 +255,9 @@
   fair_share_charge (queue, &queue->fair, call->service, call->charged_tokens);
 }
 
-/* The program has its place: all its waiting calls are ready. */
+/* The program was admitted: all its waiting calls become ready. */
 static void
-queue_ready_program (struct DispatchQueue *queue, struct ActiveProgram *program, int64_t now_ms)
+queue_program_admitted (struct DispatchQueue *queue, struct ActiveProgram *program, int64_t now_ms)
 {
   for (struct QueuedCall *c = program->calls; c != NULL; c = c->next)
     {
@@ -265,10 +265,10 @@
       c->ready = true;
       queue_enqueue (queue, c);
     }
-  if (queue->admitted_ms != 0)
-    queue->admit_gap_ms +=
-        ((double)(now_ms - queue->admitted_ms) - queue->admit_gap_ms) * QUEUE_GAIN;
-  queue->admitted_ms = now_ms;
+  if (queue->last_admit_ms != 0)
+    queue->admit_interval_ms +=
+        ((double)(now_ms - queue->last_admit_ms) - queue->admit_interval_ms) * QUEUE_GAIN;
+  queue->last_admit_ms = now_ms;
   queue->n_admitted++;
 }
 
@@ -281,15 +281,16 @@
 }
 
 static struct QueuedCall *
-queue_first_outside (struct HeapNode *service_node)
+queue_first_unadmitted (struct HeapNode *service_node)
 {
-  struct FairService *service = HEAP_ENTRY (service_node, struct FairService, outside_node);
+  struct FairService *service = HEAP_ENTRY (service_node, struct FairService, unadmitted_node);
 
-  return HEAP_ENTRY (policy_heap_first (&service->outside), struct QueuedCall, order);
+  return HEAP_ENTRY (policy_heap_first (&service->unadmitted), struct QueuedCall, order);
 }
 
-/* A request that was running on a server when it died may have killed it, and so may each that ran
- * beside it. Sent together they would die together again, and all be quarantined. */
+/* A request that was running on a server when it died may have caused the crash, and so may each
+ * request that ran at the same time. Sent together they would crash the next server together, and
+ * all be quarantined. */
 static struct QueuedCall *
 queue_next_suspect (struct DispatchQueue *queue, int64_t now_ms)
 {
@@ -302,26 +303,27 @@
   if (call->program != NULL && !call->program->active)
     {
       active_set_admit (&queue->set, call->program, ACTIVE_FORCED);
-      queue_ready_program (queue, call->program, now_ms);
+      queue_program_admitted (queue, call->program, now_ms);
     }
   return call;
 }
 
-/* The oldest call that waits for a place, if it has waited too long and it is its turn: one in a
- * few places goes by age, so that none waits for ever however many newcomers there are. */
+/* Returns the oldest call whose program is not admitted, if it has waited too long and its turn has
+ * come: every few admissions go by age, so that no call waits forever however many new programs
+ * there are. */
 static struct QueuedCall *
 queue_next_overdue (struct DispatchQueue *queue, int64_t now_ms)
 {
   struct HeapNode *node = policy_heap_first (&queue->ages);
   struct QueuedCall *call;
 
-  if (node == NULL || queue->n_admitted % QUEUE_OVERDUE_TURN != 0)
+  if (node == NULL || queue->n_admitted % QUEUE_OVERDUE_INTERVAL != 0)
     return NULL;
   call = HEAP_ENTRY (node, struct QueuedCall, age);
   if (now_ms - call->pushed_ms < (int64_t)call->service->weights.ageing_ms * QUEUE_OVERDUE_AGEINGS
       || !active_set_admit (&queue->set, call->program, ACTIVE_OVERDUE))
     return NULL;
-  queue_ready_program (queue, call->program, now_ms);
+  queue_program_admitted (queue, call->program, now_ms);
   return call;
 }
 
@@ -329,17 +331,17 @@
 queue_next (struct DispatchQueue *queue, int64_t now_ms)
 {
   struct HeapNode *ready = policy_heap_first (&queue->fair.ready);
-  struct HeapNode *outside = policy_heap_first (&queue->fair.outside);
+  struct HeapNode *unadmitted = policy_heap_first (&queue->fair.unadmitted);
   struct QueuedCall *call;
 
-  if (outside != NULL && (ready == NULL || heap_node_before (outside, ready)))
+  if (unadmitted != NULL && (ready == NULL || heap_node_before (unadmitted, ready)))
     {
-      call = queue_first_outside (outside);
+      call = queue_first_unadmitted (unadmitted);
       if (active_set_admit (&queue->set, call->program,
                             queue->n_in_flight == 0 && ready == NULL ? ACTIVE_FORCED
                                                                      : ACTIVE_USUAL))
         {
-          queue_ready_program (queue, call->program, now_ms);
+          queue_program_admitted (queue, call->program, now_ms);
           return call;
         }
     }
@@ -374,7 +376,7 @@
   if (call == NULL || call->running)
     return false;
   queue_stop_waiting (queue, call);
-  queue_drop (queue, call, call->pushed_ms);
+  queue_free_call (queue, call, call->pushed_ms);
   return true;
 }
 
@@ -389,11 +391,11 @@
   call = HEAP_ENTRY (node, struct QueuedCall, expiry);
   *id = call->item.id;
   queue_stop_waiting (queue, call);
-  queue_drop (queue, call, now_ms);
+  queue_free_call (queue, call, now_ms);
   return true;
 }
 
-/* ---- What is learned from answers ---- */
+/* ---- Learning from responses ---- */
 
 void
 dispatch_queue_first_token (struct DispatchQueue *queue, uint64_t id, int64_t now_ms)
@@ -410,7 +412,7 @@
 queue_learn_service (struct FairService *service, uint32_t generated)
 {
   if (service->generated_tokens == 0)
-    service->generated_tokens = QUEUE_GENERATED_FIRST;
+    service->generated_tokens = QUEUE_GENERATED_INITIAL;
   service->generated_tokens += (generated - service->generated_tokens) * QUEUE_GAIN;
 }
 
@@ -438,7 +440,7 @@
   fair_share_charge (queue, &queue->fair, call->service, cost - call->charged_tokens);
   if (call->program == NULL)
     return;
-  active_set_learn (&queue->set, call->expected_tokens, outcome->cached_tokens);
+  active_set_learn_budget (&queue->set, call->expected_tokens, outcome->cached_tokens);
   if (charged > queue_cached (&call->item))
     call->grown_tokens = charged - queue_cached (&call->item);
 }
@@ -464,15 +466,15 @@
 
       policy_limit_learn (&queue->limit, &sample);
     }
-  queue_drop (queue, call, now_ms);
+  queue_free_call (queue, call, now_ms);
 }
 
-/* ---- Reports and the queue's own picture ---- */
+/* ---- Reports and the queue's state ---- */
 
 void
 dispatch_queue_report_cache (struct DispatchQueue *queue, uint64_t capacity_tokens)
 {
-  active_set_report (&queue->set, capacity_tokens);
+  active_set_set_capacity (&queue->set, capacity_tokens);
 }
 
 void
@@ -481,7 +483,7 @@
   struct ActiveProgram *active = active_set_find (&queue->set, program);
 
   if (active != NULL && active->n_waiting + active->n_running == 0)
-    active_set_forget (&queue->set, active);
+    active_set_remove (&queue->set, active);
 }
 
 void
@@ -491,8 +493,8 @@
 
   active->n_programs = set->n_active;
   active->active_tokens = set->active_tokens;
-  active->n_taken = set->n_taken;
-  active->n_lapsed = set->n_lapsed;
+  active->n_taken = set->n_evicted;
+  active->n_lapsed = set->n_expired;
   active->budget_tokens = isinf (set->budget_tokens) ? UINT64_MAX : (uint64_t)set->budget_tokens;
 }
 
--- a/core/fair_share.c
+++ b/core/fair_share.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Services this near to each other, in weighted tokens, count as even. */
+/* Services whose weighted tokens are within the same step of this size count as even. */
 static const double FAIR_SLACK_TOKENS = 20000;
 
 struct FairService *
@@ -26,13 +26,13 @@
   return NULL;
 }
 
-/* Puts the service where its virtual time and its most urgent call belong. */
+/* Updates the service's position in a heap from its virtual time and its most urgent call. */
 static bool
-fair_place (TALLOC_CTX *ctx,
-            struct PolicyHeap *services,
-            const struct FairService *service,
-            const struct PolicyHeap *calls,
-            struct HeapNode *node)
+fair_update_position (TALLOC_CTX *ctx,
+                      struct PolicyHeap *services,
+                      const struct FairService *service,
+                      const struct PolicyHeap *calls,
+                      struct HeapNode *node)
 {
   const struct HeapNode *first = policy_heap_first (calls);
 
@@ -48,12 +48,14 @@
 }
 
 static bool
-fair_place_both (TALLOC_CTX *ctx, struct FairShare *fair, struct FairService *service)
+fair_update_positions (TALLOC_CTX *ctx, struct FairShare *fair, struct FairService *service)
 {
-  bool placed = fair_place (ctx, &fair->ready, service, &service->ready, &service->ready_node);
+  bool updated =
+      fair_update_position (ctx, &fair->ready, service, &service->ready, &service->ready_node);
 
-  return fair_place (ctx, &fair->outside, service, &service->outside, &service->outside_node)
-         && placed;
+  return fair_update_position (ctx, &fair->unadmitted, service, &service->unadmitted,
+                               &service->unadmitted_node)
+         && updated;
 }
 
 bool
@@ -63,12 +65,13 @@
                 struct HeapNode *node,
                 bool ready)
 {
-  /* A service that was idle starts even: it can not save up a claim to the whole server. */
-  if (service->ready.n + service->outside.n == 0 && service->virtual_tokens < fair->virtual_tokens)
+  /* A service that was idle starts even: it cannot save up a claim to the whole server. */
+  if (service->ready.n + service->unadmitted.n == 0
+      && service->virtual_tokens < fair->virtual_tokens)
     service->virtual_tokens = fair->virtual_tokens;
-  if (!policy_heap_put (ctx, ready ? &service->ready : &service->outside, node))
+  if (!policy_heap_put (ctx, ready ? &service->ready : &service->unadmitted, node))
     return false;
-  return fair_place_both (ctx, fair, service);
+  return fair_update_positions (ctx, fair, service);
 }
 
 void
@@ -78,8 +81,8 @@
                    struct HeapNode *node,
                    bool ready)
 {
-  policy_heap_remove (ready ? &service->ready : &service->outside, node);
-  fair_place_both (ctx, fair, service);
+  policy_heap_remove (ready ? &service->ready : &service->unadmitted, node);
+  fair_update_positions (ctx, fair, service);
 }
 
 void
@@ -93,5 +96,5 @@
   if (tokens > 0 && service->virtual_tokens > fair->virtual_tokens)
     fair->virtual_tokens = service->virtual_tokens;
   service->virtual_tokens += tokens / share;
-  fair_place_both (ctx, fair, service);
+  fair_update_positions (ctx, fair, service);
 }
--- a/core/fair_share.h
+++ b/core/fair_share.h
@@ -1,7 +1,8 @@
-/* Fair shares between the services that wait at one backend server, by weighted virtual time.
+/* Fair sharing of one backend server between the services waiting for it, by weighted virtual time.
  *
- * Each service has two heaps of waiting calls: those whose program has its place in the server's
- * cache (ready) and those whose program has none yet (outside). A service's virtual time grows with
+ *
+ * Each service has two heaps of waiting calls: those whose program is admitted to the server's
+ * cache (ready) and those whose program is not (unadmitted). A service's virtual time grows with
  * the tokens it has received, divided by its share. Services are compared by virtual time in steps
  * of a slack, and within one step by their most urgent call: so urgency decides between services
  * that are about even, and fairness once one runs ahead. */
@@ -18,10 +19,10 @@
   char name[NAME_MAX_BYTES + 1];
   struct PolicyWeights weights; /* as last pushed */
   double virtual_tokens;
-  struct PolicyHeap ready, outside;
-  struct HeapNode ready_node, outside_node;
+  struct PolicyHeap ready, unadmitted;
+  struct HeapNode ready_node, unadmitted_node;
   uint32_t n_waiting;
-  /* Learned: */
+  /* Learned values: */
   double generated_tokens; /* of one call */
   double pause_ms;         /* between a program's calls */
   double wait_new_ms;      /* of its programs' first calls */
@@ -31,15 +32,15 @@
 struct FairShare
 {
   struct PolicyTable services;
-  struct PolicyHeap ready, outside; /* of services */
-  double virtual_tokens;            /* of the service served last */
+  struct PolicyHeap ready, unadmitted; /* of services */
+  double virtual_tokens;               /* of the service served last */
 };
 
-/* The service of that name, made when new; NULL when memory is short. */
+/* Returns the service of that name, created if new; NULL when out of memory. */
 struct FairService *
 fair_share_service (TALLOC_CTX *ctx, struct FairShare *fair, const char *name);
 
-/* Adds a waiting call's node, or takes it out. */
+/* Add and remove a waiting call's node. */
 bool
 fair_share_add (TALLOC_CTX *ctx,
                 struct FairShare *fair,
@@ -53,7 +54,8 @@
                    struct HeapNode *node,
                    bool ready);
 
-/* The service has received that much, or got less than was charged before. */
+/* Charges the service for tokens it has received; negative if it received fewer than charged
+ * before. */
 void
 fair_share_charge (TALLOC_CTX *ctx,
                    struct FairShare *fair,
--- a/core/placement.c
+++ b/core/placement.c
@@ -10,38 +10,40 @@
 
 enum
 {
-  /* Above this many servers a sample is compared instead of all, so that a decision costs the same
-   * at 20 servers and at 2,000. */
-  PLACEMENT_SAMPLE = 12,
-  /* Digests lag: what this home sent in the last moments is added to what they say, else all
-   * homes' calls of one digest period pile up on the server that looked best in it. */
-  PLACEMENT_RECENT_MS = 250,
+  /* With more servers than this, a sample is compared instead of all, so that a decision costs the
+   * same with 20 servers and with 2,000. */
+  PLACEMENT_SAMPLE_MAX = 12,
+  /* Digests lag: the calls that this home sent recently are added to their counts, decaying with
+   * this time constant. Otherwise all homes' calls of one digest period would be sent to the server
+   * that looked best in it. */
+  PLACEMENT_RECENT_DECAY_MS = 250,
   PLACEMENT_KEY_BYTES = PROGRAM_ID_MAX_BYTES + NAME_MAX_BYTES + 2,
   PERMILLE = 1000,
   US_PER_MS = 1000
 };
 
-/* Scores within this share of each other are a tie, which goes to the same availability zone. */
-static const double PLACEMENT_TIE = 0.02;
+/* Scores that differ by less than this fraction tie; a server in the same availability zone wins a
+ * tie. */
+static const double PLACEMENT_TIE_FRACTION = 0.02;
 static const double PLACEMENT_TIE_MS = 2.0;
-/* At the full cache weight a token to recompute counts this many times its cost in time. */
-static const double PLACEMENT_RECOMPUTE = 3.0;
-static const double PLACEMENT_CACHE_GAIN = 4.0;
-/* How much one call slows down another that runs beside it. */
-static const double PLACEMENT_BATCH_SHARE = 0.03;
-static const double PLACEMENT_PROGRAM_SHARE = 1.0;
+/* With the full cache weight a token to recompute counts this many times its cost in time. */
+static const double PLACEMENT_RECOMPUTE_WEIGHT = 3.0;
+static const double PLACEMENT_RECOMPUTE_CACHE_WEIGHT = 4.0;
+/* How much each concurrent call slows down the others in a batch. */
+static const double PLACEMENT_BATCH_SLOWDOWN = 0.03;
+static const double PLACEMENT_PROGRAM_WEIGHT = 1.0;
 static const double PLACEMENT_SIZE_GAIN = 0.01;
 static const double PLACEMENT_HIT_GAIN = 0.05;
 
 struct PlacedProgram;
 
-/* Where the prefix of one branch of a program is. */
+/* Location of the prefix of one branch of a program. */
 struct PlacedBranch
 {
   struct TableNode by_key;
   char key[PLACEMENT_KEY_BYTES]; /* program, NUL, branch */
   char server[NAME_MAX_BYTES + 1];
-  size_t server_index; /* where it stood in the last list; checked by name */
+  size_t server_index; /* index in the last list; verified by name */
   uint32_t context_tokens;
   struct PlacedBranch *next; /* of the same program */
 };
@@ -53,13 +55,13 @@
   struct PlacedBranch *branches;
 };
 
-/* This home's own view of the server at one index of the list. */
+/* This home's view of the server at one index of the list. */
 struct PlacedServer
 {
   char name[NAME_MAX_BYTES + 1];
-  double recent; /* calls sent lately, decaying */
+  double recent; /* calls sent recently, decaying */
   int64_t recent_ms;
-  double hit; /* share of an expected prefix that was found cached */
+  double hit_rate; /* fraction of an expected prefix that was found cached */
 };
 
 struct Placement
@@ -67,8 +69,8 @@
   struct PolicyTable branches, programs;
   struct PlacedServer *servers; /* talloc array */
   size_t n_servers;
-  size_t next_in_turn;
-  double generated_tokens; /* learned mean of one call */
+  size_t next_round_robin;
+  double generated_tokens; /* learned mean number per call */
   uint64_t n_choices;
 };
 
@@ -145,22 +147,22 @@
   return branch;
 }
 
-/* The own view that belongs to servers[i]; starts afresh when the list has changed. */
+/* Returns the local state of servers[i], reset if the list has changed. */
 static struct PlacedServer *
 placement_server (struct Placement *placement, const struct PolicyServer *server, size_t i)
 {
-  struct PlacedServer *own = &placement->servers[i];
-
-  if (strcmp (own->name, server->name) == 0)
-    return own;
-  memset (own, 0, sizeof *own);
-  memcpy (own->name, server->name, sizeof own->name);
-  own->hit = 1.0;
-  return own;
+  struct PlacedServer *local = &placement->servers[i];
+
+  if (strcmp (local->name, server->name) == 0)
+    return local;
+  memset (local, 0, sizeof *local);
+  memcpy (local->name, server->name, sizeof local->name);
+  local->hit_rate = 1.0;
+  return local;
 }
 
 static bool
-placement_make_room (struct Placement *placement, size_t n)
+placement_reserve (struct Placement *placement, size_t n)
 {
   struct PlacedServer *servers;
 
@@ -175,9 +177,9 @@
   return true;
 }
 
-/* Index of the branch's last server, or -1 when it is unknown, gone or not usable. */
+/* Returns the index of the branch's last server, or -1 if it is unknown, removed or not usable. */
 static int32_t
-placement_last (struct PlacedBranch *branch, const struct PolicyServer *servers, size_t n)
+placement_last_server (struct PlacedBranch *branch, const struct PolicyServer *servers, size_t n)
 {
   if (branch == NULL || branch->server[0] == '\0')
     return -1;
@@ -194,8 +196,8 @@
   return servers[branch->server_index].usable ? (int32_t)branch->server_index : -1;
 }
 
-/* Time of a mean call at server. Made from the server's pace and the mean size over all servers:
- * the sizes of the calls that it happens to have say nothing about its speed. */
+/* Returns the time of a mean call at server, computed from the server's pace and the mean size over
+ * all servers: the sizes of the calls that it happens to run do not indicate its speed. */
 static double
 placement_service_ms (const struct Placement *placement, const struct PolicyServer *server)
 {
@@ -205,39 +207,40 @@
 }
 
 static double
-placement_recent (const struct PlacedServer *own, int64_t now_ms)
+placement_recent_calls (const struct PlacedServer *local, int64_t now_ms)
 {
-  return own->recent * exp (-(double)(now_ms - own->recent_ms) / PLACEMENT_RECENT_MS);
+  return local->recent * exp (-(double)(now_ms - local->recent_ms) / PLACEMENT_RECENT_DECAY_MS);
 }
 
-/* Expected wait: the queue ahead times the learned pace. Own counts come first; a report only
- * matters when it shows more than they do. */
+/* Returns the expected wait: the queue ahead times the learned pace. The owner's counts take
+ * precedence; a report is used only if it shows more running calls. */
 static double
 placement_wait_ms (struct Placement *placement,
                    const struct PolicyServer *server,
                    size_t i,
-                   bool kept,
-                   bool newcomer,
+                   bool is_last,
+                   bool is_new,
                    int64_t now_ms)
 {
-  struct PlacedServer *own = placement_server (placement, server, i);
+  struct PlacedServer *local = placement_server (placement, server, i);
   double running =
       server->in_flight > server->reported_running ? server->in_flight : server->reported_running;
-  double ahead = running + server->waiting + placement_recent (own, now_ms);
+  double ahead = running + server->waiting + placement_recent_calls (local, now_ms);
   double service = placement_service_ms (placement, server);
   double limit = server->limit > 0 ? server->limit : 1;
-  /* A program stays where it starts: those that pause now will be back. */
-  double company = newcomer ? server->programs * PLACEMENT_PROGRAM_SHARE : 0;
-  /* Calls in one batch slow one another a little; only those beyond the limit are waited for. */
-  double wait = (ahead + company) * PLACEMENT_BATCH_SHARE * service;
-  uint32_t owner_wait = kept ? server->wait_kept_ms : server->wait_new_ms;
+  /* A program stays where it starts: the paused programs will send further calls. */
+  double program_load = is_new ? server->programs * PLACEMENT_PROGRAM_WEIGHT : 0;
+  /* Calls in one batch slow each other only a little; only those beyond the limit add their full
+   * time. */
+  double wait = (ahead + program_load) * PLACEMENT_BATCH_SLOWDOWN * service;
+  uint32_t owner_wait = is_last ? server->wait_kept_ms : server->wait_new_ms;
 
   if (ahead > limit)
     wait += (ahead - limit) / limit * service;
   return wait > owner_wait ? wait : owner_wait;
 }
 
-/* What a decision looks at. */
+/* Inputs of one decision. */
 struct PlacementQuery
 {
   const struct PolicyWeights *weights;
@@ -245,8 +248,8 @@
   size_t n_servers;
   const struct Call *call;
   int64_t now_ms;
-  int32_t last;      /* index of the last server or -1 */
-  uint32_t resident; /* prompt tokens that it should still hold */
+  int32_t last;           /* index of the last server, or -1 */
+  uint32_t cached_tokens; /* prompt tokens that it should still have cached */
 };
 
 static double
@@ -254,11 +257,11 @@
 {
   const struct PolicyServer *server = &q->servers[i];
   bool is_last = (int32_t)i == q->last;
-  uint32_t kept = is_last ? q->resident : 0;
-  uint32_t anew = q->call->prompt_tokens > kept ? q->call->prompt_tokens - kept : 0;
+  uint32_t cached = is_last ? q->cached_tokens : 0;
+  uint32_t uncached = q->call->prompt_tokens > cached ? q->call->prompt_tokens - cached : 0;
   double weight = (double)q->weights->cache_weight_permille / PERMILLE;
   double wait = placement_wait_ms (placement, server, i, is_last, q->last < 0, q->now_ms);
-  double recompute = (double)anew * server->prefill_us_per_token / US_PER_MS;
+  double recompute = (double)uncached * server->prefill_us_per_token / US_PER_MS;
 
   switch (q->weights->rule)
     {
@@ -276,14 +279,14 @@
     }
   wait += placement_service_ms (placement, server);
   return wait * (1.0 - weight / 2)
-         + recompute * (PLACEMENT_RECOMPUTE + weight * PLACEMENT_CACHE_GAIN);
+         + recompute * (PLACEMENT_RECOMPUTE_WEIGHT + weight * PLACEMENT_RECOMPUTE_CACHE_WEIGHT);
 }
 
 static bool
 placement_better (
     const struct PlacementQuery *q, size_t a, double score_a, size_t b, double score_b)
 {
-  double tie = score_b * PLACEMENT_TIE;
+  double tie = score_b * PLACEMENT_TIE_FRACTION;
 
   if (tie < PLACEMENT_TIE_MS)
     tie = PLACEMENT_TIE_MS;
@@ -299,10 +302,10 @@
 };
 
 static void
-placement_consider (struct Placement *placement,
-                    const struct PlacementQuery *q,
-                    size_t i,
-                    struct PlacementBest *best)
+placement_compare (struct Placement *placement,
+                   const struct PlacementQuery *q,
+                   size_t i,
+                   struct PlacementBest *best)
 {
   double score;
 
@@ -314,39 +317,39 @@
 }
 
 static int32_t
-placement_least (struct Placement *placement, const struct PlacementQuery *q)
+placement_best_score (struct Placement *placement, const struct PlacementQuery *q)
 {
   struct PlacementBest best = { -1, 0 };
   size_t n = q->n_servers;
-  /* Ties are broken by turns: the scan starts elsewhere each time. */
+  /* Spreads ties: each scan starts at another index. */
   size_t start = (size_t)(XXH64 (&placement->n_choices, sizeof placement->n_choices, 0) % n);
 
   placement->n_choices++;
   if (q->last >= 0)
-    placement_consider (placement, q, (size_t)q->last, &best);
-  for (size_t k = 0; k < n && (k < PLACEMENT_SAMPLE || best.index < 0); k++)
+    placement_compare (placement, q, (size_t)q->last, &best);
+  for (size_t k = 0; k < n && (k < PLACEMENT_SAMPLE_MAX || best.index < 0); k++)
     {
-      /* Steps of a stride that shares no factor with n would need a search; a hash does. */
+      /* A stride coprime to n would have to be searched for; a hash does not. */
       uint64_t draw[2] = { placement->n_choices, k };
-      size_t i = n <= PLACEMENT_SAMPLE  ? (start + k) % n
-                 : k < PLACEMENT_SAMPLE ? (size_t)(XXH64 (draw, sizeof draw, 0) % n)
-                                        : (start + k) % n;
+      size_t i = n <= PLACEMENT_SAMPLE_MAX  ? (start + k) % n
+                 : k < PLACEMENT_SAMPLE_MAX ? (size_t)(XXH64 (draw, sizeof draw, 0) % n)
+                                            : (start + k) % n;
 
-      placement_consider (placement, q, i, &best);
+      placement_compare (placement, q, i, &best);
     }
-  if (best.index >= 0 || n <= PLACEMENT_SAMPLE)
+  if (best.index >= 0 || n <= PLACEMENT_SAMPLE_MAX)
     return best.index;
-  for (size_t k = 0; k < PLACEMENT_SAMPLE; k++)
-    placement_consider (placement, q, (start + k) % n, &best);
+  for (size_t k = 0; k < PLACEMENT_SAMPLE_MAX; k++)
+    placement_compare (placement, q, (start + k) % n, &best);
   return best.index;
 }
 
 static int32_t
-placement_in_turn (struct Placement *placement, const struct PlacementQuery *q)
+placement_round_robin (struct Placement *placement, const struct PlacementQuery *q)
 {
   for (size_t k = 0; k < q->n_servers; k++)
     {
-      size_t i = placement->next_in_turn++ % q->n_servers;
+      size_t i = placement->next_round_robin++ % q->n_servers;
 
       if (q->servers[i].usable)
         return (int32_t)i;
@@ -360,25 +363,25 @@
   switch (q->weights->rule)
     {
     case POLICY_ROUND_ROBIN:
-      return placement_in_turn (placement, q);
+      return placement_round_robin (placement, q);
     case POLICY_STICKY:
-      return q->last >= 0 ? q->last : placement_in_turn (placement, q);
+      return q->last >= 0 ? q->last : placement_round_robin (placement, q);
     case POLICY_LEAST_REPORTED:
     case POLICY_FIFO:
     case POLICY_ATTAINED:
     case POLICY_PROGRAM:
       break;
     }
-  return placement_least (placement, q);
+  return placement_best_score (placement, q);
 }
 
 static void
-placement_count (struct Placement *placement, const struct PlacementQuery *q, size_t i)
+placement_count_call (struct Placement *placement, const struct PlacementQuery *q, size_t i)
 {
-  struct PlacedServer *own = placement_server (placement, &q->servers[i], i);
+  struct PlacedServer *local = placement_server (placement, &q->servers[i], i);
 
-  own->recent = placement_recent (own, q->now_ms) + 1;
-  own->recent_ms = q->now_ms;
+  local->recent = placement_recent_calls (local, q->now_ms) + 1;
+  local->recent_ms = q->now_ms;
 }
 
 int32_t
@@ -394,27 +397,27 @@
   struct PlacementQuery q = { weights, servers, n_servers, call, now_ms, -1, 0 };
   int32_t index = -1;
 
-  if (!placement_make_room (placement, n_servers))
+  if (!placement_reserve (placement, n_servers))
     {
-      fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory to place a call");
+      fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory while choosing a backend server");
       return -1;
     }
-  q.last = placement_last (branch, servers, n_servers);
+  q.last = placement_last_server (branch, servers, n_servers);
   if (q.last >= 0)
     {
-      struct PlacedServer *own = placement_server (placement, &servers[q.last], (size_t)q.last);
+      struct PlacedServer *local = placement_server (placement, &servers[q.last], (size_t)q.last);
 
-      q.resident = (uint32_t)(branch->context_tokens * own->hit);
+      q.cached_tokens = (uint32_t)(branch->context_tokens * local->hit_rate);
     }
   if (n_servers > 0)
     index = placement_by_rule (placement, &q);
   if (index < 0)
     {
-      fault_set (fault, ERROR_OVERLOADED, "send it again in a few seconds",
+      fault_set (fault, ERROR_OVERLOADED, "retry in a few seconds",
                  "none of the %zu backend servers of %s is usable", n_servers, call->target);
       return -1;
     }
-  placement_count (placement, &q, (size_t)index);
+  placement_count_call (placement, &q, (size_t)index);
   return index;
 }
 
@@ -433,22 +436,22 @@
   placement->generated_tokens += (tokens - placement->generated_tokens) * PLACEMENT_SIZE_GAIN;
 }
 
-/* How much of an expected prefix the server really held. */
+/* Updates the fraction of expected prefixes that the server had cached. */
 static void
 placement_learn_hit (struct Placement *placement,
                      const struct PlacedBranch *branch,
                      const struct Outcome *outcome)
 {
-  struct PlacedServer *own;
-  double hit;
+  struct PlacedServer *local;
+  double hit_rate;
 
   if (branch->context_tokens == 0 || branch->server_index >= placement->n_servers)
     return;
-  own = &placement->servers[branch->server_index];
-  if (strcmp (own->name, branch->server) != 0)
+  local = &placement->servers[branch->server_index];
+  if (strcmp (local->name, branch->server) != 0)
     return;
-  hit = (double)outcome->cached_tokens / branch->context_tokens;
-  own->hit += ((hit < 1.0 ? hit : 1.0) - own->hit) * PLACEMENT_HIT_GAIN;
+  hit_rate = (double)outcome->cached_tokens / branch->context_tokens;
+  local->hit_rate += ((hit_rate < 1.0 ? hit_rate : 1.0) - local->hit_rate) * PLACEMENT_HIT_GAIN;
 }
 
 void
@@ -468,7 +471,7 @@
     return;
   if (outcome->error != ERROR_NONE)
     {
-      /* Whatever the server held may be gone with it: no reason left to go there. */
+      /* The server may have lost its cache: there is no reason left to prefer it. */
       if (strcmp (branch->server, server) == 0)
         branch->context_tokens = 0;
       return;
--- a/core/policy_active.c
+++ b/core/policy_active.c
@@ -6,24 +6,25 @@
 
 enum
 {
-  ACTIVE_EXPECTED_MIN = 256, /* smaller prefixes say nothing about the cache */
+  ACTIVE_PREFIX_TOKENS_MIN = 256, /* smaller prefixes are no evidence about the cache */
   PERMILLE = 1000,
   US_PER_MS = 1000
 };
 
 static const double ACTIVE_PAUSE_GAIN = 0.1;
-/* Urgency is compared over at least this many times the even time. */
-static const double ACTIVE_TAKE_EVENS = 4;
-/* Share of the reported capacity that programs are let in for; the rest is slack for growth. */
+/* Urgency is compared over at least this multiple of the break-even time. */
+static const double ACTIVE_EVICT_BREAK_EVENS = 4;
+/* Fraction of the reported capacity for which programs are admitted; the rest is slack for
+ * growth. */
 static const double ACTIVE_REPORT_SHARE = 0.95;
 static const double ACTIVE_SMALL_SHARE = 0.025;
-/* Small programs are let in beyond the budget: they push out the ends of a few idle prefixes, and
- * most of them end at once. Holding them back behind a large one saves next to nothing. */
+/* Small programs are admitted beyond the budget: they evict the ends of a few idle prefixes, and
+ * most of them end at once. Holding them back behind a large program saves next to nothing. */
 static const double ACTIVE_SMALL_EXCESS = 0.3;
-static const double ACTIVE_SHRINK = 0.95;
-static const double ACTIVE_GROW = 1.001;
-/* How much more urgent, in units of the ageing time, a newcomer must be to take a paused program's
- * place; more under a cache weight. */
+static const double ACTIVE_SHRINK_FACTOR = 0.95;
+static const double ACTIVE_GROW_FACTOR = 1.001;
+/* How much more urgent, in multiples of the ageing time, a new program must be to evict a paused
+ * one; more with a higher cache weight. */
 static const double ACTIVE_HYSTERESIS = 3.0;
 static const double ACTIVE_HYSTERESIS_CACHE = 2.0;
 
@@ -67,7 +68,7 @@
 active_unpause (struct ActiveSet *set, struct ActiveProgram *program)
 {
   policy_heap_remove (&set->victims, &program->victim_node);
-  policy_heap_remove (&set->keeps, &program->keep_node);
+  policy_heap_remove (&set->retained, &program->retain_node);
 }
 
 static bool
@@ -102,11 +103,11 @@
 }
 
 void
-active_set_called (struct ActiveSet *set,
-                   struct ActiveProgram *program,
-                   uint32_t cached_tokens,
-                   uint32_t new_tokens,
-                   int64_t now_ms)
+active_set_add_call (struct ActiveSet *set,
+                     struct ActiveProgram *program,
+                     uint32_t cached_tokens,
+                     uint32_t new_tokens,
+                     int64_t now_ms)
 {
   if (program->n_waiting + program->n_running == 0)
     {
@@ -121,10 +122,10 @@
 }
 
 void
-active_set_done (struct ActiveSet *set,
-                 struct ActiveProgram *program,
-                 uint32_t new_tokens,
-                 uint32_t grown_tokens)
+active_set_end_call (struct ActiveSet *set,
+                     struct ActiveProgram *program,
+                     uint32_t new_tokens,
+                     uint32_t grown_tokens)
 {
   program->pending_tokens -= new_tokens;
   program->held_tokens += grown_tokens;
@@ -132,7 +133,7 @@
 }
 
 static void
-active_leave (struct ActiveSet *set, struct ActiveProgram *program)
+active_drop (struct ActiveSet *set, struct ActiveProgram *program)
 {
   active_unpause (set, program);
   if (!program->active)
@@ -146,34 +147,35 @@
 }
 
 void
-active_set_forget (struct ActiveSet *set, struct ActiveProgram *program)
+active_set_remove (struct ActiveSet *set, struct ActiveProgram *program)
 {
-  active_leave (set, program);
+  active_drop (set, program);
   policy_table_remove (&set->programs, &program->by_name);
   talloc_free (program);
 }
 
-/* The time in which the whole cache could be computed once; 0 when not known. Keeping a place for
- * that long costs as much as computing its prefix again, whatever its size: both grow with it. */
+/* Returns the time in which the whole cache could be computed once; 0 if unknown. Keeping a program
+ * admitted for that long costs as much as computing its prefix again, whatever its size: both costs
+ * grow with it. */
 static double
-active_even_ms (const struct ActiveSet *set)
+active_break_even_ms (const struct ActiveSet *set)
 {
   if (isinf (set->budget_tokens))
     return 0;
   return set->budget_tokens * set->prefill_us_per_token / US_PER_MS;
 }
 
-/* Whether program is so much more urgent that victim's prefix may be lost for it. A profile with
- * a short ageing time makes urgency change quickly; places must not change hands as quickly. */
+/* Returns whether program is so much more urgent that it may evict victim's prefix. A profile with
+ * a short ageing time makes urgency change quickly; admissions must not change as quickly. */
 static bool
-active_may_take (const struct ActiveSet *set,
-                 const struct ActiveProgram *program,
-                 const struct ActiveProgram *victim)
+active_may_evict (const struct ActiveSet *set,
+                  const struct ActiveProgram *program,
+                  const struct ActiveProgram *victim)
 {
   const struct PolicyWeights *weights = &victim->service->weights;
   double cache = (double)weights->cache_weight_permille / PERMILLE;
   double doublings = ACTIVE_HYSTERESIS + ACTIVE_HYSTERESIS_CACHE * cache;
-  double least_ms = active_even_ms (set) * ACTIVE_TAKE_EVENS;
+  double least_ms = active_break_even_ms (set) * ACTIVE_EVICT_BREAK_EVENS;
   double ageing_ms = weights->ageing_ms > least_ms ? weights->ageing_ms : least_ms;
 
   return program->urgency + doublings * ageing_ms < victim->urgency;
@@ -184,16 +186,16 @@
                  const struct ActiveProgram *program,
                  enum ActiveClaim claim)
 {
-  uint64_t taken = set->active_tokens;
+  uint64_t occupied = set->active_tokens;
 
   if (claim == ACTIVE_OVERDUE)
-    taken -= set->small_tokens;
-  return claim == ACTIVE_FORCED || taken == 0
-         || (double)(taken + program->footprint_tokens) <= set->budget_tokens;
+    occupied -= set->small_tokens;
+  return claim == ACTIVE_FORCED || occupied == 0
+         || (double)(occupied + program->footprint_tokens) <= set->budget_tokens;
 }
 
 static void
-active_enter (struct ActiveSet *set, struct ActiveProgram *program)
+active_add (struct ActiveSet *set, struct ActiveProgram *program)
 {
   program->active = true;
   set->active_tokens += program->footprint_tokens;
@@ -203,14 +205,14 @@
 bool
 active_set_admit_small (struct ActiveSet *set, struct ActiveProgram *program)
 {
-  double most = set->budget_tokens * (1.0 + ACTIVE_SMALL_EXCESS);
+  double budget = set->budget_tokens * (1.0 + ACTIVE_SMALL_EXCESS);
 
   if (program->active)
     return true;
   if (!active_is_small (set, program)
-      || (double)(set->active_tokens + program->footprint_tokens) > most)
+      || (double)(set->active_tokens + program->footprint_tokens) > budget)
     return false;
-  active_enter (set, program);
+  active_add (set, program);
   program->small = true;
   set->small_tokens += program->footprint_tokens;
   return true;
@@ -229,45 +231,47 @@
       if (node == NULL)
         return false;
       victim = HEAP_ENTRY (node, struct ActiveProgram, victim_node);
-      if (claim != ACTIVE_OVERDUE && !active_may_take (set, program, victim))
+      if (claim != ACTIVE_OVERDUE && !active_may_evict (set, program, victim))
         return false;
-      active_set_forget (set, victim);
-      set->n_taken++;
+      active_set_remove (set, victim);
+      set->n_evicted++;
     }
-  active_enter (set, program);
+  active_add (set, program);
   return true;
 }
 
-/* How long a place is kept over a pause: until that is no longer cheaper than giving it away. */
+/* Returns how long a paused program stays admitted: until evicting it would be cheaper. */
 static double
-active_keep_ms (const struct ActiveSet *set, const struct FairService *service)
+active_retain_ms (const struct ActiveSet *set, const struct FairService *service)
 {
-  double even = active_even_ms (set);
+  double break_even = active_break_even_ms (set);
 
-  return even > 0 && even < service->weights.pause_keep_ms ? even : service->weights.pause_keep_ms;
+  return break_even > 0 && break_even < service->weights.pause_keep_ms
+             ? break_even
+             : service->weights.pause_keep_ms;
 }
 
 void
-active_set_paused (TALLOC_CTX *ctx,
-                   struct ActiveSet *set,
-                   struct ActiveProgram *program,
-                   int64_t now_ms)
+active_set_pause_if_idle (TALLOC_CTX *ctx,
+                          struct ActiveSet *set,
+                          struct ActiveProgram *program,
+                          int64_t now_ms)
 {
   program->ended_ms = now_ms;
   if (program->n_waiting + program->n_running > 0)
     return;
   if (!program->active)
     {
-      active_set_forget (set, program);
+      active_set_remove (set, program);
       return;
     }
   program->victim_node.minor = -program->urgency;
   program->victim_node.sequence = ++set->sequence;
-  program->keep_node.minor = (double)now_ms + active_keep_ms (set, program->service);
-  program->keep_node.sequence = set->sequence;
+  program->retain_node.minor = (double)now_ms + active_retain_ms (set, program->service);
+  program->retain_node.sequence = set->sequence;
   if (!policy_heap_put (ctx, &set->victims, &program->victim_node)
-      || !policy_heap_put (ctx, &set->keeps, &program->keep_node))
-    active_set_forget (set, program);
+      || !policy_heap_put (ctx, &set->retained, &program->retain_node))
+    active_set_remove (set, program);
 }
 
 void
@@ -275,41 +279,41 @@
 {
   struct HeapNode *node;
 
-  while ((node = policy_heap_first (&set->keeps)) != NULL && node->minor <= (double)now_ms)
+  while ((node = policy_heap_first (&set->retained)) != NULL && node->minor <= (double)now_ms)
     {
-      struct ActiveProgram *program = HEAP_ENTRY (node, struct ActiveProgram, keep_node);
+      struct ActiveProgram *program = HEAP_ENTRY (node, struct ActiveProgram, retain_node);
 
-      /* The pause is at least this long: without this sample only short ones would be seen. */
+      /* The pause is at least this long: without this sample only short pauses would be learned. */
       active_learn_pause (program->service, (double)(now_ms - program->ended_ms));
-      active_set_forget (set, program);
-      set->n_lapsed++;
+      active_set_remove (set, program);
+      set->n_expired++;
     }
 }
 
 void
-active_set_learn (struct ActiveSet *set, uint32_t expected_tokens, uint32_t cached_tokens)
+active_set_learn_budget (struct ActiveSet *set, uint32_t expected_tokens, uint32_t cached_tokens)
 {
   double active = (double)set->active_tokens;
 
-  if (expected_tokens < ACTIVE_EXPECTED_MIN)
+  if (expected_tokens < ACTIVE_PREFIX_TOKENS_MIN)
     return;
   if (cached_tokens < expected_tokens / 2)
     {
-      /* In small steps and no lower than what is active: a miss may have another cause. */
-      double shrunk = isinf (set->budget_tokens) ? 0 : set->budget_tokens * ACTIVE_SHRINK;
-      double least = active * ACTIVE_SHRINK;
+      /* Shrinks in small steps and not below the active tokens: a miss may have another cause. */
+      double shrunk = isinf (set->budget_tokens) ? 0 : set->budget_tokens * ACTIVE_SHRINK_FACTOR;
+      double least = active * ACTIVE_SHRINK_FACTOR;
 
       set->budget_tokens = shrunk > least ? shrunk : least;
       return;
     }
   if (active < set->budget_tokens * ACTIVE_REPORT_SHARE)
     return;
-  set->budget_tokens *= ACTIVE_GROW;
-  active_set_report (set, set->reported_tokens);
+  set->budget_tokens *= ACTIVE_GROW_FACTOR;
+  active_set_set_capacity (set, set->reported_tokens);
 }
 
 void
-active_set_report (struct ActiveSet *set, uint64_t capacity_tokens)
+active_set_set_capacity (struct ActiveSet *set, uint64_t capacity_tokens)
 {
   double share = (double)capacity_tokens * ACTIVE_REPORT_SHARE;
 
--- a/core/policy_heap.c
+++ b/core/policy_heap.c
@@ -2,7 +2,7 @@
 
 enum
 {
-  HEAP_FIRST_ROOM = 16
+  HEAP_INITIAL_CAPACITY = 16
 };
 
 bool
@@ -16,7 +16,7 @@
 }
 
 static void
-heap_place (struct PolicyHeap *heap, struct HeapNode *node, size_t i)
+heap_set (struct PolicyHeap *heap, struct HeapNode *node, size_t i)
 {
   heap->nodes[i] = node;
   node->position = i + 1;
@@ -29,10 +29,10 @@
 
   while (i > 0 && heap_node_before (node, heap->nodes[(i - 1) / 2]))
     {
-      heap_place (heap, heap->nodes[(i - 1) / 2], i);
+      heap_set (heap, heap->nodes[(i - 1) / 2], i);
       i = (i - 1) / 2;
     }
-  heap_place (heap, node, i);
+  heap_set (heap, node, i);
   return i;
 }
 
@@ -51,25 +51,25 @@
         child++;
       if (!heap_node_before (heap->nodes[child], node))
         break;
-      heap_place (heap, heap->nodes[child], i);
+      heap_set (heap, heap->nodes[child], i);
       i = child;
     }
-  heap_place (heap, node, i);
+  heap_set (heap, node, i);
 }
 
 static bool
-heap_make_room (TALLOC_CTX *ctx, struct PolicyHeap *heap)
+heap_reserve (TALLOC_CTX *ctx, struct PolicyHeap *heap)
 {
-  size_t room = heap->room == 0 ? HEAP_FIRST_ROOM : heap->room * 2;
+  size_t capacity = heap->capacity == 0 ? HEAP_INITIAL_CAPACITY : heap->capacity * 2;
   struct HeapNode **nodes;
 
-  if (heap->n < heap->room)
+  if (heap->n < heap->capacity)
     return true;
-  nodes = talloc_realloc (ctx, heap->nodes, struct HeapNode *, room);
+  nodes = talloc_realloc (ctx, heap->nodes, struct HeapNode *, capacity);
   if (nodes == NULL)
     return false;
   heap->nodes = nodes;
-  heap->room = room;
+  heap->capacity = capacity;
   return true;
 }
 
@@ -80,9 +80,9 @@
 
   if (node->position == 0)
     {
-      if (!heap_make_room (ctx, heap))
+      if (!heap_reserve (ctx, heap))
         return false;
-      heap_place (heap, node, heap->n++);
+      heap_set (heap, node, heap->n++);
     }
   i = heap_sift_up (heap, node->position - 1);
   heap_sift_down (heap, i);
@@ -101,7 +101,7 @@
   last = heap->nodes[--heap->n];
   if (last == node)
     return;
-  heap_place (heap, last, i - 1);
+  heap_set (heap, last, i - 1);
   i = heap_sift_up (heap, i - 1);
   heap_sift_down (heap, i);
 }
--- a/core/policy_heap.h
+++ b/core/policy_heap.h
@@ -1,5 +1,5 @@
-/* Binary min-heap whose nodes are embedded in what they order: removal and re-ordering of any node
- * take O(log n). */
+/* Binary min-heap of nodes embedded in the structures that it orders: removing or reordering any
+ * node takes O(log n). */
 #pragma once
 
 #include <stdbool.h>
@@ -13,30 +13,30 @@
 {
   double major, minor;
   uint64_t sequence;
-  size_t position; /* from 1; 0: in no heap */
+  size_t position; /* counted from 1; 0: in no heap */
 };
 
 struct PolicyHeap
 {
   struct HeapNode **nodes; /* talloc array */
-  size_t n, room;
+  size_t n, capacity;
 };
 
-/* The structure that embeds a node. */
+/* Returns the structure that embeds a node. */
 #define HEAP_ENTRY(node, type, member) ((type *)((char *)(node)-offsetof (type, member)))
 
 bool
 heap_node_before (const struct HeapNode *a, const struct HeapNode *b);
 
-/* Adds node, or moves it after its key has changed. False when memory is short. */
+/* Adds node, or moves it after its key has changed. Returns false when out of memory. */
 bool
 policy_heap_put (TALLOC_CTX *ctx, struct PolicyHeap *heap, struct HeapNode *node);
 
-/* Takes node out; nothing happens when it is in no heap. */
+/* Removes node; has no effect if it is in no heap. */
 void
 policy_heap_remove (struct PolicyHeap *heap, struct HeapNode *node);
 
-/* The first node, or NULL. */
+/* Returns the first node, or NULL. */
 static inline struct HeapNode *
 policy_heap_first (const struct PolicyHeap *heap)
 {
--- a/core/policy_limit.h
+++ b/core/policy_limit.h
@@ -1,22 +1,23 @@
-/* Learned number of calls that one backend server may have in flight, and its learned paces.
+/* Learned limit on one backend server's calls in flight, and its learned paces.
  *
- * Engines admit all they get, and their reports lag; so the limit is learned from the answers'
- * own pace: additive increase while it binds, multiplicative decrease when the time between tokens
- * or to the first token grows well beyond the best seen. A plain service has no tokens: there the
- * time of a call is compared with what has been usual. A model's answer that is not streamed shows
- * neither, and leaves the limit as it is. */
+ *
+ * Engines admit every call they are sent, and their reports lag; so the limit is learned from the
+ * pace of responses: additive increase while the limit is reached, multiplicative decrease when the
+ * time between tokens or to the first token grows well beyond the best seen. A plain service has no
+ * tokens: there the duration of a call is compared with its long-term mean. A model's response that
+ * is not streamed shows neither, and leaves the limit unchanged. */
 #pragma once
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* One call that has ended, as its owner saw it. */
+/* One call that has ended, as seen by its owner. */
 struct LimitSample
 {
   int64_t sent_ms, first_ms, end_ms; /* first_ms 0: not streamed */
   uint32_t uncached_tokens;
   uint32_t generated_tokens;
-  uint32_t in_flight; /* when it was sent, itself included */
+  uint32_t in_flight; /* when it was sent, including this call */
   bool failed;
 };
 
@@ -28,9 +29,9 @@
   double uncached_tokens;
   double prefill_us_per_token; /* learned */
   double pace_ms;              /* learned time between tokens */
-  double best_pace_ms;         /* least seen, forgotten slowly */
+  double best_pace_ms;         /* minimum seen, rises slowly */
   double best_prefill_us;
-  double usual_service_ms; /* of a plain service, over a long time */
+  double baseline_service_ms; /* of a plain service, long-term mean */
   int64_t next_decrease_ms;
 };
 
@@ -40,6 +41,6 @@
 void
 policy_limit_learn (struct PolicyLimit *limit, const struct LimitSample *sample);
 
-/* Whole calls allowed in flight, at least one. */
+/* Returns the whole number of calls allowed in flight, at least one. */
 uint32_t
 policy_limit_now (const struct PolicyLimit *limit);
--- a/core/policy_table.c
+++ b/core/policy_table.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  TABLE_FIRST_BUCKETS = 64
+  TABLE_INITIAL_BUCKETS = 64
 };
 
 struct TableNode *
@@ -26,7 +26,7 @@
 static bool
 table_grow (TALLOC_CTX *ctx, struct PolicyTable *table)
 {
-  size_t n_buckets = table->n_buckets == 0 ? TABLE_FIRST_BUCKETS : table->n_buckets * 2;
+  size_t n_buckets = table->n_buckets == 0 ? TABLE_INITIAL_BUCKETS : table->n_buckets * 2;
   struct TableNode **buckets = talloc_zero_array (ctx, struct TableNode *, n_buckets);
 
   if (buckets == NULL)
--- a/core/policy_table.h
+++ b/core/policy_table.h
@@ -1,4 +1,5 @@
-/* Hash table whose nodes are embedded in what they name; keys belong to the embedding structure. */
+/* Hash table of nodes embedded in the structures that it indexes; keys belong to the embedding
+ * structure. */
 #pragma once
 
 #include <stdbool.h>
@@ -17,7 +18,7 @@
 
 struct PolicyTable
 {
-  struct TableNode **buckets; /* talloc array, a power of two long */
+  struct TableNode **buckets; /* talloc array; its length is a power of two */
   size_t n_buckets, n;
 };
 
@@ -26,8 +27,8 @@
 struct TableNode *
 policy_table_find (const struct PolicyTable *table, const void *key, size_t key_bytes);
 
-/* Adds node under key, which must not be there yet and must outlive the node. False when memory is
- * short. */
+/* Adds node under key, which must be new and must outlive the node. Returns false when out of
+ * memory. */
 bool
 policy_table_add (TALLOC_CTX *ctx,
                   struct PolicyTable *table,
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -7,30 +7,31 @@
 
 enum
 {
-  /* Suspects are kept in a ring: a digest that met one death only is forgotten after this many
-   * others. Quarantined digests are kept as long as the ring of theirs. */
-  QUARANTINE_SUSPECTS = 4096,
-  QUARANTINE_HELD = 4096
+  /* Suspects are kept in a ring: a digest that was involved in only one crash is forgotten after
+   * this many others. Quarantined digests are kept in a ring of their own until they are the
+   * oldest. */
+  QUARANTINE_SUSPECTS_MAX = 4096,
+  QUARANTINE_DIGESTS_MAX = 4096
 };
 
 struct QuarantineEntry
 {
   struct TableNode by_digest;
   uint8_t digest[DIGEST_BYTES];
-  char server[NAME_MAX_BYTES + 1]; /* where it ran when the first death came */
-  size_t place;                    /* in the ring */
+  char server[NAME_MAX_BYTES + 1]; /* server of the first crash */
+  size_t index;                    /* in the ring's entries */
 };
 
 struct QuarantineRing
 {
   struct PolicyTable table;
   struct QuarantineEntry **entries; /* talloc array */
-  size_t next, room;
+  size_t next, capacity;
 };
 
 struct Quarantine
 {
-  struct QuarantineRing suspects, held;
+  struct QuarantineRing suspects, quarantined;
 };
 
 static struct QuarantineEntry *
@@ -45,11 +46,11 @@
 ring_remove (struct QuarantineRing *ring, struct QuarantineEntry *entry)
 {
   policy_table_remove (&ring->table, &entry->by_digest);
-  ring->entries[entry->place] = NULL;
+  ring->entries[entry->index] = NULL;
   talloc_free (entry);
 }
 
-/* Takes the place of the oldest. */
+/* Adds a digest in place of the oldest one. */
 static void
 ring_add (TALLOC_CTX *ctx,
           struct QuarantineRing *ring,
@@ -69,16 +70,16 @@
     }
   if (ring->entries[ring->next] != NULL)
     ring_remove (ring, ring->entries[ring->next]);
-  entry->place = ring->next;
+  entry->index = ring->next;
   ring->entries[ring->next] = entry;
-  ring->next = (ring->next + 1) % ring->room;
+  ring->next = (ring->next + 1) % ring->capacity;
 }
 
 static bool
-ring_init (TALLOC_CTX *ctx, struct QuarantineRing *ring, size_t room)
+ring_init (TALLOC_CTX *ctx, struct QuarantineRing *ring, size_t capacity)
 {
-  ring->room = room;
-  ring->entries = talloc_zero_array (ctx, struct QuarantineEntry *, room);
+  ring->capacity = capacity;
+  ring->entries = talloc_zero_array (ctx, struct QuarantineEntry *, capacity);
   return ring->entries != NULL;
 }
 
@@ -89,8 +90,8 @@
 
   if (quarantine == NULL)
     return NULL;
-  if (!ring_init (quarantine, &quarantine->suspects, QUARANTINE_SUSPECTS)
-      || !ring_init (quarantine, &quarantine->held, QUARANTINE_HELD))
+  if (!ring_init (quarantine, &quarantine->suspects, QUARANTINE_SUSPECTS_MAX)
+      || !ring_init (quarantine, &quarantine->quarantined, QUARANTINE_DIGESTS_MAX))
     {
       talloc_free (quarantine);
       return NULL;
@@ -114,7 +115,7 @@
       ring_add (quarantine, &quarantine->suspects, digest, server);
       return false;
     }
-  /* A server that dies twice says more about the server than about the request. */
+  /* A server that crashes twice indicates a fault of the server rather than of the request. */
   if (strcmp (suspect->server, server) == 0)
     return false;
   quarantine_add (quarantine, digest);
@@ -124,7 +125,7 @@
 bool
 quarantine_holds (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES])
 {
-  return ring_find (&quarantine->held, digest) != NULL;
+  return ring_find (&quarantine->quarantined, digest) != NULL;
 }
 
 bool
@@ -146,5 +147,5 @@
 quarantine_add (struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES])
 {
   if (!quarantine_holds (quarantine, digest))
-    ring_add (quarantine, &quarantine->held, digest, "");
+    ring_add (quarantine, &quarantine->quarantined, digest, "");
 }
--- a/core/retry_budget.c
+++ b/core/retry_budget.c
@@ -3,15 +3,16 @@
 enum
 {
   RETRY_ATTEMPTS_MAX = 4,
-  RETRY_BACKOFF_FIRST_MS = 50,
+  RETRY_BACKOFF_INITIAL_MS = 50,
   RETRY_BACKOFF_MAX_MS = 5000,
-  RETRY_PERMILLE = 1000, /* of one retry */
-  /* Saved up at most this many retries: enough for the calls in flight of a server that dies, and
-   * so few that a quiet hour does not pay for a storm. A new instance may retry some at once. */
+  RETRY_PERMILLE = 1000, /* per retry */
+  /* At most this many retries are saved up: enough for the calls in flight of a server that dies,
+   * and so few that an hour of low load does not pay for a retry storm. A new instance may retry a
+   * few calls at once. */
   RETRY_SAVED_MAX = 100,
-  RETRY_SAVED_FIRST = 20,
-  STATUS_SERVER_FAULT = 500,
-  STATUS_TOO_MANY = 429
+  RETRY_SAVED_INITIAL = 20,
+  STATUS_SERVER_ERROR = 500,
+  STATUS_TOO_MANY_REQUESTS = 429
 };
 
 struct RetryBudget
@@ -27,7 +28,7 @@
 
   if (budget == NULL)
     return NULL;
-  budget->saved_permille = RETRY_SAVED_FIRST * RETRY_PERMILLE;
+  budget->saved_permille = RETRY_SAVED_INITIAL * RETRY_PERMILLE;
   budget->random = seed * 2 + 1;
   return budget;
 }
@@ -50,7 +51,8 @@
   return (budget->random * 0x2545F4914F6CDD1DULL) >> 16;
 }
 
-/* The failure may pass by itself: the server is gone, late or at fault, not the request. */
+/* Returns whether the failure may be transient: the server is unreachable, late or at fault, not
+ * the request. */
 static bool
 retry_may_help (const struct Outcome *outcome)
 {
@@ -63,19 +65,19 @@
     case ERROR_DRAINING:
       return true;
     case ERROR_BACKEND:
-      return outcome->status == 0 || outcome->status >= STATUS_SERVER_FAULT
-             || outcome->status == STATUS_TOO_MANY;
+      return outcome->status == 0 || outcome->status >= STATUS_SERVER_ERROR
+             || outcome->status == STATUS_TOO_MANY_REQUESTS;
     default:
       return false;
     }
 }
 
-/* Half of the back-off is fixed and half is random: callers that failed together come back
- * apart. */
+/* Half of the back-off is fixed and half is random: callers that failed together retry at different
+ * times. */
 static uint32_t
 retry_backoff_ms (struct RetryBudget *budget, uint32_t attempt)
 {
-  uint32_t ms = RETRY_BACKOFF_FIRST_MS << (attempt < 8 ? attempt : 8);
+  uint32_t ms = RETRY_BACKOFF_INITIAL_MS << (attempt < 8 ? attempt : 8);
 
   if (ms > RETRY_BACKOFF_MAX_MS)
     ms = RETRY_BACKOFF_MAX_MS;
@@ -98,15 +100,16 @@
     return fault_set (fault, ERROR_MAY_HAVE_RUN, NULL,
                       "the call may not be repeated and may have run");
   if (!retry_may_help (outcome))
-    return fault_set (fault, outcome->error, NULL, "the failure would repeat itself");
+    return fault_set (fault, outcome->error, NULL, "a retry would fail again");
   if (attempt >= RETRY_ATTEMPTS_MAX)
-    return fault_set (fault, outcome->error, NULL, "failed %u times", attempt);
+    return fault_set (fault, outcome->error, NULL, "the call failed %u times", attempt);
   delay = retry_backoff_ms (budget, attempt);
   if (time_left_ms > 0 && delay >= time_left_ms)
-    return fault_set (fault, ERROR_DEADLINE, NULL, "no time is left for another try");
+    return fault_set (fault, ERROR_DEADLINE, NULL,
+                      "the deadline leaves no time for another attempt");
   if (budget->saved_permille < RETRY_PERMILLE)
     return fault_set (fault, ERROR_OVERLOADED, NULL,
-                      "too many calls fail at once to send them all again");
+                      "too many calls are failing to retry all of them");
   budget->saved_permille -= RETRY_PERMILLE;
   *delay_ms = delay;
   return ERROR_NONE;
--- a/core/server_health.c
+++ b/core/server_health.c
@@ -5,11 +5,11 @@
 enum
 {
   HEALTH_FAILURES_MAX = 3,      /* in a row */
-  HEALTH_SILENCE_MIN_MS = 5000, /* with calls in flight and nothing coming back */
-  HEALTH_SILENCE_GAPS = 20,     /* learned gaps between signs of progress */
-  HEALTH_GAP_SHIFT = 4,         /* the learned gap moves by 1/16 a sample */
+  HEALTH_SILENCE_MIN_MS = 5000, /* with calls in flight and no progress */
+  HEALTH_SILENCE_GAPS = 20,     /* multiple of the learned gap between signs of progress */
+  HEALTH_GAP_SHIFT = 4,         /* each sample moves the learned gap by 1/16 */
   HEALTH_PROBE_MS = 2000,
-  STATUS_FAULT = 500
+  STATUS_SERVER_ERROR = 500
 };
 
 struct ServerHealth
@@ -30,7 +30,7 @@
 void
 server_health_sent (struct ServerHealth *health, int64_t now_ms)
 {
-  /* Silence counts from the first call sent: an idle server owes no progress. */
+  /* Silence counts from the first call sent: an idle server shows no progress. */
   if (health->in_flight++ == 0)
     health->last_progress_ms = now_ms;
 }
@@ -44,7 +44,7 @@
   health->last_progress_ms = now_ms;
 }
 
-/* A 4xx answer is the request's fault and shows a living server. */
+/* A 4xx response is the request's fault and shows that the server is alive. */
 static bool
 health_is_failure (const struct Outcome *outcome)
 {
@@ -55,7 +55,7 @@
     case ERROR_UNKNOWN_EFFECT:
       return true;
     case ERROR_BACKEND:
-      return outcome->status == 0 || outcome->status >= STATUS_FAULT;
+      return outcome->status == 0 || outcome->status >= STATUS_SERVER_ERROR;
     default:
       return false;
     }
--- a/include/buckthornhead/policy.h
+++ b/include/buckthornhead/policy.h
@@ -1,8 +1,10 @@
-/* Policy core: which call goes next, where, how many at once, and when to refuse.
+/* Policy core: decides which call is sent next, to which server, how many run at once and when to
+ * refuse.
  *
- * Pure: no I/O, no clock, no threads; (state, event, now) -> actions. Two halves. Placement runs
- * at a program's home and picks a backend server from digests that owners send. The queue runs at
- * the owner of one backend server and orders what waits there. */
+ *
+ * Pure: no I/O, no clock, no threads; (state, event, now) -> actions. It has two halves. Placement
+ * runs at a program's home and picks a backend server from digests that the owners send. The queue
+ * runs at the owner of one backend server and orders the calls waiting for it. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -13,48 +15,47 @@
 enum PolicyRule
 {
   POLICY_ROUND_ROBIN = 0, /* baselines: */
-  POLICY_LEAST_REPORTED,  /* least load in the last report */
+  POLICY_LEAST_REPORTED,  /* least load in the server's last report */
   POLICY_STICKY,          /* the program's last server */
   POLICY_FIFO,            /* least expected wait, first in first out */
   POLICY_ATTAINED,        /* least attained service of the program first */
   POLICY_PROGRAM          /* attained + ageing + cache weight + pause retention: the default */
 };
 
-/* A profile's weights, one set a service. */
+/* A profile's weights, one set per service. */
 struct PolicyWeights
 {
   enum PolicyRule rule;
   uint32_t cache_weight_permille; /* 0: latency only .. 1000: cached prefix only */
   uint32_t ageing_ms;             /* waiting this long doubles a call's urgency */
   uint32_t share;                 /* fair share between services, 1..1000 */
-  uint32_t queue_limit;           /* most calls of the service waiting at one owner */
+  uint32_t queue_limit;           /* maximum number of calls of the service waiting at one owner */
   uint32_t retry_budget_permille; /* retries allowed per thousand calls */
   uint32_t pause_keep_ms;         /* longest tool pause over which a prefix is kept */
 };
 
-/* What a home knows of one backend server. */
+/* A home's view of one backend server. */
 struct PolicyServer
 {
   char name[NAME_MAX_BYTES + 1];
   bool usable;                        /* listed, not leaving, not suspected */
-  uint32_t in_flight, waiting, limit; /* by its owner's own counts */
-  uint32_t reported_running;          /* the server's last report, may be old */
+  uint32_t in_flight, waiting, limit; /* counted by its owner */
+  uint32_t reported_running;          /* from the server's last report, possibly old */
   uint32_t service_ms_per_call;       /* learned */
   uint32_t prefill_us_per_token;      /* learned */
   bool same_zone;
-  uint32_t wait_new_ms;       /* expected wait at the owner of a program that has no place there */
-  uint32_t wait_kept_ms;      /* and of one whose prefix is kept there */
-  uint32_t pace_us_per_token; /* learned time between tokens; 0: not known */
-  uint32_t programs;          /* that have a place there, paused ones included */
+  uint32_t wait_new_ms;  /* expected wait at the owner of a program that is not admitted there */
+  uint32_t wait_kept_ms; /* and of one whose prefix is kept there */
+  uint32_t pace_us_per_token; /* learned time between tokens; 0: unknown */
+  uint32_t programs;          /* admitted there, including paused ones */
 };
 
-struct Placement; /* per-home state: where each program's prefix is, learned paces */
+struct Placement; /* state of one home: the location of each program's prefix, learned paces */
 
 struct Placement *
 placement_new (TALLOC_CTX *ctx);
 
-/* Index into servers, or -1 with fault when none is usable. prefix_tokens is how much of the
- * prompt the program's last server would still hold. */
+/* Returns an index into servers, or -1 with fault if none is usable. */
 int32_t
 placement_choose (struct Placement *placement,
                   const struct PolicyWeights *weights,
@@ -64,7 +65,7 @@
                   int64_t now_ms,
                   struct Fault *fault);
 
-/* A call of program ended on server: remembers where its prefix is and how it went. */
+/* Records where the prefix of a call's program is and how the call ended on server. */
 void
 placement_learn (struct Placement *placement,
                  const struct Call *call,
@@ -74,31 +75,32 @@
 void
 placement_forget (struct Placement *placement, const char *program);
 
-/* Prompt tokens of call that server probably has cached: DispatchItem.cached_tokens_hint. */
+/* Returns the number of prompt tokens of call that server probably has cached, for
+ * DispatchItem.cached_tokens_hint. */
 uint32_t
 placement_cached_hint (const struct Placement *placement,
                        const struct Call *call,
                        const char *server);
 
-/* Queue of one backend server at its owner. */
+/* Queue of one backend server, run by its owner. */
 struct DispatchQueue;
 
 struct DispatchItem
 {
-  uint64_t id; /* chosen by the caller of these functions, unique in the queue */
+  uint64_t id; /* chosen by the caller, unique in the queue */
   char program[PROGRAM_ID_MAX_BYTES + 1];
   char service[NAME_MAX_BYTES + 1];
   uint32_t prompt_tokens, cached_tokens_hint, max_tokens;
-  uint64_t attained_tokens; /* what the program has received so far, by its home's count */
+  uint64_t attained_tokens; /* received by the program so far, as counted by its home */
   int64_t deadline_ms;      /* absolute on the queue's clock; 0: none */
-  bool suspect;             /* quarantine_suspects: runs with no other suspect beside it */
+  bool suspect; /* set from quarantine_suspects; never runs at the same time as another suspect */
 };
 
 struct DispatchQueue *
 dispatch_queue_new (TALLOC_CTX *ctx, uint32_t initial_limit);
 
-/* Admits or refuses at once. On refusal fault tells why and *retry_after_ms when to come back,
- * spread by spread_seed. */
+/* Queues the item or refuses it at once. On refusal fault has the reason and *retry_after_ms the
+ * delay before a retry, spread by spread_seed. */
 int32_t
 dispatch_queue_push (struct DispatchQueue *queue,
                      const struct PolicyWeights *weights,
@@ -108,20 +110,22 @@
                      uint32_t *retry_after_ms,
                      struct Fault *fault);
 
-/* Takes the next item to send, if one waits and the server has room. */
+/* Takes the next item to send, if one is waiting and the server can take another call. */
 bool
 dispatch_queue_pop (struct DispatchQueue *queue, int64_t now_ms, uint64_t *id);
 
-/* A waiting item is given up (caller gone). False when it is not waiting. */
+/* Removes a waiting item whose caller has disconnected. Returns false if it is not waiting. */
 bool
 dispatch_queue_remove (struct DispatchQueue *queue, uint64_t id);
 
-/* Gives one waiting item that can no longer meet its deadline, to be refused at once. */
+/* Removes one waiting item that can no longer meet its deadline and returns its id, so that it is
+ * refused at once. */
 bool
 dispatch_queue_expire (struct DispatchQueue *queue, int64_t now_ms, uint64_t *id);
 
-/* First token seen, and the end, of an item that was popped: the limit is learned from these. Both
- * may let another item go: pop again after each. */
+/* Report the first token and the end of an item that was popped; the limit on calls in flight is
+ * learned from these. Either may allow another item to be sent: call dispatch_queue_pop after
+ * each. */
 void
 dispatch_queue_first_token (struct DispatchQueue *queue, uint64_t id, int64_t now_ms);
 void
@@ -130,38 +134,40 @@
                          const struct Outcome *outcome,
                          int64_t now_ms);
 
-/* What the server reported of its prefix cache. Optional: without it the size is learned from the
- * answers, and a wrong report is corrected by them. */
+/* Sets the size of the prefix cache that the server reported. Optional: without a report the size
+ * is learned from responses, which also correct a wrong report. */
 void
 dispatch_queue_report_cache (struct DispatchQueue *queue, uint64_t capacity_tokens);
 
-/* The program has ended, or its home moved it elsewhere: its place in the cache is free. Without
- * this call the place is kept over one learned pause. */
+/* Releases the program's share of the cache, because the program has ended or its home moved it to
+ * another server. Without this call the program stays admitted for one learned pause. */
 void
 dispatch_queue_program_ended (struct DispatchQueue *queue, const char *program);
 
-/* Programs let in to the server's cache, and the tokens they are expected to hold. */
+/* Programs admitted to the server's cache, and the tokens they are expected to hold. */
 struct DispatchActive
 {
   size_t n_programs;
   uint64_t active_tokens;
-  uint64_t budget_tokens; /* learned; UINT64_MAX: not scarce as far as seen */
-  uint64_t n_taken;       /* places taken from paused programs by more urgent ones, so far */
-  uint64_t n_lapsed;      /* places lost because a pause outlasted what is kept */
+  uint64_t budget_tokens; /* learned; UINT64_MAX: no shortage seen so far */
+  uint64_t n_taken;       /* paused programs evicted for more urgent ones */
+  uint64_t n_lapsed;      /* programs evicted because their pause lasted too long */
 };
 void
 dispatch_queue_active (const struct DispatchQueue *queue, struct DispatchActive *active);
 
-/* The queue's own picture, for the digest that goes to the homes. */
+/* Fills in the queue's state for the digest that is sent to the homes. */
 void
 dispatch_queue_digest (const struct DispatchQueue *queue, struct PolicyServer *digest);
 
-/* Quarantine by digest: a request that was running on two backend servers when they died. */
+/* Quarantine of requests by digest: a request is quarantined if it was running on two backend
+ * servers when they died. */
 struct Quarantine;
 
 struct Quarantine *
 quarantine_new (TALLOC_CTX *ctx);
-/* The server died while running digest. True when this makes it quarantined (second server). */
+/* Records that server died while running digest. Returns true if this puts the request in
+ * quarantine (second server). */
 bool
 quarantine_record_death (struct Quarantine *quarantine,
                          const uint8_t digest[DIGEST_BYTES],
@@ -169,13 +175,14 @@
                          int64_t now_ms);
 bool
 quarantine_holds (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
-/* The request was running on one server when that died. So were all that ran beside it: they are
- * sent again one at a time (DispatchItem.suspect), so that the second death names one of them. */
+/* Returns whether the request was running on one server when that died. So were all requests that
+ * ran at the same time: they are retried one at a time (DispatchItem.suspect), so that a second
+ * crash identifies one of them. */
 bool
 quarantine_suspects (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
-/* It has run to its end: no suspect any more. */
+/* The request ran to its end and is no longer a suspect. */
 void
 quarantine_clear (struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
-/* As told by another instance. */
+/* Adds a digest that another instance reported. */
 void
 quarantine_add (struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
--- a/include/buckthornhead/retry_budget.h
+++ b/include/buckthornhead/retry_budget.h
@@ -1,6 +1,6 @@
-/* When and how to send a failed call again: idempotent or certainly not run, after a jittered
- * back-off, within a budget that grows with the calls, so that retries can not multiply an
- * overload. */
+/* Decides when to retry a failed call: only if it is idempotent or certainly did not run, after a
+ * jittered back-off, and within a budget that grows with the number of calls, so that retries
+ * cannot multiply an overload. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -13,12 +13,13 @@
 struct RetryBudget *
 retry_budget_new (TALLOC_CTX *ctx, uint64_t seed);
 
-/* A call goes out for the first time: earns permille thousandths of a retry. */
+/* Credits the budget for a call's first attempt: permille thousandths of a retry. */
 void
 retry_budget_earn (struct RetryBudget *budget, uint32_t permille);
 
-/* May call, which failed with outcome after attempt tries (from 1), be sent again? ERROR_NONE and
- * when; else the kind for its caller, with fault. time_left_ms: to its deadline, 0 for none. */
+/* Decides whether call, which failed with outcome after attempt attempts (counted from 1), may be
+ * retried. Returns ERROR_NONE and the delay, or the error kind to return to the caller, with fault.
+ * time_left_ms: until its deadline; 0: none. */
 int32_t
 retry_budget_take (struct RetryBudget *budget,
                    const struct Call *call,
--- a/include/buckthornhead/server_health.h
+++ b/include/buckthornhead/server_health.h
@@ -1,5 +1,5 @@
-/* Suspicion of slow and dead backend servers from the owner's own counts. Load reports take no
- * part: they lag, and a frozen one looks like a healthy server. */
+/* Detects slow and dead backend servers from the owner's own counts. Load reports are not used:
+ * they lag, and a frozen report looks like a healthy server. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -13,18 +13,19 @@
 
 void
 server_health_sent (struct ServerHealth *health, int64_t now_ms);
-/* A first token, a chunk, anything that came back. */
+/* Records a first token, a chunk or any other sign of progress. */
 void
 server_health_progress (struct ServerHealth *health, int64_t now_ms);
-/* The end of a call that was sent. */
+/* Records the end of a call that was sent. */
 void
 server_health_ended (struct ServerHealth *health, const struct Outcome *outcome, int64_t now_ms);
 
-/* True while the server should get no ordinary work. */
+/* Returns true while the server should receive no ordinary calls. */
 bool
 server_health_suspected (const struct ServerHealth *health, int64_t now_ms);
-/* True when a suspected server should be asked for a load report, whose answer counts as an end
- * without error. Never a caller's call: a dead server that refuses at once looks like the one with
- * the shortest queue, and all calls of that moment would go to it and fail. */
+/* Returns true if a suspected server should be probed for a load report; its response counts as a
+ * call that ended without error. Callers' calls are never used as probes: a dead server that
+ * refuses at once appears to have the shortest queue and would attract all calls of that moment,
+ * which would fail. */
 bool
 server_health_probe_due (struct ServerHealth *health, int64_t now_ms);
