--- a/tests/test_dispatch_queue.c
+++ b/tests/test_dispatch_queue.c
@@ -50,7 +50,7 @@
   return push_item (queue, weights, &item, now_ms);
 }
 
-/* The next item's id, or 0. */
+/* Returns the next item's id, or 0. */
 static uint64_t
 pop (struct DispatchQueue *queue, int64_t now_ms)
 {
@@ -94,16 +94,16 @@
   talloc_free (queue);
 }
 
-/* A menu review never finishes while parents' questions keep coming: each question is a new
- * program and goes before the review's next turn, for ever. Ageing bounds the wait. */
+/* Without ageing a long program starves while new programs keep arriving, because each of them has
+ * received fewer tokens. */
 static void
 test_a_long_program_is_not_starved_by_newcomers (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 4);
-  int64_t served_ms = -1;
+  int64_t popped_ms = -1;
 
   push (queue, &program_rule, 1, "review", 100000, 0);
-  for (int64_t now = 0; now < 60000 && served_ms < 0; now += 100)
+  for (int64_t now = 0; now < 60000 && popped_ms < 0; now += 100)
     {
       uint64_t id;
       char name[32];
@@ -112,12 +112,12 @@
       push (queue, &program_rule, 2 + (uint64_t)now, name, 0, now);
       id = pop (queue, now);
       if (id == 1)
-        served_ms = now;
+        popped_ms = now;
       finish (queue, id, 0, now);
       dispatch_queue_program_ended (queue, name);
     }
   /* ageing_ms x log2 (1 + 100000 / 500) is 7.7 s. */
-  CU_ASSERT (served_ms > 0 && served_ms <= 8000);
+  CU_ASSERT (popped_ms > 0 && popped_ms <= 8000);
   talloc_free (queue);
 }
 
@@ -137,7 +137,7 @@
   talloc_free (queue);
 }
 
-/* Runs calls of a server whose pace between tokens is pace_ms, and gives the limit then. */
+/* Runs calls of a server whose time between tokens is pace_ms, and returns the resulting limit. */
 static uint32_t
 limit_after (struct DispatchQueue *queue, int64_t *now, int n, int64_t pace_ms)
 {
@@ -165,10 +165,10 @@
   return digest.limit;
 }
 
-/* A server that slows down by four goes on getting as many calls as before, and each takes ever
- * longer: the limit did not follow the answers' pace. */
+/* A server that becomes four times slower must get fewer calls at once. The limit has to follow the
+ * pace of its responses. */
 static void
-test_limit_follows_the_pace_of_the_answers (void)
+test_limit_follows_the_pace_of_responses (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 8);
   int64_t now = 0;
@@ -181,7 +181,8 @@
   talloc_free (queue);
 }
 
-/* A tool service slows down under load; it shows no tokens, so its calls' time must do. */
+/* A tool service that slows down under load returns no tokens, so the limit has to follow the
+ * duration of its calls. */
 static void
 test_limit_follows_the_time_of_a_plain_service (void)
 {
@@ -222,7 +223,7 @@
 }
 
 static void
-test_full_queue_refuses_and_spreads_the_callers (void)
+test_full_queue_refuses_and_spreads_retries (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 4);
   struct PolicyWeights weights = fifo_rule;
@@ -249,10 +250,9 @@
   talloc_free (queue);
 }
 
-/* A parent waits the full deadline, and then is told that there was no time: the queue knew at
- * once. */
+/* A call that cannot meet its deadline is refused at once, not when the deadline has passed. */
 static void
-test_calls_that_can_not_finish_are_refused_at_once (void)
+test_calls_that_cannot_finish_are_refused_at_once (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 4);
   struct DispatchItem item = item_of (9000, "parent", "menu-agents", 0);
@@ -271,14 +271,14 @@
   talloc_free (queue);
 }
 
-/* The nightly label export fills the queue with a thousand calls; a parent's question comes behind
- * them and the tray has left before its answer. */
+/* A batch job of one service fills the queue with a thousand calls. A call of another service must
+ * not wait behind them until it is too late. */
 static void
-test_an_export_does_not_shut_out_another_service (void)
+test_a_batch_job_does_not_starve_another_service (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 4);
   struct DispatchItem question = item_of (5000, "parent", "kitchen-api", 0);
-  bool answered = false;
+  bool popped = false;
 
   for (uint64_t id = 1; id <= 1000; id++)
     {
@@ -290,19 +290,19 @@
   for (int i = 0; i < 200; i++)
     finish (queue, pop (queue, i), 0, i);
   push_item (queue, &program_rule, &question, 200);
-  for (int i = 0; i < 30 && !answered; i++)
+  for (int i = 0; i < 30 && !popped; i++)
     {
       uint64_t id = pop (queue, 200 + i);
 
-      answered = id == 5000;
+      popped = id == 5000;
       finish (queue, id, 0, 200 + i);
     }
-  CU_ASSERT_TRUE (answered);
+  CU_ASSERT_TRUE (popped);
   talloc_free (queue);
 }
 
-/* Each review finds its prefix evicted by the others and computes it again, and all are slow:
- * more programs share the engine than its cache holds. */
+/* When more programs share an engine than its cache holds, each finds its prefix evicted by the
+ * others and computes it again. */
 static void
 test_few_programs_share_a_scarce_cache (void)
 {
@@ -326,10 +326,10 @@
   talloc_free (queue);
 }
 
-/* A negotiation pauses for a tool; its place in the cache is given away at once, and its next turn
- * computes everything again. */
+/* A program that pauses for a tool call must stay admitted for a while: otherwise its next turn
+ * computes the whole prefix again. */
 static void
-test_a_pause_keeps_the_place_for_a_while (void)
+test_a_paused_program_stays_admitted_for_a_while (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 16);
 
@@ -345,7 +345,7 @@
   talloc_free (queue);
 }
 
-/* The report claims a huge cache. Prefixes are evicted all the same, and the queue believes it. */
+/* The server reports a much larger cache than it has. Evicted prefixes must correct the budget. */
 static void
 test_budget_is_learned_against_a_wrong_report (void)
 {
@@ -372,8 +372,8 @@
   talloc_free (queue);
 }
 
-/* A short question is sent at once and still waits for seconds: the engine computes the prompts of
- * several long reviews first, in the order in which they came. */
+/* A short call that is sent behind several long prompts waits for seconds in the engine, which
+ * computes prompts in order of arrival. */
 static void
 test_long_prompts_wait_here_and_not_in_the_engine (void)
 {
@@ -384,7 +384,7 @@
   first.prompt_tokens = second.prompt_tokens = 9000;
   push (queue, &program_rule, 1, "p", 0, 0);
   CU_ASSERT_EQUAL (pop (queue, 0), 1);
-  dispatch_queue_first_token (queue, 1, 100); /* teaches what a prompt token takes */
+  dispatch_queue_first_token (queue, 1, 100); /* learns the time per prompt token */
   finish (queue, 1, 0, 1000);
   push_item (queue, &program_rule, &first, 1000);
   push_item (queue, &program_rule, &second, 1001);
@@ -393,13 +393,13 @@
   push (queue, &program_rule, 4, "question", 0, 1100);
   dispatch_queue_first_token (queue, 2, 1900);
   CU_ASSERT_EQUAL (pop (queue, 1900), 4);
-  /* A server that never shows a first token is not held up for ever. */
+  /* A server that never shows a first token must not block the queue forever. */
   CU_ASSERT_EQUAL (pop (queue, 60000), 3);
   talloc_free (queue);
 }
 
-/* One request crashes an engine; the dozen that ran beside it are sent again together with it,
- * crash the next engine together, and are all quarantined, though only one is at fault. */
+/* One request crashes an engine. If the requests that ran at the same time are retried together
+ * with it, they crash the next engine together and all are quarantined. */
 static void
 test_suspects_run_one_at_a_time (void)
 {
@@ -422,31 +422,32 @@
   talloc_free (queue);
 }
 
-/* Under a profile with a short ageing time every newcomer is soon much more urgent than a review
- * in its tool pause, takes its place, and the review's next turn computes 18,000 tokens again. */
+/* With a short ageing time every new program soon becomes much more urgent than a paused one. If it
+ * evicted that one, the paused program's next turn would compute 18,000 tokens again. */
 static void
-test_short_ageing_does_not_give_places_away (void)
+test_short_ageing_does_not_evict_paused_programs (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 16);
   struct DispatchItem review = item_of (2, "review", "hiring-agents", 1000000);
   struct DispatchItem newcomer = item_of (4, "newcomer", "hiring-agents", 0);
   struct DispatchItem small = item_of (3, "small", "hiring-agents", 0);
-  struct Outcome answered = { .charge_tokens = 18050 };
+  struct Outcome completed = { .charge_tokens = 18050 };
 
   dispatch_queue_report_cache (queue, 20000);
   push (queue, &program_rule, 1, "p", 0, 0);
   CU_ASSERT_EQUAL (pop (queue, 0), 1);
-  dispatch_queue_first_token (queue, 1, 100); /* 0.1 ms a token: the cache takes 1.9 s */
+  dispatch_queue_first_token (queue, 1,
+                              100); /* 0.1 ms per token: computing the whole cache takes 1.9 s */
   finish (queue, 1, 0, 200);
   dispatch_queue_program_ended (queue, "p");
   review.prompt_tokens = 18000;
   push_item (queue, &program_rule, &review, 1000);
   CU_ASSERT_EQUAL (pop (queue, 1000), 2);
   dispatch_queue_first_token (queue, 2, 2800);
-  dispatch_queue_finished (queue, 2, &answered, 3000);
+  dispatch_queue_finished (queue, 2, &completed, 3000);
   review.id = 5;
   review.cached_tokens_hint = 18000;
-  /* Something small keeps the server busy, and a large newcomer waits. */
+  /* A small call keeps the server busy while a large new program waits. */
   small.prompt_tokens = 300;
   push_item (queue, &program_rule, &small, 3000);
   newcomer.prompt_tokens = 2000;
@@ -459,18 +460,18 @@
   talloc_free (queue);
 }
 
-/* A review whose history fills most of the cache waits for minutes, though nothing is wrong: there
- * is never room for it at once, because small and new programs come in all the time. */
+/* A program whose prefix fills most of the cache waits for minutes, because small and new programs
+ * are admitted all the time and there is never enough room for it at once. */
 static void
-test_a_large_program_gets_its_place_in_time (void)
+test_a_large_program_is_admitted_in_time (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 16);
   struct DispatchItem review = item_of (1, "review", "hiring-agents", 100000);
-  int64_t served_ms = -1;
+  int64_t popped_ms = -1;
 
   review.prompt_tokens = 9000;
   dispatch_queue_report_cache (queue, 10000);
-  for (int64_t now = 0; now < 60000 && served_ms < 0; now += 100)
+  for (int64_t now = 0; now < 60000 && popped_ms < 0; now += 100)
     {
       uint64_t new_id = 2 + (uint64_t)now, id;
       char name[32];
@@ -481,16 +482,16 @@
       push (queue, &program_rule, new_id, name, 0, now);
       id = pop (queue, now);
       if (id == 1)
-        served_ms = now;
-      finish (queue, id, 0, now); /* and pauses */
+        popped_ms = now;
+      finish (queue, id, 0, now); /* and starts a pause */
     }
-  /* Overdue after two ageing times, and then the turn of one in four. */
-  CU_ASSERT (served_ms > 0 && served_ms <= 4000);
+  /* Overdue after two ageing times, then admitted at the latest as every fourth program. */
+  CU_ASSERT (popped_ms > 0 && popped_ms <= 4000);
   talloc_free (queue);
 }
 
 static void
-test_a_removed_item_is_never_given (void)
+test_a_removed_item_is_never_popped (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 8);
 
@@ -511,23 +512,24 @@
   { "the least attained program goes first", test_least_attained_program_goes_first },
   { "a long program is not starved by newcomers", test_a_long_program_is_not_starved_by_newcomers },
   { "calls in flight stay within the limit", test_calls_in_flight_stay_within_the_limit },
-  { "the limit follows the pace of the answers", test_limit_follows_the_pace_of_the_answers },
+  { "the limit follows the pace of responses", test_limit_follows_the_pace_of_responses },
   { "the limit follows the time of a plain service",
     test_limit_follows_the_time_of_a_plain_service },
-  { "a full queue refuses and spreads the callers",
-    test_full_queue_refuses_and_spreads_the_callers },
-  { "calls that can not finish are refused at once",
-    test_calls_that_can_not_finish_are_refused_at_once },
-  { "an export does not shut out another service",
-    test_an_export_does_not_shut_out_another_service },
+  { "a full queue refuses and spreads retries", test_full_queue_refuses_and_spreads_retries },
+  { "calls that cannot finish are refused at once",
+    test_calls_that_cannot_finish_are_refused_at_once },
+  { "a batch job does not starve another service",
+    test_a_batch_job_does_not_starve_another_service },
   { "few programs share a scarce cache", test_few_programs_share_a_scarce_cache },
-  { "a pause keeps the place for a while", test_a_pause_keeps_the_place_for_a_while },
+  { "a paused program stays admitted for a while",
+    test_a_paused_program_stays_admitted_for_a_while },
   { "the budget is learned against a wrong report", test_budget_is_learned_against_a_wrong_report },
   { "long prompts wait here and not in the engine",
     test_long_prompts_wait_here_and_not_in_the_engine },
   { "suspects run one at a time", test_suspects_run_one_at_a_time },
-  { "short ageing does not give places away", test_short_ageing_does_not_give_places_away },
-  { "a large program gets its place in time", test_a_large_program_gets_its_place_in_time },
-  { "a removed item is never given", test_a_removed_item_is_never_given },
+  { "short ageing does not evict paused programs",
+    test_short_ageing_does_not_evict_paused_programs },
+  { "a large program is admitted in time", test_a_large_program_is_admitted_in_time },
+  { "a removed item is never popped", test_a_removed_item_is_never_popped },
   { NULL, NULL },
 };
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -60,8 +60,8 @@
   return placement_choose (placement, weights, servers, N_SERVERS, call, now_ms, &fault);
 }
 
-/* A server dies and leaves the list. Its programs' next calls go to it all the same, because their
- * prefixes are there, and hang: the cause is a prefix that outweighs everything else. */
+/* A server dies and is removed from the list. Calls of its programs must not be sent to it for the
+ * sake of their cached prefixes: they would hang. */
 static void
 test_no_rule_chooses_an_unusable_server (void)
 {
@@ -103,7 +103,7 @@
 }
 
 static void
-test_least_reported_believes_the_report (void)
+test_least_reported_uses_the_report (void)
 {
   struct PolicyServer servers[N_SERVERS];
   struct PolicyWeights weights = { .rule = POLICY_LEAST_REPORTED };
@@ -136,7 +136,7 @@
   talloc_free (placement);
 }
 
-/* Two profiles disagree on the same facts: a long prefix on a busy server. */
+/* Two profiles choose differently in the same situation: a long prefix on a busy server. */
 static void
 test_cache_weight_decides_how_long_to_follow (void)
 {
@@ -149,14 +149,14 @@
   cache.cache_weight_permille = 1000;
   servers_fill (servers, N_SERVERS);
   learn (placement, &call, "engine-0", 20000);
-  servers[0].in_flight = 64; /* 9 s of work; the prefix takes 2 s to compute again */
+  servers[0].in_flight = 64; /* 9 s of work; recomputing the prefix takes 2 s */
   CU_ASSERT_NOT_EQUAL (choose (placement, &latency, servers, &call, 0), 0);
   CU_ASSERT_EQUAL (choose (placement, &cache, servers, &call, 0), 0);
   talloc_free (placement);
 }
 
-/* Programs pile up on one server after a burst and are all slow. Every call of one digest period
- * had been sent to the server that looked best in that digest: the home ignored its own choices. */
+/* After a burst all programs run on one server and are slow: if a home ignores its own choices,
+ * every call of one digest period is sent to the server that looked best in that digest. */
 static void
 test_stale_digests_do_not_herd (void)
 {
@@ -165,7 +165,7 @@
   int counts[N_SERVERS] = { 0 };
 
   servers_fill (servers, N_SERVERS);
-  servers[0].in_flight = servers[2].in_flight = 2; /* and never change */
+  servers[0].in_flight = servers[2].in_flight = 2; /* these never change */
   for (int i = 0; i < 60; i++)
     {
       char name[16];
@@ -180,7 +180,7 @@
   talloc_free (placement);
 }
 
-/* A frozen report shows an empty server for half a minute while its queue grows. */
+/* A frozen report shows an idle server for half a minute while its queue grows. */
 static void
 test_own_counts_come_before_a_frozen_report (void)
 {
@@ -214,7 +214,7 @@
   talloc_free (placement);
 }
 
-/* With many servers a sample is compared; the one usable server must be found all the same. */
+/* With many servers only a sample is compared; the only usable server must still be found. */
 static void
 test_the_only_usable_of_many_is_found (void)
 {
@@ -233,7 +233,7 @@
 }
 
 static void
-test_forgotten_program_leaves_nothing (void)
+test_forgotten_program_has_no_hint (void)
 {
   struct Placement *placement = placement_new (NULL);
   struct Call call = call_of ("p", 1000), sub = call_of ("p", 1000);
@@ -252,7 +252,7 @@
 const struct TestCase test_cases[] = {
   { "no rule chooses an unusable server", test_no_rule_chooses_an_unusable_server },
   { "round robin takes turns", test_round_robin_takes_turns },
-  { "least reported believes the report", test_least_reported_believes_the_report },
+  { "least reported uses the report", test_least_reported_uses_the_report },
   { "a prefix is followed until the wait outweighs it",
     test_prefix_is_followed_until_the_wait_outweighs_it },
   { "the cache weight decides how long to follow", test_cache_weight_decides_how_long_to_follow },
@@ -260,6 +260,6 @@
   { "own counts come before a frozen report", test_own_counts_come_before_a_frozen_report },
   { "same zone breaks ties", test_same_zone_breaks_ties },
   { "the only usable of many is found", test_the_only_usable_of_many_is_found },
-  { "a forgotten program leaves nothing", test_forgotten_program_leaves_nothing },
+  { "a forgotten program has no hint", test_forgotten_program_has_no_hint },
   { NULL, NULL },
 };
--- a/tests/test_policy_model.c
+++ b/tests/test_policy_model.c
@@ -2,8 +2,9 @@
 
 #include <policy_sim.h>
 
-/* The policy core against the small engine model of bench/, in simulated time with fixed seeds. The
- * margins are wide: the tests guard the order of the rules, the figures stand in docs/POLICY.md. */
+/* Runs the policy core against the small engine model of bench/, in simulated time with fixed
+ * seeds. The margins are wide: the tests check the order of the rules; docs/POLICY.md has the
+ * figures. */
 
 enum
 {
@@ -38,8 +39,8 @@
   CU_ASSERT_EQUAL (a.wait_mean_ms, b.wait_mean_ms);
 }
 
-/* Every review is slow though the engines are busy all the time: they compute the same prefixes
- * again and again, because more programs share the cache than fit. */
+/* More programs share the cache than fit. All are slow although the engines are always busy,
+ * because they compute the same prefixes again and again. */
 static void
 test_scarce_cache_does_not_thrash (void)
 {
@@ -66,8 +67,8 @@
   CU_ASSERT (program.latency_ms.p95 < sticky.latency_ms.p95 * 1.1);
 }
 
-/* A third more programs come than can be served, and fewer end in time than before: work is spent
- * on programs that are late anyway. */
+/* A third more programs arrive than can be served. Goodput drops if work is spent on programs that
+ * miss their deadlines anyway. */
 static void
 test_overload_does_not_collapse (void)
 {
@@ -78,8 +79,8 @@
   CU_ASSERT (over.short_ms.p95 < full.short_ms.p95 * 1.5);
 }
 
-/* An engine dies in mid-run and stays dead. Its programs fail one after the other: an engine that
- * refuses at once looks like the one with the shortest queue. */
+/* An engine dies during the run and does not restart. An engine that refuses at once appears to
+ * have the shortest queue, and its programs would fail one after the other. */
 static void
 test_a_dead_server_fails_no_program (void)
 {
@@ -88,9 +89,10 @@
   CU_ASSERT_EQUAL (dead.n_done, dead.n_programs);
 }
 
-/* One request crashes each engine that runs it. The innocent ones beside it go on. */
+/* One request crashes each engine that runs it. Requests that ran at the same time must
+ * complete. */
 static void
-test_only_the_poison_is_quarantined (void)
+test_only_the_crashing_request_is_quarantined (void)
 {
   struct SimResult poison = run ("poison", POLICY_PROGRAM, 0.6, 5);
 
@@ -99,7 +101,7 @@
   CU_ASSERT_EQUAL (poison.n_done, poison.n_programs - 1);
 }
 
-/* The reports stand still for half a minute: the owners' own counts carry on. */
+/* Reports stay unchanged for half a minute: the owners' own counts replace them. */
 static void
 test_frozen_reports_change_little (void)
 {
@@ -116,7 +118,7 @@
   { "an ample cache is no worse", test_ample_cache_is_no_worse },
   { "overload does not collapse", test_overload_does_not_collapse },
   { "a dead server fails no program", test_a_dead_server_fails_no_program },
-  { "only the poison is quarantined", test_only_the_poison_is_quarantined },
+  { "only the crashing request is quarantined", test_only_the_crashing_request_is_quarantined },
   { "frozen reports change little", test_frozen_reports_change_little },
   { NULL, NULL },
 };
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -4,65 +4,65 @@
 
 #include <string.h>
 
-static const uint8_t poison[DIGEST_BYTES] = { 1, 2, 3 };
-static const uint8_t other[DIGEST_BYTES] = { 9 };
+static const uint8_t crashing[DIGEST_BYTES] = { 1, 2, 3 };
+static const uint8_t healthy[DIGEST_BYTES] = { 9 };
 
-/* Engines die one after the other: one request crashes whichever runs it, and its caller sends it
- * again. After the second engine it is held; a healthy request that ran beside it is not. */
+/* One request crashes each engine that runs it, and its caller retries it. After the second engine
+ * it is quarantined; a healthy request that ran at the same time is not. */
 static void
-test_two_servers_dead_quarantine_the_request (void)
+test_crashes_of_two_servers_quarantine_the_request (void)
 {
   struct Quarantine *quarantine = quarantine_new (NULL);
 
-  CU_ASSERT_FALSE (quarantine_record_death (quarantine, poison, "engine-1", 0));
-  CU_ASSERT_FALSE (quarantine_record_death (quarantine, other, "engine-1", 0));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, poison));
-  CU_ASSERT_TRUE (quarantine_record_death (quarantine, poison, "engine-2", 1));
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, poison));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, other));
-  CU_ASSERT_FALSE (quarantine_record_death (quarantine, poison, "engine-3", 2));
+  CU_ASSERT_FALSE (quarantine_record_death (quarantine, crashing, "engine-1", 0));
+  CU_ASSERT_FALSE (quarantine_record_death (quarantine, healthy, "engine-1", 0));
+  CU_ASSERT_FALSE (quarantine_holds (quarantine, crashing));
+  CU_ASSERT_TRUE (quarantine_record_death (quarantine, crashing, "engine-2", 1));
+  CU_ASSERT_TRUE (quarantine_holds (quarantine, crashing));
+  CU_ASSERT_FALSE (quarantine_holds (quarantine, healthy));
+  CU_ASSERT_FALSE (quarantine_record_death (quarantine, crashing, "engine-3", 2));
   talloc_free (quarantine);
 }
 
-/* One machine restarts again and again; its requests must not be blamed for it. */
+/* One server restarts again and again; its requests are not the cause. */
 static void
-test_one_server_dead_twice_is_the_server (void)
+test_two_crashes_of_one_server_quarantine_nothing (void)
 {
   struct Quarantine *quarantine = quarantine_new (NULL);
 
   for (int i = 0; i < 5; i++)
-    CU_ASSERT_FALSE (quarantine_record_death (quarantine, poison, "engine-1", i));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, poison));
+    CU_ASSERT_FALSE (quarantine_record_death (quarantine, crashing, "engine-1", i));
+  CU_ASSERT_FALSE (quarantine_holds (quarantine, crashing));
   talloc_free (quarantine);
 }
 
-/* What ran to its end after the first death did not cause it. */
+/* A request that ran to its end after the first crash did not cause it. */
 static void
-test_a_cleared_suspect_starts_anew (void)
+test_a_cleared_suspect_is_no_suspect (void)
 {
   struct Quarantine *quarantine = quarantine_new (NULL);
 
-  quarantine_record_death (quarantine, poison, "engine-1", 0);
-  CU_ASSERT_TRUE (quarantine_suspects (quarantine, poison));
-  quarantine_clear (quarantine, poison);
-  quarantine_clear (quarantine, poison);
-  CU_ASSERT_FALSE (quarantine_suspects (quarantine, poison));
-  CU_ASSERT_FALSE (quarantine_record_death (quarantine, poison, "engine-2", 1));
+  quarantine_record_death (quarantine, crashing, "engine-1", 0);
+  CU_ASSERT_TRUE (quarantine_suspects (quarantine, crashing));
+  quarantine_clear (quarantine, crashing);
+  quarantine_clear (quarantine, crashing);
+  CU_ASSERT_FALSE (quarantine_suspects (quarantine, crashing));
+  CU_ASSERT_FALSE (quarantine_record_death (quarantine, crashing, "engine-2", 1));
   talloc_free (quarantine);
 }
 
 static void
-test_told_by_another_instance (void)
+test_digest_of_another_instance (void)
 {
   struct Quarantine *quarantine = quarantine_new (NULL);
 
-  quarantine_add (quarantine, poison);
-  quarantine_add (quarantine, poison);
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, poison));
+  quarantine_add (quarantine, crashing);
+  quarantine_add (quarantine, crashing);
+  CU_ASSERT_TRUE (quarantine_holds (quarantine, crashing));
   talloc_free (quarantine);
 }
 
-/* A whole zone dies with thousands of requests in it: memory stays bounded. */
+/* A whole zone fails with thousands of requests in flight: memory must stay bounded. */
 static void
 test_suspects_are_bounded (void)
 {
@@ -84,10 +84,12 @@
 
 const char test_suite_name[] = "quarantine";
 const struct TestCase test_cases[] = {
-  { "two servers dead quarantine the request", test_two_servers_dead_quarantine_the_request },
-  { "one server dead twice is the server", test_one_server_dead_twice_is_the_server },
-  { "a cleared suspect starts anew", test_a_cleared_suspect_starts_anew },
-  { "told by another instance", test_told_by_another_instance },
+  { "crashes of two servers quarantine the request",
+    test_crashes_of_two_servers_quarantine_the_request },
+  { "two crashes of one server quarantine nothing",
+    test_two_crashes_of_one_server_quarantine_nothing },
+  { "a cleared suspect is no suspect", test_a_cleared_suspect_is_no_suspect },
+  { "digest reported by another instance", test_digest_of_another_instance },
   { "suspects are bounded", test_suspects_are_bounded },
   { NULL, NULL },
 };
--- a/tests/test_retry_budget.c
+++ b/tests/test_retry_budget.c
@@ -5,7 +5,7 @@
 static const struct Outcome unreachable = { .error = ERROR_UNREACHABLE, .ran = RAN_NO };
 static const struct Outcome lost = { .error = ERROR_UNKNOWN_EFFECT, .ran = RAN_MAYBE };
 
-/* A foreman's wage confirmation is sent twice: its answer was lost, and it was taken for failed. */
+/* A call whose response is lost may have run. Retrying it runs it twice unless it is idempotent. */
 static void
 test_a_non_idempotent_call_is_not_repeated (void)
 {
@@ -39,10 +39,10 @@
   talloc_free (budget);
 }
 
-/* A short stall becomes a long outage: every failed call is sent again at once, the servers get
- * several times their load, and so still more calls fail. */
+/* If every failed call is retried at once, a short stall becomes a long outage: the servers get
+ * several times their load, and more calls fail. */
 static void
-test_retries_can_not_multiply_an_overload (void)
+test_retries_cannot_multiply_an_overload (void)
 {
   struct RetryBudget *budget = retry_budget_new (NULL, 1);
   struct Call call = { .idempotent = true };
@@ -90,7 +90,7 @@
 const struct TestCase test_cases[] = {
   { "a non-idempotent call is not repeated", test_a_non_idempotent_call_is_not_repeated },
   { "a fault of the request is not repeated", test_a_fault_of_the_request_is_not_repeated },
-  { "retries can not multiply an overload", test_retries_can_not_multiply_an_overload },
+  { "retries cannot multiply an overload", test_retries_cannot_multiply_an_overload },
   { "the back-off grows, is jittered and seeded", test_back_off_grows_is_jittered_and_seeded },
   { NULL, NULL },
 };
--- a/tests/test_server_health.c
+++ b/tests/test_server_health.c
@@ -24,7 +24,7 @@
   talloc_free (health);
 }
 
-/* One caller sends malformed requests and takes a server from everyone. */
+/* Malformed requests of one caller must not take a server away from all others. */
 static void
 test_refused_requests_are_not_the_servers_fault (void)
 {
@@ -39,8 +39,8 @@
   talloc_free (health);
 }
 
-/* A server hangs with its connections open: nothing fails, nothing comes, and its last report,
- * which nobody renews, looks healthy. An idle server is as silent, and is well. */
+/* A server hangs with its connections open: no call fails, no response arrives, and its last
+ * report, which is not updated, looks healthy. An idle server is equally silent, but healthy. */
 static void
 test_silence_with_calls_in_flight_is_suspicious (void)
 {
