--- a/core/customers/customer_table.c
+++ b/core/customers/customer_table.c
@@ -64,9 +64,10 @@
   struct CustomerEntry *entry;
 
   if (customer->name[0] == '\0')
-    return fault_set (fault, ERROR_INVALID, "give each customer a name", "a customer has no name");
+    return fault_set (fault, ERROR_INVALID, "set a name for each customer",
+                      "a customer has no name");
   if (customer_table_find (table, customer->name) != NULL)
-    return fault_set (fault, ERROR_INVALID, "give each customer a unique name",
+    return fault_set (fault, ERROR_INVALID, "set a unique name for each customer",
                       "duplicate customer name %s", customer->name);
   if (!limit_is_in_range (customer->rate_per_s) || !limit_is_in_range (customer->burst))
     return fault_set (fault, ERROR_INVALID, "set rate and burst to values from 0 to 10,000,000",
--- a/core/customers/quota_part.c
+++ b/core/customers/quota_part.c
@@ -8,8 +8,8 @@
   EXTRAPOLATED_GATEWAYS_MAX = 3
 };
 
-/* How near to a limit requests may come. Others' requests are known only after a delay, and in a
- * surge these are many. */
+/* How close to a limit usage may get. Others' requests are known only after a delay, during which
+ * many pass in a surge. */
 struct QuotaMargins
 {
   double begin_headroom;     /* fraction of burst and slack granted to new programs */
--- a/core/dispatch_queue.c
+++ b/core/dispatch_queue.c
@@ -288,7 +288,7 @@
   return HEAP_ENTRY (policy_heap_first (&service->unadmitted), struct QueuedCall, order);
 }
 
-/* A request that was running on a server when it died may have caused the crash, and so may each
+/* A request that was running on a server when it crashed may be the cause, and so may each
  * request that ran at the same time. Sent together they would crash the next server together, and
  * all be quarantined. */
 static struct QueuedCall *
--- a/core/fair_share.h
+++ b/core/fair_share.h
@@ -1,5 +1,4 @@
 /* Fair sharing of one backend server between the services waiting for it, by weighted virtual time.
- *
  *
  * Each service has two heaps of waiting calls: those whose program is admitted to the server's
  * cache (ready) and those whose program is not (unadmitted). A service's virtual time grows with
@@ -54,8 +53,8 @@
                    struct HeapNode *node,
                    bool ready);
 
-/* Charges the service for tokens it has received; negative if it received fewer than charged
- * before. */
+/* Charges the service for tokens it has received; tokens is negative if it received fewer than
+ * charged before. */
 void
 fair_share_charge (TALLOC_CTX *ctx,
                    struct FairShare *fair,
--- a/core/policy_active.h
+++ b/core/policy_active.h
@@ -1,5 +1,4 @@
 /* Decides which programs share one engine's prefix cache.
- *
  *
  * An engine whose cache is smaller than the prefixes of its programs recomputes them all the time:
  * each program's next turn finds its prefix evicted by the others'. So only a set of programs that
--- a/core/policy_limit.h
+++ b/core/policy_limit.h
@@ -1,5 +1,4 @@
 /* Learned limit on one backend server's calls in flight, and its learned paces.
- *
  *
  * Engines admit every call they are sent, and their reports lag; so the limit is learned from the
  * pace of responses: additive increase while the limit is reached, multiplicative decrease when the
--- a/core/retry_budget.c
+++ b/core/retry_budget.c
@@ -6,9 +6,9 @@
   RETRY_BACKOFF_INITIAL_MS = 50,
   RETRY_BACKOFF_MAX_MS = 5000,
   RETRY_PERMILLE = 1000, /* per retry */
-  /* At most this many retries are saved up: enough for the calls in flight of a server that dies,
-   * and so few that an hour of low load does not pay for a retry storm. A new instance may retry a
-   * few calls at once. */
+  /* At most this many retries are saved up: enough for the calls in flight of a server that
+   * crashes, and so few that an hour of low load does not pay for a retry storm. A new instance may
+   * retry a few calls at once. */
   RETRY_SAVED_MAX = 100,
   RETRY_SAVED_INITIAL = 20,
   STATUS_SERVER_ERROR = 500,
--- a/include/buckthornhead/customers/customer_table.h
+++ b/include/buckthornhead/customers/customer_table.h
@@ -1,5 +1,4 @@
 /* Configured customers: the keys and the limits of each.
- *
  *
  * One immutable table per version of the configuration, part of the route table of that version.
  * Keys are stored as configured and never leave this module: no error message or log line contains
--- a/include/buckthornhead/customers/quota.h
+++ b/include/buckthornhead/customers/quota.h
@@ -1,5 +1,4 @@
 /* Enforces customers' limits at one of many gateways.
- *
  *
  * A customer's limit holds over all gateways together, in each sliding window: the rate times the
  * window, plus the burst once. Each gateway sees only its own share of the requests. It reports
@@ -7,7 +6,6 @@
  * customers near their limit. From these all gateways compute the same fraction of requests to let
  * through, so that no request waits for another process and a failed gateway takes no state along.
  *
- *
  * A program fails with its first refused turn, whatever it received before. So a program that
  * begins is counted with all the requests that it is expected to need, and programs are admitted
  * only as far as the limit covers these; requests of programs under way pass until the limit itself
@@ -15,7 +13,6 @@
  * as the limit covers run to their end, whereas refusing requests evenly would fail nearly all of
  * them.
  *
- *
  * A gateway that receives no reports spends less than half of an equal share, and the others
  * reserve as much for each gateway that they do not receive from, so that the two sides of a
  * network partition keep the limit together. A gateway that has just started reports this, and all
@@ -134,8 +131,8 @@
                  int64_t taken_ms,
                  int64_t now_ms);
 
-/* Returns the usage that this gateway reports, allocated on ctx; NULL when out of memory or if no
- * customer has a limit. */
+/* Returns the usage that this gateway reports, allocated on ctx; NULL when out of memory, if no
+ * customer has a limit, or if the limits are shared in equal parts. */
 struct CustomerUse *
 quota_ledger_uses (struct QuotaLedger *ledger, TALLOC_CTX *ctx, int64_t now_ms, size_t *n_usages);
 
--- a/include/buckthornhead/customers/use_board.h
+++ b/include/buckthornhead/customers/use_board.h
@@ -1,5 +1,4 @@
 /* Customers' usage as reported by other gateways, and its sums.
- *
  *
  * A gateway reports its own usage to the aggregators of its zone; these report the zone's sum to
  * the aggregators of other zones, and the fleet's sum to their members. Two aggregators of a zone
--- a/include/buckthornhead/policy.h
+++ b/include/buckthornhead/policy.h
@@ -1,7 +1,6 @@
 /* Policy core: decides which call is sent next, to which server, how many run at once and when to
  * refuse.
  *
- *
  * Pure: no I/O, no clock, no threads; (state, event, now) -> actions. It has two halves. Placement
  * runs at a program's home and picks a backend server from digests that the owners send. The queue
  * runs at the owner of one backend server and orders the calls waiting for it. */
@@ -161,12 +160,12 @@
 dispatch_queue_digest (const struct DispatchQueue *queue, struct PolicyServer *digest);
 
 /* Quarantine of requests by digest: a request is quarantined if it was running on two backend
- * servers when they died. */
+ * servers when they crashed. */
 struct Quarantine;
 
 struct Quarantine *
 quarantine_new (TALLOC_CTX *ctx);
-/* Records that server died while running digest. Returns true if this puts the request in
+/* Records that server crashed while running digest. Returns true if this puts the request in
  * quarantine (second server). */
 bool
 quarantine_record_death (struct Quarantine *quarantine,
@@ -175,9 +174,9 @@
                          int64_t now_ms);
 bool
 quarantine_holds (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
-/* Returns whether the request was running on one server when that died. So were all requests that
- * ran at the same time: they are retried one at a time (DispatchItem.suspect), so that a second
- * crash identifies one of them. */
+/* Returns whether the request was running on one server when that crashed. So were all requests
+ * that ran at the same time: they are retried one at a time (DispatchItem.suspect), so that a
+ * second crash identifies one of them. */
 bool
 quarantine_suspects (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
 /* The request ran to its end and is no longer a suspect. */
--- a/include/buckthornhead/server_health.h
+++ b/include/buckthornhead/server_health.h
@@ -1,4 +1,4 @@
-/* Detects slow and dead backend servers from the owner's own counts. Load reports are not used:
+/* Detects slow and failed backend servers from the owner's own counts. Load reports are not used:
  * they lag, and a frozen report looks like a healthy server. */
 #pragma once
 
@@ -24,7 +24,7 @@
 bool
 server_health_suspected (const struct ServerHealth *health, int64_t now_ms);
 /* Returns true if a suspected server should be probed for a load report; its response counts as a
- * call that ended without error. Callers' calls are never used as probes: a dead server that
+ * call that ended without error. Callers' calls are never used as probes: a failed server that
  * refuses at once appears to have the shortest queue and would attract all calls of that moment,
  * which would fail. */
 bool
--- a/tests/test_dispatch_queue.c
+++ b/tests/test_dispatch_queue.c
@@ -97,7 +97,7 @@
 /* Without ageing a long program starves while new programs keep arriving, because each of them has
  * received fewer tokens. */
 static void
-test_a_long_program_is_not_starved_by_newcomers (void)
+test_a_long_program_is_not_starved_by_new_programs (void)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 4);
   int64_t popped_ms = -1;
@@ -429,7 +429,7 @@
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 16);
   struct DispatchItem review = item_of (2, "review", "hiring-agents", 1000000);
-  struct DispatchItem newcomer = item_of (4, "newcomer", "hiring-agents", 0);
+  struct DispatchItem new_program = item_of (4, "newcomer", "hiring-agents", 0);
   struct DispatchItem small = item_of (3, "small", "hiring-agents", 0);
   struct Outcome completed = { .charge_tokens = 18050 };
 
@@ -450,8 +450,8 @@
   /* A small call keeps the server busy while a large new program waits. */
   small.prompt_tokens = 300;
   push_item (queue, &program_rule, &small, 3000);
-  newcomer.prompt_tokens = 2000;
-  push_item (queue, &program_rule, &newcomer, 3000);
+  new_program.prompt_tokens = 2000;
+  push_item (queue, &program_rule, &new_program, 3000);
   CU_ASSERT_EQUAL (pop (queue, 3000), 3);
   dispatch_queue_first_token (queue, 3, 3050);
   CU_ASSERT_EQUAL (pop (queue, 3100), 0);
@@ -510,7 +510,8 @@
 const struct TestCase test_cases[] = {
   { "FIFO keeps arrival order", test_fifo_keeps_arrival_order },
   { "the least attained program goes first", test_least_attained_program_goes_first },
-  { "a long program is not starved by newcomers", test_a_long_program_is_not_starved_by_newcomers },
+  { "a long program is not starved by new programs",
+    test_a_long_program_is_not_starved_by_new_programs },
   { "calls in flight stay within the limit", test_calls_in_flight_stay_within_the_limit },
   { "the limit follows the pace of responses", test_limit_follows_the_pace_of_responses },
   { "the limit follows the time of a plain service",
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -60,8 +60,8 @@
   return placement_choose (placement, weights, servers, N_SERVERS, call, now_ms, &fault);
 }
 
-/* A server dies and is removed from the list. Calls of its programs must not be sent to it for the
- * sake of their cached prefixes: they would hang. */
+/* A server crashes and is removed from the list. Calls of its programs must not be sent to it for
+ * the sake of their cached prefixes: they would hang. */
 static void
 test_no_rule_chooses_an_unusable_server (void)
 {
@@ -182,7 +182,7 @@
 
 /* A frozen report shows an idle server for half a minute while its queue grows. */
 static void
-test_own_counts_come_before_a_frozen_report (void)
+test_own_counts_take_precedence_over_a_frozen_report (void)
 {
   struct PolicyServer servers[N_SERVERS];
   struct Placement *placement = placement_new (NULL);
@@ -257,7 +257,8 @@
     test_prefix_is_followed_until_the_wait_outweighs_it },
   { "the cache weight decides how long to follow", test_cache_weight_decides_how_long_to_follow },
   { "stale digests do not herd", test_stale_digests_do_not_herd },
-  { "own counts come before a frozen report", test_own_counts_come_before_a_frozen_report },
+  { "own counts take precedence over a frozen report",
+    test_own_counts_take_precedence_over_a_frozen_report },
   { "same zone breaks ties", test_same_zone_breaks_ties },
   { "the only usable of many is found", test_the_only_usable_of_many_is_found },
   { "a forgotten program has no hint", test_forgotten_program_has_no_hint },
--- a/tests/test_policy_model.c
+++ b/tests/test_policy_model.c
@@ -79,14 +79,14 @@
   CU_ASSERT (over.short_ms.p95 < full.short_ms.p95 * 1.5);
 }
 
-/* An engine dies during the run and does not restart. An engine that refuses at once appears to
+/* An engine crashes during the run and does not restart. An engine that refuses at once appears to
  * have the shortest queue, and its programs would fail one after the other. */
 static void
-test_a_dead_server_fails_no_program (void)
+test_a_crashed_server_fails_no_program (void)
 {
-  struct SimResult dead = run ("dead", POLICY_PROGRAM, 0.6, 5);
+  struct SimResult crashed = run ("dead", POLICY_PROGRAM, 0.6, 5);
 
-  CU_ASSERT_EQUAL (dead.n_done, dead.n_programs);
+  CU_ASSERT_EQUAL (crashed.n_done, crashed.n_programs);
 }
 
 /* One request crashes each engine that runs it. Requests that ran at the same time must
@@ -117,7 +117,7 @@
   { "a scarce cache does not thrash", test_scarce_cache_does_not_thrash },
   { "an ample cache is no worse", test_ample_cache_is_no_worse },
   { "overload does not collapse", test_overload_does_not_collapse },
-  { "a dead server fails no program", test_a_dead_server_fails_no_program },
+  { "a crashed server fails no program", test_a_crashed_server_fails_no_program },
   { "only the crashing request is quarantined", test_only_the_crashing_request_is_quarantined },
   { "frozen reports change little", test_frozen_reports_change_little },
   { NULL, NULL },
--- a/tests/test_quota_fleet.c
+++ b/tests/test_quota_fleet.c
@@ -565,7 +565,7 @@
 /* All gateways stop at once and restart within a second, without state, while two customers send
  * several times their limits. The restart must not grant a second burst. */
 static void
-test_a_stop_of_everything_gives_no_second_burst (void)
+test_a_restart_of_all_gateways_gives_no_second_burst (void)
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
@@ -584,7 +584,7 @@
 /* All gateways restart while no customer is over its limit. All programs send their requests again
  * at once, and none may be refused for usage that its customer may have had before. */
 static void
-test_a_stop_of_everything_refuses_nobody (void)
+test_a_restart_of_all_gateways_refuses_no_request (void)
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
@@ -729,7 +729,7 @@
     bool programs_first;
   } ways[] = {
     { "counts, under way first", QUOTA_BY_COUNTS, true },
-    { "counts, as they come", QUOTA_BY_COUNTS, false },
+    { "counts, in order of arrival", QUOTA_BY_COUNTS, false },
     { "equal parts", QUOTA_BY_EQUAL_PARTS, true },
   };
 
@@ -754,8 +754,10 @@
   { "a hot customer gets its limit in whole programs",
     test_a_hot_customer_gets_its_limit_in_whole_programs },
   { "a hot customer's program size is learned", test_a_hot_customers_program_size_is_learned },
-  { "a stop of everything gives no second burst", test_a_stop_of_everything_gives_no_second_burst },
-  { "a stop of everything refuses nobody", test_a_stop_of_everything_refuses_nobody },
+  { "a restart of all gateways gives no second burst",
+    test_a_restart_of_all_gateways_gives_no_second_burst },
+  { "a restart of all gateways refuses no request",
+    test_a_restart_of_all_gateways_refuses_no_request },
   { "cut-off gateways keep the limit", test_cut_off_gateways_keep_the_limit },
   { "a lower limit holds, a higher one at once",
     test_a_lower_limit_holds_and_a_higher_one_at_once },
