--- a/core/backend_list.c
+++ b/core/backend_list.c
@@ -23,10 +23,10 @@
   struct InstancesPort *port;
   struct TimerService *timers;
   struct BackendListOptions options;
-  struct Timer *poll;
-  struct ListedBackend *backends; /* the last list that was read, by name */
+  struct Timer *poll_timer;
+  struct ListedBackend *backends; /* the last valid list, sorted by name */
   size_t n_backends;
-  bool read; /* at least once */
+  bool received; /* a valid list, at least once */
 };
 
 static bool
@@ -41,15 +41,15 @@
 }
 
 static bool
-kind_read (const char *word, enum CallTarget *kind)
+kind_parse (const char *name, enum CallTarget *kind)
 {
-  *kind = strcmp (word, "engine") == 0 ? CALL_TARGET_ENGINE : CALL_TARGET_SERVICE;
-  return *kind == CALL_TARGET_ENGINE || strcmp (word, "service") == 0;
+  *kind = strcmp (name, "engine") == 0 ? CALL_TARGET_ENGINE : CALL_TARGET_SERVICE;
+  return *kind == CALL_TARGET_ENGINE || strcmp (name, "service") == 0;
 }
 
-/* Whatever its state is, a server that is not live gets no new work. */
+/* Every state other than "live" counts as leaving, so that the server gets no new work. */
 static bool
-backend_read (const json_t *item, struct ListedBackend *backend)
+backend_parse (const json_t *item, struct ListedBackend *backend)
 {
   struct BackendSetting *setting = &backend->setting;
   char kind[16];
@@ -66,7 +66,7 @@
       || !field_copy (item, "state", state, sizeof state))
     return false;
   backend->leaving = strcmp (state, "live") != 0;
-  return config_name_is_valid (setting->name) && kind_read (kind, &setting->kind)
+  return config_name_is_valid (setting->name) && kind_parse (kind, &setting->kind)
          && address_parse (setting->address, ip, &port) == ERROR_NONE;
 }
 
@@ -80,8 +80,8 @@
   return order != 0 ? order : (int)left->leaving - (int)right->leaving;
 }
 
-/* A lagging list may name a server twice, before and after it was replaced: the live one, sorted
- * first, is kept. */
+/* Sorts by name and removes duplicates. An outdated list may contain a server twice, before and
+ * after it was replaced; the live entry, which sorts first, is kept. */
 static size_t
 backends_sort (struct ListedBackend *backends, size_t n)
 {
@@ -95,7 +95,7 @@
 }
 
 static void
-backend_list_tell (struct BackendList *list)
+backend_list_notify (struct BackendList *list)
 {
   struct BackendSetting *settings = talloc_array (list, struct BackendSetting, list->n_backends);
   bool *leaving = talloc_array (list, bool, list->n_backends);
@@ -111,38 +111,38 @@
 }
 
 static void
-backend_list_take (struct BackendList *list, struct ListedBackend *backends, size_t n)
+backend_list_replace (struct BackendList *list, struct ListedBackend *backends, size_t n)
 {
-  bool same = list->read && n == list->n_backends
+  bool same = list->received && n == list->n_backends
               && (n == 0 || memcmp (backends, list->backends, n * sizeof *backends) == 0);
 
-  list->read = true;
+  list->received = true;
   talloc_free (list->backends);
   list->backends = backends;
   list->n_backends = n;
   if (!same)
-    backend_list_tell (list);
+    backend_list_notify (list);
 }
 
-/* An item that can not be read is left out, and so gets no work; the others stand. */
+/* Skips items that cannot be parsed: these servers get no work, the others are still used. */
 static void
-backend_list_read (struct BackendList *list, const json_t *items)
+backend_list_parse (struct BackendList *list, const json_t *items)
 {
   size_t n_items = json_array_size (items);
   struct ListedBackend *backends = talloc_zero_array (list, struct ListedBackend, n_items);
   size_t n = 0;
 
   for (size_t i = 0; i < n_items; i++)
-    if (backend_read (json_array_get (items, i), &backends[n]))
+    if (backend_parse (json_array_get (items, i), &backends[n]))
       n++;
     else
       log_event (LOG_LEVEL_WARNING, "listed_server_not_understood", NULL,
-                 "correct it in the platform's list", "item %zu", i);
-  backend_list_take (list, backends, backends_sort (backends, n));
+                 "correct the item in the platform's server list", "item %zu", i);
+  backend_list_replace (list, backends, backends_sort (backends, n));
 }
 
 static void
-backend_list_poll_later (struct BackendList *list);
+backend_list_schedule_poll (struct BackendList *list);
 
 static void
 backend_list_on_fetched (void *data, int32_t error, const char *text, size_t text_bytes)
@@ -151,9 +151,9 @@
   json_t *items = error == ERROR_NONE ? json_loadb (text, text_bytes, 0, NULL) : NULL;
 
   if (json_is_array (items))
-    backend_list_read (list, items);
+    backend_list_parse (list, items);
   json_decref (items);
-  backend_list_poll_later (list);
+  backend_list_schedule_poll (list);
 }
 
 static void
@@ -162,16 +162,16 @@
   struct BackendList *list = data;
 
   if (list->port->fetch (list->port, list, backend_list_on_fetched, list) != ERROR_NONE)
-    backend_list_poll_later (list);
+    backend_list_schedule_poll (list);
 }
 
 static void
-backend_list_poll_later (struct BackendList *list)
+backend_list_schedule_poll (struct BackendList *list)
 {
   uint32_t delay_ms = jitter_ms (&list->options.seed, list->options.poll_ms);
 
-  TALLOC_FREE (list->poll);
-  list->poll = timer_subscribe (list, list->timers, delay_ms, 0, backend_list_poll, list);
+  TALLOC_FREE (list->poll_timer);
+  list->poll_timer = timer_subscribe (list, list->timers, delay_ms, 0, backend_list_poll, list);
 }
 
 struct BackendList *
--- a/core/kv_follow.c
+++ b/core/kv_follow.c
@@ -10,27 +10,28 @@
   struct KvPort *kv;
   struct TimerService *timers;
   struct KvFollowOptions options;
-  struct Timer *pause;
+  struct Timer *read_timer;
   int64_t watch_from;
 };
 
-/* A read under way, of one or more requests. */
+/* A read in progress, of one or more range requests. */
 struct KvRead
 {
   struct KvFollow *follow;
   KvFollowDone done;
   void *data;
-  char *from; /* where the next request starts */
-  /* Of the first answer: a key that changes while later ones are read is left to the watch. */
+  char *next_key; /* first key of the next request */
+  /* Revision of the first response: a key that changes while the others are read is reported again
+   * by the watch. */
   int64_t revision;
 };
 
 static void
-follow_reached (struct KvFollow *follow, int32_t error)
+follow_report_availability (struct KvFollow *follow, int32_t error)
 {
-  if (follow->options.reached != NULL)
-    follow->options.reached (follow->options.data,
-                             error != ERROR_UNREACHABLE && error != ERROR_RATE_LIMITED);
+  if (follow->options.availability != NULL)
+    follow->options.availability (follow->options.data,
+                                  error != ERROR_UNREACHABLE && error != ERROR_RATE_LIMITED);
 }
 
 static int32_t
@@ -47,7 +48,7 @@
   done (data, error, revision);
 }
 
-/* The key after key, in order. */
+/* Returns a key that sorts after key and before the keys that follow it. */
 static char *
 key_after (TALLOC_CTX *ctx, const char *key)
 {
@@ -61,7 +62,7 @@
   struct KvFollow *follow = read->follow;
   int32_t error = result->error;
 
-  follow_reached (follow, error);
+  follow_report_availability (follow, error);
   for (size_t i = 0; i < result->n_entries && error == ERROR_NONE; i++)
     if (!follow->options.take (follow->options.data, &result->entries[i]))
       error = ERROR_OUT_OF_ORDER;
@@ -71,8 +72,8 @@
     follow->options.taken (follow->options.data, !result->more, read->revision);
   if (error == ERROR_NONE && result->more && result->n_entries > 0)
     {
-      talloc_free (read->from);
-      read->from = key_after (read, result->entries[result->n_entries - 1].key);
+      talloc_free (read->next_key);
+      read->next_key = key_after (read, result->entries[result->n_entries - 1].key);
       error = read_submit (read);
       if (error == ERROR_NONE)
         return;
@@ -87,7 +88,7 @@
   struct KvRequest request = { .op = KV_OP_RANGE };
 
   request.range.prefix = follow->options.prefix;
-  request.range.start = read->from;
+  request.range.start = read->next_key;
   request.range.limit = follow->options.read_limit;
   return kv_submit_guarded (read, follow->kv, &request, read_on_range, read);
 }
@@ -106,7 +107,7 @@
   if (follow->options.begin != NULL)
     follow->options.begin (follow->options.data);
   if (follow->options.start != NULL)
-    read->from = follow->options.start (follow->options.data, read);
+    read->next_key = follow->options.start (follow->options.data, read);
   error = read_submit (read);
   if (error != ERROR_NONE)
     talloc_free (read);
@@ -114,7 +115,7 @@
 }
 
 static void
-follow_pause (struct KvFollow *follow);
+follow_schedule_read (struct KvFollow *follow);
 
 static void
 follow_watch (struct KvFollow *follow);
@@ -126,7 +127,7 @@
 
   if (error != ERROR_NONE)
     {
-      follow_pause (follow);
+      follow_schedule_read (follow);
       return;
     }
   follow->watch_from = revision + 1;
@@ -139,16 +140,16 @@
   struct KvFollow *follow = data;
 
   if (kv_follow_read (follow, follow, follow_on_read, follow) != ERROR_NONE)
-    follow_pause (follow);
+    follow_schedule_read (follow);
 }
 
 static void
-follow_pause (struct KvFollow *follow)
+follow_schedule_read (struct KvFollow *follow)
 {
   uint32_t delay_ms = jitter_ms (&follow->options.seed, follow->options.poll_ms);
 
-  TALLOC_FREE (follow->pause);
-  follow->pause = timer_subscribe (follow, follow->timers, delay_ms, 0, follow_read, follow);
+  TALLOC_FREE (follow->read_timer);
+  follow->read_timer = timer_subscribe (follow, follow->timers, delay_ms, 0, follow_read, follow);
 }
 
 static void
@@ -157,10 +158,10 @@
   struct KvFollow *follow = data;
   bool in_order = true;
 
-  follow_reached (follow, result->error);
+  follow_report_availability (follow, result->error);
   if (result->error != ERROR_NONE)
     {
-      follow_pause (follow);
+      follow_schedule_read (follow);
       return;
     }
   if (result->n_entries == 0)
@@ -187,7 +188,7 @@
   request.watch.start_revision = follow->watch_from;
   request.watch.wait_ms = jitter_ms (&follow->options.seed, follow->options.watch_ms);
   if (kv_submit_guarded (follow, follow->kv, &request, follow_on_watch, follow) != ERROR_NONE)
-    follow_pause (follow);
+    follow_schedule_read (follow);
 }
 
 void
--- a/core/kv_guard.c
+++ b/core/kv_guard.c
@@ -4,7 +4,7 @@
 
 struct KvGuard;
 
-/* Child of the owner; tells the guard when the owner goes. */
+/* Child of the owner, so that its destructor notifies the guard when the owner is freed. */
 struct KvGuardLink
 {
   struct KvGuard *guard;
@@ -12,7 +12,7 @@
 
 struct KvGuard
 {
-  struct KvGuardLink *link; /* NULL once the owner is gone */
+  struct KvGuardLink *link; /* NULL once the owner was freed */
   KvDone done;
   void *data;
 };
@@ -25,7 +25,7 @@
   return 0;
 }
 
-/* Also when the port goes with the request unanswered. */
+/* Runs also when the port is freed while the request is outstanding. */
 static int
 kv_guard_free (struct KvGuard *guard)
 {
--- a/core/membership.c
+++ b/core/membership.c
@@ -12,16 +12,16 @@
 enum
 {
   READ_LIMIT = 512,
-  /* How long a watch that died without a sign can hide a lapsed lease: it adds to the lease's own
-   * time before a dead instance's programs are taken over. */
+  /* How long a watch whose connection broke silently can hide a lapsed lease. It adds to the lease
+   * period before the programs of a failed instance are taken over. */
   WATCH_MS = 5000
 };
 
 struct ListedMember
 {
   struct Member member;
-  bool seen;    /* by the read under way */
-  bool missing; /* its key is gone, and it has until the end of the grace to come back */
+  bool seen;    /* by the current read */
+  bool missing; /* its key was deleted; removed unless it is back when the grace period ends */
 };
 
 struct Membership
@@ -31,17 +31,17 @@
   char *prefix; /* of the members' keys */
   struct Registration *registration;
   struct KvFollow *follow;
-  struct ListedMember *list; /* in order of instance */
+  struct ListedMember *list; /* sorted by instance */
   size_t n_list;
-  bool changed; /* since the subscriber was told */
+  bool changed; /* since the last call of members_changed */
   bool up;
-  int64_t served_ms; /* when the service last served */
-  struct Timer *grace;
+  int64_t available_ms; /* when the service was last available */
+  struct Timer *grace_timer;
 };
 
-/* Index of instance, or of the place where it belongs. */
+/* Returns the index of instance, or the index at which it has to be inserted. */
 static size_t
-membership_place (const struct Membership *m, const char *instance, bool *found)
+membership_find (const struct Membership *m, const char *instance, bool *found)
 {
   size_t i = 0;
 
@@ -60,7 +60,7 @@
 }
 
 static void
-membership_tell (struct Membership *m)
+membership_notify (struct Membership *m)
 {
   struct Member *members = talloc_array (m, struct Member, m->n_list);
 
@@ -72,47 +72,47 @@
 }
 
 static void
-membership_on_grace_over (void *data)
+membership_on_grace_end (void *data)
 {
   struct Membership *m = data;
 
-  m->grace = NULL;
+  m->grace_timer = NULL;
   for (size_t i = m->n_list; i-- > 0;)
     if (m->list[i].missing)
       membership_remove_at (m, i);
   if (m->changed)
-    membership_tell (m);
+    membership_notify (m);
 }
 
-/* Against a fleet that takes itself over: in an outage that outlasts the leases every key goes,
- * and whoever reads first afterwards would find all others dead that are only about to come back.
- * After such an outage a missing member has the time of one lease to be seen again. */
+/* Starts a grace period after an outage that may have outlasted the leases. Such an outage deletes
+ * every key, and the first instance to read them afterwards would otherwise treat all others as
+ * failed and take over their partitions. A missing member has one lease period to come back. */
 static void
-membership_served (struct Membership *m)
+membership_check_grace (struct Membership *m)
 {
   int64_t now_ms = timer_now_ms (m->timers);
   int64_t ttl_ms = (int64_t)m->options.lease_ttl_s * 1000;
 
-  if (now_ms - m->served_ms >= ttl_ms * 2 / 3)
+  if (now_ms - m->available_ms >= ttl_ms * 2 / 3)
     {
-      talloc_free (m->grace);
-      m->grace = timer_subscribe (m, m->timers, ttl_ms, 0, membership_on_grace_over, m);
+      talloc_free (m->grace_timer);
+      m->grace_timer = timer_subscribe (m, m->timers, ttl_ms, 0, membership_on_grace_end, m);
     }
-  m->served_ms = now_ms;
+  m->available_ms = now_ms;
 }
 
 static void
-membership_on_reached (void *data, bool reached)
+membership_on_availability (void *data, bool available)
 {
   struct Membership *m = data;
 
-  if (reached)
-    membership_served (m);
-  if (m->up == reached)
+  if (available)
+    membership_check_grace (m);
+  if (m->up == available)
     return;
-  m->up = reached;
+  m->up = available;
   if (m->options.platform_changed != NULL)
-    m->options.platform_changed (m->options.data, reached);
+    m->options.platform_changed (m->options.data, available);
 }
 
 static void
@@ -131,11 +131,11 @@
   log_event (LOG_LEVEL_NOTICE, "incarnation_given_up", NULL, NULL, "%s", m->options.instance);
 }
 
-/* The key of member i is gone. */
+/* Handles the deletion of the key of member i. */
 static void
-membership_miss (struct Membership *m, size_t i)
+membership_key_deleted (struct Membership *m, size_t i)
 {
-  if (m->grace != NULL)
+  if (m->grace_timer != NULL)
     m->list[i].missing = true;
   else
     membership_remove_at (m, i);
@@ -145,7 +145,7 @@
 membership_set (struct Membership *m, const struct Member *member)
 {
   bool found = false;
-  size_t i = membership_place (m, member->instance, &found);
+  size_t i = membership_find (m, member->instance, &found);
 
   if (!found)
     {
@@ -160,22 +160,22 @@
   m->list[i].missing = false;
 }
 
-/* No incarnation stands under the key: it is gone, or its instance is registering anew and has
- * given the former incarnation up. */
+/* Handles a key without an incarnation: it was deleted, or its instance is registering again and
+ * has dropped its former incarnation. */
 static void
-membership_unset (struct Membership *m, const char *instance, bool gone)
+membership_clear (struct Membership *m, const char *instance, bool deleted)
 {
   bool found = false;
-  size_t i = membership_place (m, instance, &found);
+  size_t i = membership_find (m, instance, &found);
 
-  if (found && gone)
-    membership_miss (m, i);
+  if (found && deleted)
+    membership_key_deleted (m, i);
   else if (found)
     membership_remove_at (m, i);
 }
 
 static void
-membership_begin (void *data)
+membership_on_read_begin (void *data)
 {
   struct Membership *m = data;
 
@@ -184,7 +184,7 @@
 }
 
 static bool
-membership_take (void *data, const struct KvEntry *entry)
+membership_on_entry (void *data, const struct KvEntry *entry)
 {
   struct Membership *m = data;
   const char *instance = entry->key + strlen (m->prefix);
@@ -194,45 +194,45 @@
   if (!entry->deleted && member_unpack (entry->value, entry->value_bytes, &member) != ERROR_NONE)
     {
       log_event (LOG_LEVEL_ERROR, "member_not_understood", NULL,
-                 "bring the instances to one version", "%s", instance);
+                 "run the same version on all instances", "%s", instance);
       return true;
     }
   snprintf (member.instance, sizeof member.instance, "%s", instance);
   if (member.incarnation[0] != '\0')
     membership_set (m, &member);
   else
-    membership_unset (m, instance, entry->deleted);
+    membership_clear (m, instance, entry->deleted);
   if (own)
-    registration_seen (m->registration, entry->deleted ? NULL : &member, entry->mod_revision);
+    registration_observe (m->registration, entry->deleted ? NULL : &member, entry->mod_revision);
   return true;
 }
 
-/* A member that a whole read has not seen is gone. This, and a deletion told by a watch, are the
- * only ways out: a service that does not answer removes nobody. */
+/* Handles the members that a complete read did not contain as deleted. This and a deletion reported
+ * by a watch are the only ways to remove a member: a service that does not reply removes none. */
 static void
 membership_sweep (struct Membership *m, int64_t revision)
 {
   bool own_seen = false;
 
-  size_t own = membership_place (m, m->options.instance, &own_seen);
+  size_t own = membership_find (m, m->options.instance, &own_seen);
 
   own_seen = own_seen && m->list[own].seen;
   for (size_t i = m->n_list; i-- > 0;)
     if (!m->list[i].seen)
-      membership_miss (m, i);
+      membership_key_deleted (m, i);
   if (!own_seen)
-    registration_seen (m->registration, NULL, revision);
+    registration_observe (m->registration, NULL, revision);
 }
 
 static void
-membership_taken (void *data, bool whole, int64_t revision)
+membership_on_page (void *data, bool whole, int64_t revision)
 {
   struct Membership *m = data;
 
   if (whole)
     membership_sweep (m, revision);
   if (m->changed)
-    membership_tell (m);
+    membership_notify (m);
 }
 
 static int32_t
@@ -244,10 +244,10 @@
   options.watch_ms = WATCH_MS;
   options.read_limit = READ_LIMIT;
   options.seed = m->options.seed + 1;
-  options.begin = membership_begin;
-  options.take = membership_take;
-  options.taken = membership_taken;
-  options.reached = membership_on_reached;
+  options.begin = membership_on_read_begin;
+  options.take = membership_on_entry;
+  options.taken = membership_on_page;
+  options.availability = membership_on_availability;
   options.data = m;
   m->follow = kv_follow_new (m, kv, timers, &options);
   if (m->follow == NULL)
@@ -272,7 +272,7 @@
   options.seed = m->options.seed;
   options.registered = membership_on_registered;
   options.lost = membership_on_lost;
-  options.reached = membership_on_reached;
+  options.availability = membership_on_availability;
   options.data = m;
   m->registration = registration_new (m, kv, timers, &self, &options);
   return m->registration != NULL ? ERROR_NONE : ERROR_NO_MEMORY;
@@ -289,7 +289,7 @@
   if (m == NULL)
     return NULL;
   m->timers = timers;
-  m->served_ms = timer_now_ms (timers);
+  m->available_ms = timer_now_ms (timers);
   m->options = *options;
   m->options.instance = talloc_strdup (m, options->instance);
   m->prefix = talloc_asprintf (m, "%smember/", options->prefix);
--- a/core/registration.c
+++ b/core/registration.c
@@ -12,20 +12,20 @@
 enum
 {
   RETRY_MS = 500,
-  ATTEMPT_MS = 3000, /* a request that hangs, and the pause before the next */
+  ATTEMPT_MS = 3000, /* longest request that hangs, plus the delay before the next one */
   KEEPALIVES_PER_TTL = 3
 };
 
-/* The request that is under way, or is tried again in a moment. */
+/* The request that is in flight, or that is retried after a delay. */
 enum RegistrationStep
 {
-  STEP_GRANT,   /* a lease */
-  STEP_READ,    /* the key's present revision */
-  STEP_JOIN,    /* take the key; the revision of this write is the incarnation's number */
-  STEP_PUBLISH, /* write the whole value */
-  STEP_VERIFY,  /* the answer to that was lost: read it back */
-  STEP_KEEP,    /* nothing to do but to keep the lease alive */
-  STEP_LEAVE
+  STEP_GRANT,   /* request a lease */
+  STEP_READ,    /* read the current revision of the key */
+  STEP_JOIN,    /* write the key; the revision of this write is the incarnation's number */
+  STEP_PUBLISH, /* write the complete value */
+  STEP_VERIFY,  /* read the key back after the response to STEP_PUBLISH was lost */
+  STEP_KEEP,    /* registered; only keepalives are sent */
+  STEP_LEAVE    /* revoke the lease */
 };
 
 struct Registration
@@ -33,35 +33,35 @@
   struct KvPort *kv;
   struct TimerService *timers;
   struct RegistrationOptions options;
-  struct Member self; /* as it should stand in the service */
+  struct Member self; /* as it should be stored in the service */
   enum RegistrationStep step;
-  TALLOC_CTX *attempt; /* owns the request under way */
+  TALLOC_CTX *attempt; /* owns the request in flight */
   struct Timer *retry;
-  TALLOC_CTX *keeping; /* owns the keepalive under way */
-  struct Timer *keepalive;
-  int64_t kept_ms;      /* when the lease was last granted or kept alive */
-  int64_t received_ms;  /* when a keepalive was last answered, refused or found lost */
+  TALLOC_CTX *keepalive_request; /* owns the keepalive in flight */
+  struct Timer *keepalive_timer;
+  int64_t renewed_ms;   /* when the lease was last granted or renewed */
+  int64_t result_ms;    /* when the last grant or keepalive succeeded or failed */
   int64_t lease_id;     /* 0: none */
-  int64_t mod_revision; /* of the key as it was last written or read here; 0: absent */
-  bool silent; /* while the lease could not be kept, nothing was heard for longer than it lasts */
+  int64_t mod_revision; /* of the key as last written or read here; 0: absent */
+  bool result_gap;    /* since the last renewal, no result arrived for longer than a lease period */
   bool announced;     /* the incarnation is in use */
-  bool sent_draining; /* in the value that was sent last */
+  bool sent_draining; /* as in the last value sent */
   int64_t leave_until_ms;
-  void (*left) (void *data);
-  void *left_data;
+  void (*leave_done) (void *data);
+  void *leave_data;
 };
 
 static void
 registration_run (void *data);
 
-/* Goes to step after a pause. What was under way is no longer listened to. */
+/* Starts step after a delay. Cancels the request in flight. */
 static void
-registration_step_later (struct Registration *r, enum RegistrationStep step, uint32_t pause_ms)
+registration_schedule_step (struct Registration *r, enum RegistrationStep step, uint32_t delay_ms)
 {
   r->step = step;
   TALLOC_FREE (r->attempt);
   TALLOC_FREE (r->retry);
-  r->retry = timer_subscribe (r, r->timers, jitter_ms (&r->options.seed, pause_ms), 0,
+  r->retry = timer_subscribe (r, r->timers, jitter_ms (&r->options.seed, delay_ms), 0,
                               registration_run, r);
 }
 
@@ -74,59 +74,61 @@
 }
 
 static void
-registration_reached (struct Registration *r, int32_t error)
+registration_report_availability (struct Registration *r, int32_t error)
 {
-  bool reached =
+  bool available =
       error != ERROR_UNREACHABLE && error != ERROR_UNKNOWN_EFFECT && error != ERROR_RATE_LIMITED;
 
-  r->options.reached (r->options.data, reached);
+  r->options.availability (r->options.data, available);
 }
 
 static void
 registration_drop_lease (struct Registration *r)
 {
-  TALLOC_FREE (r->keepalive);
-  TALLOC_FREE (r->keeping);
+  TALLOC_FREE (r->keepalive_timer);
+  TALLOC_FREE (r->keepalive_request);
   r->lease_id = 0;
 }
 
-/* Starts over under a new incarnation. The old number is never used again: while nobody held the
- * lease somebody may have sealed the journal that bears it. */
+/* Registers again under a new incarnation. The old one is never used again: its journal may have
+ * been sealed while its lease had lapsed. */
 static void
-registration_start_over (struct Registration *r, uint32_t pause_ms)
+registration_start_over (struct Registration *r, uint32_t delay_ms)
 {
   bool announced = r->announced;
 
   r->announced = false;
   r->self.incarnation[0] = '\0';
-  registration_step_later (r, r->lease_id != 0 ? STEP_READ : STEP_GRANT, pause_ms);
+  registration_schedule_step (r, r->lease_id != 0 ? STEP_READ : STEP_GRANT, delay_ms);
   if (announced)
     r->options.lost (r->options.data);
 }
 
-/* True when this instance ran all the time and the service is why the lease lapsed: keepalives
- * failed for as long as a lease lasts, and each was seen to fail. */
+/* Returns true when the lease lapsed because the service was unavailable and not because this
+ * instance was paused: keepalives failed for at least one lease period, and each failure was
+ * observed. */
 static bool
 registration_lapsed_in_outage (const struct Registration *r)
 {
   int64_t now_ms = timer_now_ms (r->timers);
   int64_t ttl_ms = (int64_t)r->options.lease_ttl_s * 1000;
 
-  return now_ms - r->kept_ms >= ttl_ms && now_ms - r->received_ms < ttl_ms && !r->silent;
+  return now_ms - r->renewed_ms >= ttl_ms && now_ms - r->result_ms < ttl_ms && !r->result_gap;
 }
 
-/* A pause that began with a keepalive on its way ends with its failure, and looks like the end of
- * an outage but for its length. */
+/* Records the result of a grant or keepalive. When this instance is paused with a keepalive in
+ * flight, that keepalive fails at the end of the pause as it does at the end of an outage; only the
+ * time since the previous result tells them apart. */
 static void
-registration_heard (struct Registration *r, bool kept)
+registration_record_result (struct Registration *r, bool renewed)
 {
   int64_t now_ms = timer_now_ms (r->timers);
   int64_t ttl_ms = (int64_t)r->options.lease_ttl_s * 1000;
 
-  r->silent = !kept && (r->silent || now_ms - r->received_ms >= ttl_ms + ATTEMPT_MS);
-  r->received_ms = now_ms;
-  if (kept)
-    r->kept_ms = now_ms;
+  r->result_gap = !renewed && (r->result_gap || now_ms - r->result_ms >= ttl_ms + ATTEMPT_MS);
+  r->result_ms = now_ms;
+  if (renewed)
+    r->renewed_ms = now_ms;
 }
 
 static void
@@ -137,11 +139,11 @@
   registration_drop_lease (r);
   if (r->announced)
     log_event (LOG_LEVEL_WARNING, "lease_lapsed", NULL,
-               keep ? "look after the platform's service"
-                    : "look why the instance was silent if this recurs",
-               "%s, %s", r->self.incarnation, keep ? "in an outage" : "given up");
+               keep ? "check the platform's key-value service"
+                    : "if this recurs, check why the instance was paused",
+               "%s, %s", r->self.incarnation, keep ? "in an outage" : "incarnation dropped");
   if (keep)
-    registration_step_later (r, STEP_GRANT, 0);
+    registration_schedule_step (r, STEP_GRANT, 0);
   else
     registration_start_over (r, RETRY_MS);
 }
@@ -158,27 +160,27 @@
 registration_on_keepalive (void *data, const struct KvResult *result);
 
 static void
-registration_keep (void *data)
+registration_send_keepalive (void *data)
 {
   struct Registration *r = data;
   struct KvRequest request = { .op = KV_OP_LEASE_KEEPALIVE };
 
   request.lease_keepalive.lease_id = r->lease_id;
-  TALLOC_FREE (r->keeping);
-  r->keeping = talloc_new (r);
-  kv_submit_guarded (r->keeping, r->kv, &request, registration_on_keepalive, r);
+  TALLOC_FREE (r->keepalive_request);
+  r->keepalive_request = talloc_new (r);
+  kv_submit_guarded (r->keepalive_request, r->kv, &request, registration_on_keepalive, r);
 }
 
 static void
-registration_keep_later (struct Registration *r, uint32_t delay_ms)
+registration_schedule_keepalive (struct Registration *r, uint32_t delay_ms)
 {
-  TALLOC_FREE (r->keepalive);
-  r->keepalive = timer_subscribe (r, r->timers, jitter_ms (&r->options.seed, delay_ms), 0,
-                                  registration_keep, r);
+  TALLOC_FREE (r->keepalive_timer);
+  r->keepalive_timer = timer_subscribe (r, r->timers, jitter_ms (&r->options.seed, delay_ms), 0,
+                                        registration_send_keepalive, r);
 }
 
 static uint32_t
-registration_keep_ms (const struct Registration *r)
+registration_keepalive_ms (const struct Registration *r)
 {
   return r->options.lease_ttl_s * 1000 / KEEPALIVES_PER_TTL;
 }
@@ -188,14 +190,15 @@
 {
   struct Registration *r = data;
 
-  registration_reached (r, result->error);
+  registration_report_availability (r, result->error);
   if (result->error == ERROR_NOT_FOUND)
     {
       registration_lease_lapsed (r);
       return;
     }
-  registration_heard (r, result->error == ERROR_NONE);
-  registration_keep_later (r, result->error == ERROR_NONE ? registration_keep_ms (r) : RETRY_MS);
+  registration_record_result (r, result->error == ERROR_NONE);
+  registration_schedule_keepalive (r, result->error == ERROR_NONE ? registration_keepalive_ms (r)
+                                                                  : RETRY_MS);
 }
 
 static void
@@ -203,15 +206,15 @@
 {
   struct Registration *r = data;
 
-  registration_reached (r, result->error);
+  registration_report_availability (r, result->error);
   if (result->error != ERROR_NONE)
     {
-      registration_step_later (r, STEP_GRANT, RETRY_MS);
+      registration_schedule_step (r, STEP_GRANT, RETRY_MS);
       return;
     }
   r->lease_id = result->lease_id;
-  registration_heard (r, true);
-  registration_keep_later (r, registration_keep_ms (r));
+  registration_record_result (r, true);
+  registration_schedule_keepalive (r, registration_keepalive_ms (r));
   registration_step (r, STEP_READ);
 }
 
@@ -230,68 +233,69 @@
 }
 
 static bool
-registration_holds (const struct Registration *r,
-                    const struct KvEntry *entry,
-                    struct Member *present)
+registration_owns_key (const struct Registration *r,
+                       const struct KvEntry *entry,
+                       struct Member *current)
 {
-  return member_unpack (entry->value, entry->value_bytes, present) == ERROR_NONE
-         && strcmp (present->incarnation, r->self.incarnation) == 0;
+  return member_unpack (entry->value, entry->value_bytes, current) == ERROR_NONE
+         && strcmp (current->incarnation, r->self.incarnation) == 0;
 }
 
-/* What stands under the key after a put whose answer was lost, or which came too late. */
+/* Checks the content of the key after a put whose response was lost or whose condition failed. */
 static void
-registration_check (struct Registration *r, const struct KvResult *result)
+registration_check_key (struct Registration *r, const struct KvResult *result)
 {
   const struct KvEntry *entry = result->n_entries > 0 ? &result->entries[0] : NULL;
   int64_t mod_revision = entry != NULL ? entry->mod_revision : 0;
-  struct Member present;
+  struct Member current;
 
   if (mod_revision == r->mod_revision)
     {
-      registration_step (r, STEP_PUBLISH); /* as it was before the put */
+      registration_step (r, STEP_PUBLISH); /* unchanged: the put was not applied */
       return;
     }
-  if (entry == NULL || !registration_holds (r, entry, &present))
+  if (entry == NULL || !registration_owns_key (r, entry, &current))
     {
       registration_superseded (r);
       return;
     }
   r->mod_revision = mod_revision;
-  r->sent_draining = present.draining;
+  r->sent_draining = current.draining;
   registration_published (r);
 }
 
-/* Under a new lease the incarnation that is in use takes its key back, unless another has it. */
+/* Under a new lease, writes the key for the incarnation in use again, unless another incarnation
+ * holds it. */
 static void
 registration_on_read (void *data, const struct KvResult *result)
 {
   struct Registration *r = data;
   const struct KvEntry *entry = result->n_entries > 0 ? &result->entries[0] : NULL;
-  struct Member present;
+  struct Member current;
 
-  registration_reached (r, result->error);
+  registration_report_availability (r, result->error);
   if (result->error != ERROR_NONE && result->error != ERROR_NOT_FOUND)
     {
-      registration_step_later (r, STEP_READ, RETRY_MS);
+      registration_schedule_step (r, STEP_READ, RETRY_MS);
       return;
     }
   r->mod_revision = entry != NULL ? entry->mod_revision : 0;
   if (!r->announced)
     registration_step (r, STEP_JOIN);
-  else if (entry == NULL || registration_holds (r, entry, &present))
+  else if (entry == NULL || registration_owns_key (r, entry, &current))
     registration_step (r, STEP_PUBLISH);
   else
     registration_superseded (r);
 }
 
-/* A lost answer needs no settling here: the key is read and taken once more, and whichever write
- * comes in late fails, since the key has changed. */
+/* A lost response needs no verification here: the key is read and written again, and a late write
+ * fails because the revision of the key has changed. */
 static void
 registration_on_join (void *data, const struct KvResult *result)
 {
   struct Registration *r = data;
 
-  registration_reached (r, result->error);
+  registration_report_availability (r, result->error);
   if (result->error == ERROR_NOT_FOUND)
     {
       registration_lease_lapsed (r);
@@ -299,7 +303,7 @@
     }
   if (result->error != ERROR_NONE)
     {
-      registration_step_later (r, STEP_READ, RETRY_MS);
+      registration_schedule_step (r, STEP_READ, RETRY_MS);
       return;
     }
   r->mod_revision = result->revision;
@@ -313,7 +317,7 @@
 {
   struct Registration *r = data;
 
-  registration_reached (r, result->error);
+  registration_report_availability (r, result->error);
   switch (result->error)
     {
     case ERROR_NONE:
@@ -321,16 +325,16 @@
       registration_published (r);
       break;
     case ERROR_CONFLICT:
-      registration_check (r, result);
+      registration_check_key (r, result);
       break;
     case ERROR_NOT_FOUND:
       registration_lease_lapsed (r);
       break;
     case ERROR_UNKNOWN_EFFECT:
-      registration_step_later (r, STEP_VERIFY, RETRY_MS);
+      registration_schedule_step (r, STEP_VERIFY, RETRY_MS);
       break;
     default:
-      registration_step_later (r, STEP_PUBLISH, RETRY_MS);
+      registration_schedule_step (r, STEP_PUBLISH, RETRY_MS);
       break;
     }
 }
@@ -340,19 +344,19 @@
 {
   struct Registration *r = data;
 
-  registration_reached (r, result->error);
+  registration_report_availability (r, result->error);
   if (result->error == ERROR_NONE || result->error == ERROR_NOT_FOUND)
-    registration_check (r, result);
+    registration_check_key (r, result);
   else
-    registration_step_later (r, STEP_VERIFY, RETRY_MS);
+    registration_schedule_step (r, STEP_VERIFY, RETRY_MS);
 }
 
 static void
-registration_left (struct Registration *r)
+registration_finish_leave (struct Registration *r)
 {
   TALLOC_FREE (r->retry);
-  if (r->left != NULL)
-    r->left (r->left_data);
+  if (r->leave_done != NULL)
+    r->leave_done (r->leave_data);
 }
 
 static void
@@ -362,9 +366,9 @@
 
   if (result->error == ERROR_NONE || result->error == ERROR_NOT_FOUND
       || timer_now_ms (r->timers) >= r->leave_until_ms)
-    registration_left (r);
+    registration_finish_leave (r);
   else
-    registration_step_later (r, STEP_LEAVE, RETRY_MS);
+    registration_schedule_step (r, STEP_LEAVE, RETRY_MS);
 }
 
 static int32_t
@@ -441,7 +445,7 @@
   TALLOC_FREE (r->attempt);
   r->attempt = talloc_new (r);
   if (registration_submit (r) != ERROR_NONE)
-    registration_step_later (r, r->step, RETRY_MS);
+    registration_schedule_step (r, r->step, RETRY_MS);
 }
 
 struct Registration *
@@ -495,30 +499,30 @@
 {
   struct Registration *r = registration;
 
-  r->left = done;
-  r->left_data = data;
+  r->leave_done = done;
+  r->leave_data = data;
   r->announced = false;
   r->leave_until_ms = timer_now_ms (r->timers) + (int64_t)r->options.lease_ttl_s * 1000;
-  TALLOC_FREE (r->keepalive);
-  TALLOC_FREE (r->keeping);
-  registration_step_later (r, STEP_LEAVE, 0);
+  TALLOC_FREE (r->keepalive_timer);
+  TALLOC_FREE (r->keepalive_request);
+  registration_schedule_step (r, STEP_LEAVE, 0);
 }
 
 void
-registration_seen (struct Registration *registration,
-                   const struct Member *present,
-                   int64_t revision)
+registration_observe (struct Registration *registration,
+                      const struct Member *current,
+                      int64_t revision)
 {
   struct Registration *r = registration;
 
   if (r->step != STEP_KEEP || revision <= r->mod_revision)
     return;
-  if (present == NULL)
+  if (current == NULL)
     {
       registration_lease_lapsed (r);
       return;
     }
-  if (strcmp (present->incarnation, r->self.incarnation) == 0)
+  if (strcmp (current->incarnation, r->self.incarnation) == 0)
     r->mod_revision = revision;
   else
     registration_superseded (r);
--- a/core/registration.h
+++ b/core/registration.h
@@ -1,10 +1,10 @@
-/* One instance's own key among the members: its lease, its incarnation and what it says.
+/* Registration of this instance: its key among the members, with its lease and its incarnation.
  *
- * A lease that lapsed while this instance was paused, or that was taken away, costs the
- * incarnation. One that lapsed because the service did not serve does not: all leases lapse in a
- * long outage, and giving every incarnation up would move every program at its end. That is safe,
- * since no lease protects anything: if the journal was sealed after all, the next append finds the
- * seal, and the incarnation is given up then. */
+ * The incarnation is dropped when its lease lapsed while this instance was paused, or when its key
+ * was removed. It is kept when the lease lapsed because the service was unavailable: all leases
+ * lapse in a long outage, and dropping every incarnation would move every program at its end.
+ * Keeping it is safe, since no invariant depends on the lease: if the journal was sealed meanwhile,
+ * the next append finds the seal, and the incarnation is dropped then. */
 #pragma once
 
 #include "member_entry.h"
@@ -16,9 +16,10 @@
   const char *key;
   uint32_t lease_ttl_s;
   uint64_t seed;
-  void (*registered) (void *data);            /* under a new incarnation */
-  void (*lost) (void *data);                  /* the incarnation is gone; another will follow */
-  void (*reached) (void *data, bool reached); /* after each answer: whether the service serves */
+  void (*registered) (void *data); /* registered under a new incarnation */
+  void (*lost) (void *data);       /* the incarnation was dropped; another follows */
+  /* Called after each response with whether the service is available. */
+  void (*availability) (void *data, bool available);
   void *data;
 };
 
@@ -38,9 +39,8 @@
 void
 registration_leave (struct Registration *registration, void (*done) (void *data), void *data);
 
-/* What an answer of the service, which knows all up to revision, shows under the own key: a
- * member, or NULL for none. */
+/* Reports the content of the own key as of revision: a member, or NULL when there is no key. */
 void
-registration_seen (struct Registration *registration,
-                   const struct Member *present,
-                   int64_t revision);
+registration_observe (struct Registration *registration,
+                      const struct Member *current,
+                      int64_t revision);
--- a/include/buckthornhead/backend_list.h
+++ b/include/buckthornhead/backend_list.h
@@ -1,7 +1,8 @@
-/* Backend servers as the platform lists them: polled, checked, and told when they change.
+/* Polls the platform's list of backend servers, validates it and reports changes.
  *
- * A list that can not be read, or is none, changes nothing: the last one stays. One that can is
- * believed as a whole: a server that it calls leaving, or no longer names, gets no new work. */
+ * A list that cannot be fetched or parsed is ignored and the previous one stays in use. A list that
+ * can be parsed replaces the previous one completely: a server that it marks as leaving, or no
+ * longer contains, gets no new work. */
 #pragma once
 
 #include <buckthornhead/instances.h>
@@ -13,8 +14,8 @@
 struct BackendListOptions
 {
   uint32_t poll_ms; /* jittered */
-  uint64_t seed;    /* of the jitter: another one at each instance */
-  /* The list as read now, by name, differs from the one before. */
+  uint64_t seed;    /* of the jitter; must differ between instances */
+  /* Called with the list, sorted by name, when it differs from the previous one. */
   void (*changed) (void *data,
                    const struct BackendSetting *listed,
                    const bool *leaving,
--- a/include/buckthornhead/instances.h
+++ b/include/buckthornhead/instances.h
@@ -1,4 +1,4 @@
-/* Port to the platform's lagging list of live and leaving backend servers. */
+/* Port to the platform's list of live and leaving backend servers, which may be out of date. */
 #pragma once
 
 #include <stddef.h>
@@ -6,11 +6,12 @@
 
 #include <talloc.h>
 
-/* text is the whole list when error is ERROR_NONE, and valid during the callback only. */
+/* text is the whole list when error is ERROR_NONE. It is valid during the callback only. */
 typedef void (*InstancesDone) (void *data, int32_t error, const char *text, size_t text_bytes);
 
 struct InstancesPort
 {
-  /* Reads the list; done comes later, and not once owner, a talloc object, was freed. */
+  /* Fetches the list. done is called later, never from inside fetch, and not after owner, a talloc
+   * object, was freed. */
   int32_t (*fetch) (struct InstancesPort *port, TALLOC_CTX *owner, InstancesDone done, void *data);
 };
--- a/include/buckthornhead/kv.h
+++ b/include/buckthornhead/kv.h
@@ -1,8 +1,8 @@
 /* Port to the platform's key-value service.
  *
- * Narrow on purpose: get, compare-and-swap, prefix read, lease, watch. Another platform needs
- * another adapter and nothing else. Requests are tagged unions; every submitted request is
- * answered exactly once, never from inside kv_submit. */
+ * Limited to get, compare-and-swap, prefix read, lease and watch, so that another platform only
+ * needs another adapter. Requests are tagged unions. Every submitted request gets exactly one
+ * result, never from inside kv_submit. */
 #pragma once
 
 #include <stdbool.h>
@@ -29,12 +29,12 @@
   KV_OP_WATCH
 };
 
-/* Condition of a put or delete on the key's present state. */
+/* Condition of a put or delete on the key's current state. */
 enum KvCondition
 {
   KV_IF_ALWAYS,
   KV_IF_ABSENT,      /* the key does not exist */
-  KV_IF_MOD_REVISION /* the key was last changed at .mod_revision */
+  KV_IF_MOD_REVISION /* the key was last modified at .mod_revision */
 };
 
 struct KvRequest
@@ -64,7 +64,7 @@
     struct
     {
       const char *prefix;
-      const char *start; /* first key wanted, inclusive; NULL: the prefix itself */
+      const char *start; /* first key, inclusive; NULL: the prefix itself */
       uint32_t limit;    /* 0: no limit */
       bool keys_only;
     } range; /* ascending by key */
@@ -80,8 +80,8 @@
     {
       const char *prefix;
       int64_t start_revision;
-      int64_t wait_ms; /* answered empty after this long */
-    } watch;           /* one call: answered with the first changes since start_revision */
+      int64_t wait_ms; /* returns no entries after this time */
+    } watch;           /* long poll: returns the first changes since start_revision */
   };
 };
 
@@ -91,13 +91,13 @@
   const uint8_t *value;
   size_t value_bytes;
   int64_t mod_revision;
-  bool deleted; /* in answers to a watch */
+  bool deleted; /* set in results of a watch only */
 };
 
 /* Valid during the callback only.
- * error: ERROR_NONE; ERROR_CONFLICT (a condition did not hold; entries[0], when n_entries is 1,
- * is the key's present state); ERROR_NOT_FOUND (get; lease gone); ERROR_RATE_LIMITED and
- * ERROR_UNREACHABLE (certainly not applied); ERROR_UNKNOWN_EFFECT (may have been applied). */
+ * error: ERROR_NONE; ERROR_CONFLICT (the condition failed; entries[0], when n_entries is 1, is the
+ * key's current state); ERROR_NOT_FOUND (no such key, or the lease has expired); ERROR_RATE_LIMITED
+ * and ERROR_UNREACHABLE (not applied); ERROR_UNKNOWN_EFFECT (may have been applied). */
 struct KvResult
 {
   int32_t error;
@@ -105,14 +105,14 @@
   int64_t lease_id;
   const struct KvEntry *entries;
   size_t n_entries;
-  bool more; /* a range was cut by its limit */
+  bool more; /* the range was truncated by its limit */
 };
 
 typedef void (*KvDone) (void *data, const struct KvResult *result);
 
 struct KvPort
 {
-  /* Copies all it needs of request. A result is always delivered later, through done. */
+  /* Copies what it needs of request. Passes the result to done later, never from inside submit. */
   int32_t (*submit) (struct KvPort *port, const struct KvRequest *request, KvDone done, void *data);
 };
 
--- a/include/buckthornhead/membership.h
+++ b/include/buckthornhead/membership.h
@@ -1,15 +1,16 @@
-/* Membership: which instances are live, by leases in the platform's key-value service.
+/* Membership: tracks the live instances through leases in the platform's key-value service.
  *
  * Each instance holds <prefix>member/<instance> under a lease. Its incarnation is
- * "<instance>.<number>", the number being the service's revision of the write that registered it:
- * no two registrations ever have the same. A member goes only when a successful answer of the
- * service shows that its key is gone or holds another incarnation. No outage moves ownership: while
- * the service is down the last members stay, and after an outage that outlasted the leases each
- * has the time of one lease to take its key back, under the incarnation it had. Silence over the
- * peer links is no business of this module: it is a hint for routing, kept by whoever routes.
+ * "<instance>.<number>", where number is the service's revision of the write that registered it, so
+ * it is unique. A member is removed only when a successful response of the service shows that its
+ * key is deleted or holds another incarnation. An outage never moves ownership: while the service
+ * is down the members stay as they are, and after an outage longer than the leases each member has
+ * one lease period to write its key again under the same incarnation. Missing messages on peer
+ * links are not handled here; the routing code uses them as a hint.
  *
- * Membership says when to suspect, never who owns: an instance that was paused past its lease
- * believes in its old incarnation until it hears of the lapse, and the journal's seal fences it. */
+ * Membership decides when an instance is suspected to have failed, not which instance owns a
+ * partition: an instance that was paused past its lease goes on using its old incarnation until it
+ * detects the lapse, and the seal in its journal fences it. */
 #pragma once
 
 #include <buckthornhead/kv.h>
@@ -38,14 +39,14 @@
   const char *peer_address;
   uint32_t lease_ttl_s;
   uint32_t poll_ms; /* between reads while there is no watch; jittered */
-  uint64_t seed;    /* of the jitter: another one at each instance */
-  /* Registered under this incarnation: the first, or a new one after the former's lease lapsed
-   * while this instance was paused, its key was lost or membership_rejoin. The former must not be
-   * used any more. */
+  uint64_t seed;    /* of the jitter; must differ between instances */
+  /* This instance registered under incarnation: its first, or a new one after the previous lease
+   * lapsed while the instance was paused, after its key was lost, or after membership_rejoin. The
+   * previous incarnation must not be used any more. */
   void (*incarnation_changed) (void *data, const char *incarnation);
-  /* The live members, this one among them, in order of instance. */
+  /* Reports the live members, including this one, sorted by instance. */
   void (*members_changed) (void *data, const struct Member *members, size_t n_members);
-  /* The service serves, or does not; at first it counts as not serving. May be NULL. */
+  /* The service became available or unavailable; assumed unavailable at first. May be NULL. */
   void (*platform_changed) (void *data, bool up);
   void *data;
 };
@@ -56,19 +57,20 @@
                 struct TimerService *timers,
                 const struct MembershipOptions *options);
 
-/* "" until registered, and from the loss of one incarnation to the next. */
+/* Returns "" until the instance is registered, and between the loss of one incarnation and the
+ * registration of the next. */
 const char *
 membership_incarnation (const struct Membership *membership);
 
-/* Gives the present incarnation up, as its journal was sealed, and takes a new one. */
+/* Drops the current incarnation, whose journal was sealed, and registers under a new one. */
 void
 membership_rejoin (struct Membership *membership);
 
-/* Tells the others that this instance is being drained, or no longer. */
+/* Publishes whether this instance is being drained. */
 void
 membership_set_draining (struct Membership *membership, bool draining);
 
-/* Planned stop: takes this instance out of the members. done comes once the service has answered
- * or has not for as long as the lease lasts: the lapse does the same. */
+/* Removes this instance from the members, for a planned stop. Calls done once the service has
+ * replied, or after one lease period without a reply, when the lapse has removed it anyway. */
 void
 membership_leave (struct Membership *membership, void (*done) (void *data), void *data);
