--- a/core/homes.c
+++ b/core/homes.c
@@ -36,61 +36,62 @@
 }
 
 const char *
-homes_choice (const struct Homes *homes, uint32_t partition)
+homes_preferred_home (const struct Homes *homes, uint32_t partition)
 {
   char key[32];
   int32_t pick;
 
-  /* By instance, not incarnation: a restarted instance gets the same partitions back. */
+  /* Hashes instances, not incarnations, so that a restarted instance gets the same partitions. */
   snprintf (key, sizeof key, "partition/%" PRIu32, partition);
   pick = rendezvous_pick (key, homes->candidates, homes->n_candidates);
   return pick >= 0 ? homes->candidate_incarnations[pick] : NULL;
 }
 
 static bool
-homes_should_have (const struct Homes *homes, uint32_t partition)
+homes_is_preferred (const struct Homes *homes, uint32_t partition)
 {
-  const char *choice = homes_choice (homes, partition);
+  const char *home = homes_preferred_home (homes, partition);
 
-  return choice != NULL && homes_is_self (homes, choice);
+  return home != NULL && homes_is_self (homes, home);
 }
 
 void
-homes_count_owned (const struct Homes *homes)
+homes_update_owned_gauge (const struct Homes *homes)
 {
   gauge_set (GAUGE_PARTITIONS_OWNED, homes_n_owned (homes));
 }
 
 void
-homes_leave (struct Homes *homes, uint32_t partition)
+homes_stop_serving (struct Homes *homes, uint32_t partition)
 {
   struct HomesPartition *p = &homes->partitions[partition];
   bool served = p->state == HOMES_OWNED || p->state == HOMES_LEAVING;
 
-  p->state = p->state == HOMES_LEAVING && p->handoff_queued ? HOMES_HANDED : HOMES_AWAY;
+  p->state = p->state == HOMES_LEAVING && p->handoff_queued ? HOMES_HANDED_OFF : HOMES_NOT_SERVED;
   p->handoff_queued = false;
   p->leave_since_ms = 0;
   if (!served)
     return;
   ledger_drop_partition (homes->ledger, partition);
-  homes_count_owned (homes);
+  homes_update_owned_gauge (homes);
   if (homes->options.lost != NULL)
     homes->options.lost (homes->options.data, partition);
 }
 
-/* A partition that the map gives to another, to nobody, or to this incarnation under an epoch that
- * it has not read for. True when entry was changed. */
+/* Handles a partition that is not served here: the map assigns it to another incarnation, to none,
+ * or to this one under an epoch whose journals it has not read. Returns true when entry was
+ * changed. */
 static bool
-plan_away (struct Homes *homes, uint32_t partition, struct PartitionEntry *entry)
+plan_not_served (struct Homes *homes, uint32_t partition, struct PartitionEntry *entry)
 {
-  if (homes_is_self (homes, entry->home) || !homes_should_have (homes, partition))
+  if (homes_is_self (homes, entry->home) || !homes_is_preferred (homes, partition))
     return false;
   if (entry->home[0] != '\0')
     {
       if (homes_is_live (homes, entry->home))
         return false;
-      /* The former home may only be slow. Its journal is sealed before the map changes, so that
-       * whatever it still acknowledges precedes the seal and will be read. */
+      /* The former home may be slow rather than failed. Its journal is sealed before the map
+       * changes, so that all records that it still acknowledges precede the seal and are read. */
       if (!homes_is_sealed (homes, entry->home))
         {
           homes_seal (homes, entry->home);
@@ -114,8 +115,8 @@
 {
   struct HomesPartition *p = &homes->partitions[partition];
 
-  if (!homes_should_have (homes, partition)
-      && (homes->stopping || homes_choice (homes, partition) != NULL))
+  if (!homes_is_preferred (homes, partition)
+      && (homes->stopping || homes_preferred_home (homes, partition) != NULL))
     {
       homes_start_leaving (homes, partition);
       return false;
@@ -123,7 +124,7 @@
   p->leave_since_ms = 0;
   if (!p->snapshots_durable || (entry->n_journals == 1 && entry->base_epoch == entry->epoch))
     return false;
-  /* All that was adopted stands in the own journal: the former ones count no more. */
+  /* All adopted state is in the own journal, so the former journals are no longer needed. */
   homes_note_dropped (homes, entry);
   entry->n_journals = 1;
   snprintf (entry->journals[0], sizeof entry->journals[0], "%s", homes->options.incarnation);
@@ -132,11 +133,11 @@
 }
 
 static bool
-plan_handed (struct Homes *homes, uint32_t partition, struct PartitionEntry *entry)
+plan_handed_off (struct Homes *homes, uint32_t partition, struct PartitionEntry *entry)
 {
-  const char *choice = homes_choice (homes, partition);
+  const char *home = homes_preferred_home (homes, partition);
 
-  return entry_claim (entry, choice != NULL ? choice : "");
+  return entry_claim (entry, home != NULL ? home : "");
 }
 
 static bool
@@ -144,22 +145,23 @@
 {
   struct HomesPartition *p = &homes->partitions[partition];
 
-  /* The map never gives a partition away under the same epoch: another home or epoch means that
-   * this one has lost it. */
-  if (p->state != HOMES_AWAY && (!homes_is_self (homes, entry->home) || entry->epoch != p->epoch))
+  /* Every change of home increments the epoch: another home or epoch in the map means that this
+   * incarnation has lost the partition. */
+  if (p->state != HOMES_NOT_SERVED
+      && (!homes_is_self (homes, entry->home) || entry->epoch != p->epoch))
     {
       p->handoff_queued = false;
-      homes_leave (homes, partition);
-      p->state = HOMES_AWAY;
+      homes_stop_serving (homes, partition);
+      p->state = HOMES_NOT_SERVED;
     }
   switch (p->state)
     {
-    case HOMES_AWAY:
-      return plan_away (homes, partition, entry);
+    case HOMES_NOT_SERVED:
+      return plan_not_served (homes, partition, entry);
     case HOMES_OWNED:
       return plan_owned (homes, partition, entry);
-    case HOMES_HANDED:
-      return plan_handed (homes, partition, entry);
+    case HOMES_HANDED_OFF:
+      return plan_handed_off (homes, partition, entry);
     case HOMES_READING:
     case HOMES_LEAVING:
       break;
@@ -293,7 +295,7 @@
   homes->n_members = 0;
   homes->n_candidates = 0;
   if (homes_copy_members (homes, members, n_members) != ERROR_NONE)
-    homes->n_candidates = 0; /* without candidates nothing is taken and nothing is left */
+    homes->n_candidates = 0; /* without candidates nothing is taken over or handed off */
   talloc_free (former);
   homes_step (homes);
 }
@@ -321,7 +323,7 @@
   const struct HomesPartition *p = &homes->partitions[partition];
 
   *epoch = p->epoch;
-  /* Behind its hand-off a record could be acknowledged here and missed by the next home. */
+  /* The next home could miss a record that is acknowledged here after the hand-off record. */
   return (p->state == HOMES_OWNED || (p->state == HOMES_LEAVING && !p->handoff_queued))
          && !journal_is_fenced (homes->journal);
 }
@@ -331,7 +333,7 @@
 {
   enum HomesPartitionState state = homes->partitions[partition].state;
 
-  return state == HOMES_LEAVING || state == HOMES_HANDED;
+  return state == HOMES_LEAVING || state == HOMES_HANDED_OFF;
 }
 
 void
--- a/core/homes_checkpoint.c
+++ b/core/homes_checkpoint.c
@@ -12,7 +12,7 @@
 
   if (p->pin_slot == 0)
     return false;
-  if (p->state == HOMES_LEAVING || p->state == HOMES_HANDED)
+  if (p->state == HOMES_LEAVING || p->state == HOMES_HANDED_OFF)
     return true;
   for (uint32_t i = 0; i < entry->n_journals; i++)
     if (homes_is_self (homes, entry->journals[i])
@@ -21,7 +21,8 @@
   return false;
 }
 
-/* Lets go of old slots, but of none that the next home of a partition handed off still reads. */
+/* Releases old slots for deletion, except those that the next home of a partition that was handed
+ * off still has to read. */
 static void
 homes_release_slots (struct Homes *homes)
 {
@@ -53,7 +54,7 @@
     journal_when_idle (homes->journal, homes_on_idle, homes);
 }
 
-/* Prepends the snapshots of the next partition that is served here; false when none is left. */
+/* Prepends the snapshots of the next served partition. Returns false when none is left. */
 static bool
 snapshot_next (struct Homes *homes)
 {
@@ -80,8 +81,8 @@
   return error == ERROR_NONE && n_records > 0;
 }
 
-/* One partition at a time, so that no more than one stands twice in memory. Records that follow
- * the first snapshot and belong to a partition whose turn comes later are in its snapshot too. */
+/* Writes one partition at a time, so that at most one is in memory twice. A record that follows the
+ * first snapshot and belongs to a partition written later is contained in that snapshot too. */
 static void
 homes_on_idle (void *data)
 {
--- a/core/homes_clean.c
+++ b/core/homes_clean.c
@@ -10,16 +10,16 @@
 
 enum
 {
-  CLEAN_PACE_MS = 250 /* between two deletions: they share the platform with the journals */
+  CLEAN_INTERVAL_MS = 250 /* between two deletions, which share the platform with journal writes */
 };
 
-/* Deleting the slots of one dead journal. */
+/* Deletion of the slots of one journal that is no longer needed. */
 struct HomesCleaning
 {
   struct Homes *homes;
   char *incarnation;
   char *folder;
-  char **keys; /* all but the seal's */
+  char **keys; /* of all slots but the seal */
   size_t n_keys;
 };
 
@@ -33,7 +33,7 @@
 }
 
 static bool
-map_names (const struct Homes *homes, const char *incarnation)
+map_has_journal (const struct Homes *homes, const char *incarnation)
 {
   for (uint32_t partition = 0; partition < homes->options.n_partitions; partition++)
     {
@@ -49,11 +49,11 @@
 }
 
 static void
-clean_end (struct HomesCleaning *cleaning, bool whole)
+clean_end (struct HomesCleaning *cleaning, bool complete)
 {
   struct Homes *homes = cleaning->homes;
 
-  if (whole)
+  if (complete)
     name_list_remove (homes->dropped, &homes->n_dropped, cleaning->incarnation);
   homes->cleaning = NULL;
   talloc_free (cleaning);
@@ -67,10 +67,11 @@
 {
   struct HomesCleaning *cleaning = data;
 
-  bool gone = result->error == ERROR_NONE || result->error == ERROR_NOT_FOUND;
+  bool deleted = result->error == ERROR_NONE || result->error == ERROR_NOT_FOUND;
 
-  if (!gone
-      || timer_subscribe (cleaning, cleaning->homes->timers, CLEAN_PACE_MS, 0, clean_next, cleaning)
+  if (!deleted
+      || timer_subscribe (cleaning, cleaning->homes->timers, CLEAN_INTERVAL_MS, 0, clean_next,
+                          cleaning)
              == NULL)
     clean_end (cleaning, false);
 }
@@ -102,11 +103,11 @@
     clean_end (data, false);
 }
 
-/* Puts a seal that says so in the place of the seal, before anything is deleted. The slot is never
- * without one: a writer that was paused before it could else create the slot and take its records
- * for durable. And a reader needs no guess about gaps, or about slots that a late write brings
- * back, when the map still comes to name this journal: by a hand-off to an instance that was dead
- * by then, and that has written nothing for it. */
+/* Replaces the seal, before any deletion, by one that marks the journal as cleaned. It is replaced
+ * and never deleted: a writer that was paused before its write of this slot could otherwise create
+ * the slot and treat its records as durable. The mark lets a reader ignore gaps, and slots that a
+ * late write restores, if the map names this journal again: a hand-off to an instance that had
+ * already failed, and has written nothing for the partition, can cause that. */
 static int32_t
 clean_mark_seal (struct HomesCleaning *cleaning, const struct KvEntry *last)
 {
@@ -133,11 +134,12 @@
 clean_on_keys (void *data, const struct KvResult *result)
 {
   struct HomesCleaning *cleaning = data;
-  bool whole = result->error == ERROR_NONE && !result->more && result->n_entries > 0;
+  bool complete = result->error == ERROR_NONE && !result->more && result->n_entries > 0;
 
-  for (size_t i = 0; whole && i + 1 < result->n_entries; i++)
-    whole = name_list_add (cleaning, &cleaning->keys, &cleaning->n_keys, result->entries[i].key);
-  if (!whole || clean_mark_seal (cleaning, &result->entries[result->n_entries - 1]) != ERROR_NONE)
+  for (size_t i = 0; complete && i + 1 < result->n_entries; i++)
+    complete = name_list_add (cleaning, &cleaning->keys, &cleaning->n_keys, result->entries[i].key);
+  if (!complete
+      || clean_mark_seal (cleaning, &result->entries[result->n_entries - 1]) != ERROR_NONE)
     clean_end (cleaning, false);
 }
 
@@ -161,7 +163,7 @@
     homes->cleaning = cleaning;
 }
 
-/* The journal that may be cleaned next, or NULL. */
+/* Returns the journal that may be cleaned next, or NULL. */
 static const char *
 clean_choose (struct Homes *homes)
 {
@@ -169,9 +171,9 @@
     {
       const char *incarnation = homes->dropped[i];
 
-      /* One that lives deletes its own slots. One that left by a hand-off was never sealed: without
-       * the seal nothing would mark the end of what it may still write. */
-      if (homes_is_live (homes, incarnation) || map_names (homes, incarnation))
+      /* A live writer deletes its own slots. A writer that only handed its partitions off was never
+       * sealed, and without a seal it could still append slots. */
+      if (homes_is_live (homes, incarnation) || map_has_journal (homes, incarnation))
         continue;
       if (homes_is_sealed (homes, incarnation))
         return incarnation;
@@ -180,10 +182,10 @@
   return NULL;
 }
 
-/* An old reading of the map may not name a journal that was written to since, by a home that came
- * and went while this one was paused. So a journal is chosen when it is known to be sealed, and
- * cleaned when a reading begun after that does not name it: whatever it wrote that still counts was
- * named before it was written. */
+/* An outdated copy of the map may lack a journal that was written to since, by a home that started
+ * and ended while this one was paused. A journal is therefore chosen once it is known to be sealed,
+ * and cleaned only when a map read that started after that does not name it: a journal is named in
+ * the map before records that are still needed are written to it. */
 void
 homes_clean_step (struct Homes *homes)
 {
--- a/core/homes_handoff.c
+++ b/core/homes_handoff.c
@@ -7,11 +7,12 @@
 enum
 {
   LEAVE_POLL_MS = 20,
-  /* A home that has to go takes no new calls for a partition that was not quiet for so long. */
-  QUIET_PATIENCE_MS = 15000
+  /* How long a home that is being drained or stopped waits for a partition to become idle before it
+   * stops accepting new calls for it. */
+  IDLE_TIMEOUT_MS = 15000
 };
 
-/* A hand-off record on its way into the journal. */
+/* A hand-off record that is being appended to the journal. */
 struct HomesHandoff
 {
   struct Homes *homes;
@@ -31,15 +32,15 @@
   talloc_free (handoff);
   if (error != ERROR_NONE || !own)
     return;
-  /* Durable: whoever the map names next reads everything up to here, and nothing of this
-   * partition and epoch follows. Only now may the map change. */
-  homes_leave (homes, partition);
+  /* The record is durable: the next home reads everything up to here, and no record of this
+   * partition and epoch follows. The map must not change earlier. */
+  homes_stop_serving (homes, partition);
   homes_step (homes);
 }
 
-/* True once the hand-off record is queued. */
+/* Appends the hand-off record if the partition is idle. Returns true once the record is queued. */
 static bool
-try_to_leave (struct Homes *homes, uint32_t partition)
+queue_handoff (struct Homes *homes, uint32_t partition)
 {
   struct HomesPartition *p = &homes->partitions[partition];
   struct Record record = { .kind = RECORD_HANDOFF, .partition = partition, .epoch = p->epoch };
@@ -63,15 +64,15 @@
       talloc_free (handoff);
       return false;
     }
-  /* What this journal needs now, the next home needs until it has written its own snapshots. */
+  /* The next home needs the slots that a replay needs now until its own snapshots are durable. */
   p->pin_slot = journal_replay_from (homes->journal);
   return true;
 }
 
-/* True while partition waits to be left. A partition is left in a moment in which nothing is in
- * flight, and until then it is served as ever: a joining member is no reason to make a caller wait
- * for the end of somebody else's long answer. A home that is being stopped has to go in the end, so
- * after a while it takes no new calls, and what is in flight ends. */
+/* Returns true while partition waits to be handed off. A partition is handed off when it has no
+ * calls in flight and is served normally until then, so that a joining member does not make callers
+ * wait for the end of another caller's long answer. A home that is drained or stopped has to
+ * finish, so after IDLE_TIMEOUT_MS it accepts no new calls and waits for those in flight. */
 static bool
 leave_step (struct Homes *homes, uint32_t partition)
 {
@@ -79,18 +80,18 @@
 
   if (p->state == HOMES_OWNED && p->leave_since_ms != 0)
     {
-      if (try_to_leave (homes, partition))
+      if (queue_handoff (homes, partition))
         {
           p->state = HOMES_LEAVING;
           return false;
         }
       if (!homes_is_candidate (homes)
-          && timer_now_ms (homes->timers) - p->leave_since_ms >= QUIET_PATIENCE_MS)
+          && timer_now_ms (homes->timers) - p->leave_since_ms >= IDLE_TIMEOUT_MS)
         p->state = HOMES_LEAVING;
       return true;
     }
   if (p->state == HOMES_LEAVING && !p->handoff_queued)
-    return !try_to_leave (homes, partition);
+    return !queue_handoff (homes, partition);
   return false;
 }
 
@@ -129,7 +130,7 @@
   if (!homes->stopping || stopped == NULL)
     return;
   for (uint32_t i = 0; i < homes->options.n_partitions; i++)
-    if (homes->partitions[i].state != HOMES_AWAY
+    if (homes->partitions[i].state != HOMES_NOT_SERVED
         || homes_is_self (homes, homes_entry (homes, i)->home))
       return;
   homes->stopped = NULL;
--- a/core/homes_map.c
+++ b/core/homes_map.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One compare-and-swap on its way. */
+/* A compare-and-swap in flight. */
 struct HomesChange
 {
   struct Homes *homes;
@@ -22,9 +22,10 @@
   return talloc_asprintf (ctx, "%s%06" PRIu32, homes->map_prefix, index);
 }
 
-/* Takes in a group as read. An answer to an older read may come late: the map never goes back. */
+/* Updates a group from entry and returns true, unless entry is not newer than the current revision,
+ * as in a late response to an earlier read, or malformed. */
 static bool
-take_group (struct Homes *homes, uint32_t index, const struct KvEntry *entry)
+update_group (struct Homes *homes, uint32_t index, const struct KvEntry *entry)
 {
   struct HomesGroup *group = &homes->groups[index];
   struct PartitionGroup *map;
@@ -41,7 +42,7 @@
   if (error != ERROR_NONE)
     {
       log_event (LOG_LEVEL_ERROR, "map_unreadable", NULL,
-                 "give every instance the same number of partitions and group size",
+                 "use the same number of partitions and group size on all instances",
                  "group %" PRIu32 " of the partition map: %s", index, error_name (error));
       return false;
     }
@@ -60,15 +61,15 @@
   homes_map_read (homes);
 }
 
-/* Polls of many instances are spread, so that they do not all come at once after an outage. */
+/* Adds jitter, so that the polls of many instances do not coincide after an outage. */
 static void
 homes_schedule_poll (struct Homes *homes)
 {
   uint64_t poll_ms = homes->options.poll_ms > 0 ? homes->options.poll_ms : 1;
-  char turn[24];
+  char key[24];
 
-  snprintf (turn, sizeof turn, "%" PRIu32, homes->n_polls++);
-  poll_ms += rendezvous_score (turn, homes->options.incarnation) % (poll_ms / 4 + 1);
+  snprintf (key, sizeof key, "%" PRIu32, homes->n_polls++);
+  poll_ms += rendezvous_score (key, homes->options.incarnation) % (poll_ms / 4 + 1);
   TALLOC_FREE (homes->poll_timer);
   homes->poll_timer =
       timer_subscribe (homes, homes->timers, (int64_t)poll_ms, 0, homes_on_poll, homes);
@@ -90,7 +91,7 @@
       unsigned long index = strtoul (result->entries[i].key + n_prefix, NULL, 10);
 
       if (index < homes->n_groups)
-        changed |= take_group (homes, (uint32_t)index, &result->entries[i]);
+        changed |= update_group (homes, (uint32_t)index, &result->entries[i]);
     }
   if (changed && homes->options.map_changed != NULL)
     homes->options.map_changed (homes->options.data);
@@ -131,8 +132,8 @@
   talloc_free (change);
   if (done && homes->options.map_changed != NULL)
     homes->options.map_changed (homes->options.data);
-  /* Lost to another, or the answer was lost: what stands in the map decides, whoever wrote it.
-   * While the platform is down the next poll comes first. */
+  /* After a conflict or a lost response the content of the map decides, whichever instance wrote
+   * it. It is read now after a conflict, and by the next poll while the platform is down. */
   if (done)
     homes_step (homes);
   else if (result->error == ERROR_CONFLICT)
--- a/core/homes_state.h
+++ b/core/homes_state.h
@@ -1,31 +1,31 @@
-/* State of homes, shared by its source files only. */
+/* Private state of homes, shared by its source files. */
 #pragma once
 
 #include <buckthornhead/homes.h>
 
 enum HomesPartitionState
 {
-  HOMES_AWAY,    /* not served here */
-  HOMES_READING, /* the map names this incarnation; the journals that count are being read */
-  HOMES_OWNED,   /* served here */
-  HOMES_LEAVING, /* no new calls; waits for what is in flight, then for its hand-off record */
-  HOMES_HANDED   /* the hand-off record is durable; the map still names this incarnation */
+  HOMES_NOT_SERVED, /* not served here */
+  HOMES_READING,    /* the map names this incarnation; the needed journals are being read */
+  HOMES_OWNED,      /* served here */
+  HOMES_LEAVING,    /* no new calls; waits for calls in flight, then for the hand-off record */
+  HOMES_HANDED_OFF  /* the hand-off record is durable; the map still names this incarnation */
 };
 
 struct HomesPartition
 {
   enum HomesPartitionState state;
-  uint64_t epoch;         /* under which it is or was served here */
-  bool snapshots_durable; /* of all that was adopted */
+  uint64_t epoch;         /* under which it is or was last served here */
+  bool snapshots_durable; /* of all adopted programs */
   bool handoff_queued;
-  int64_t leave_since_ms; /* owned, and to be handed off at a quiet moment; 0: not */
-  uint64_t pin_slot;      /* the own journal must keep what follows for the next home; 0: none */
+  int64_t leave_since_ms; /* since when it is to be handed off once idle; 0: it is not */
+  uint64_t pin_slot;      /* first own slot that the next home may still need; 0: none */
 };
 
 struct HomesGroup
 {
   struct PartitionGroup *map; /* as last read; never NULL */
-  bool changing;              /* a compare-and-swap is on its way */
+  bool changing;              /* a compare-and-swap is in flight */
   struct HomesAdoption *adoption;
 };
 
@@ -34,8 +34,8 @@
   bool running;
   bool any_done;
   uint32_t next_partition;
-  uint64_t first_slot; /* of the running one */
-  uint64_t done_slot;  /* first slot of the last one that is durable */
+  uint64_t first_slot; /* of the running checkpoint */
+  uint64_t done_slot;  /* first slot of the last durable checkpoint */
 };
 
 struct Homes
@@ -49,62 +49,65 @@
   struct HomesGroup *groups;
   uint32_t n_groups;
   struct HomesPartition *partitions;
-  struct HomesMember *members; /* strings belong to it */
+  struct HomesMember *members; /* owns the strings */
   size_t n_members;
   const char **candidates; /* instances that may take partitions */
   const char **candidate_incarnations;
   size_t n_candidates;
-  char **sealed; /* incarnations whose seal this one has seen */
+  char **sealed; /* incarnations whose journal is known to be sealed */
   size_t n_sealed;
   char **sealing;
   size_t n_sealing;
   struct Timer *poll_timer, *leave_timer;
   bool reading_map;
-  uint32_t n_map_reads; /* begun */
+  uint32_t n_map_reads; /* started */
   uint32_t n_polls;
   bool stopping; /* homes_hand_off_all was called */
   JournalDone stopped;
   void *stopped_data;
   struct HomesCheckpoint checkpoint;
-  char **dropped; /* former journals that an entry of the map no longer names */
+  char **dropped; /* journals that a map entry has ceased to name */
   size_t n_dropped;
   struct HomesCleaning *cleaning;
-  char clean_next[INCARNATION_MAX_BYTES + 1]; /* to be cleaned, once the map was read again */
+  char clean_next[INCARNATION_MAX_BYTES + 1]; /* cleaned if the next map read lacks it */
   uint32_t clean_after_read;
 };
 
-/* Goes over every partition and does what the map, the members and its own state ask for. */
+/* Checks every partition against the map and the members, and starts the required changes. */
 void
 homes_step (struct Homes *homes);
 struct PartitionEntry *
 homes_entry (const struct Homes *homes, uint32_t partition);
 bool
 homes_is_self (const struct Homes *homes, const char *incarnation);
-/* Incarnation that should have partition by the members as known, or NULL. */
+/* Returns the incarnation that rendezvous hashing selects for partition among the candidates, or
+ * NULL. */
 const char *
-homes_choice (const struct Homes *homes, uint32_t partition);
-/* Stops serving partition: it was lost or has been handed off. */
+homes_preferred_home (const struct Homes *homes, uint32_t partition);
+/* Stops serving partition, which was lost or handed off. */
 void
-homes_leave (struct Homes *homes, uint32_t partition);
+homes_stop_serving (struct Homes *homes, uint32_t partition);
 void
-homes_count_owned (const struct Homes *homes);
+homes_update_owned_gauge (const struct Homes *homes);
 
 /* homes_map.c */
 void
 homes_map_read (struct Homes *homes);
-/* Compare-and-swaps group index to entries (copied). */
+/* Replaces group index with a copy of entries by compare-and-swap. */
 void
 homes_map_change (struct Homes *homes, uint32_t index, const struct PartitionEntry *entries);
 
 /* homes_takeover.c */
-/* Gives the partition to home under the next epoch; false when no journal can be added. */
+/* Assigns the partition to home under the next epoch. Returns false when the entry has no room for
+ * another journal. */
 bool
 entry_claim (struct PartitionEntry *entry, const char *home);
 bool
 homes_is_sealed (const struct Homes *homes, const char *incarnation);
 void
 homes_seal (struct Homes *homes, const char *incarnation);
-/* Reads what counts for the partitions of group index that the map gives to this incarnation. */
+/* Reads the needed journals of the partitions of group index that the map assigns to this
+ * incarnation, and adopts them. */
 void
 homes_adopt_group (struct Homes *homes, uint32_t index);
 
@@ -113,16 +116,17 @@
 
 /* homes_clean.c */
 
-/* Remembers the journals that entry names beside the own one, and is about to name no more. */
+/* Records the journals, other than the own one, that are about to be removed from entry. */
 void
 homes_note_dropped (struct Homes *homes, const struct PartitionEntry *entry);
-/* Deletes, one by one, the slots of a dropped journal that no entry names any more. Called after
- * each whole reading of the map. */
+/* Deletes, one by one, the slots of a dropped journal that no map entry names. Called after each
+ * complete read of the map. */
 void
 homes_clean_step (struct Homes *homes);
 
 /* homes_handoff.c */
-/* Whether partitions may be given to this incarnation: not while it is being drained. */
+/* Returns true when partitions may be assigned to this incarnation, which excludes one that is
+ * being drained or stopped. */
 bool
 homes_is_candidate (const struct Homes *homes);
 void
--- a/core/homes_takeover.c
+++ b/core/homes_takeover.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 static bool
-entry_names (const struct PartitionEntry *entry, const char *journal)
+entry_has_journal (const struct PartitionEntry *entry, const char *journal)
 {
   for (uint32_t i = 0; i < entry->n_journals; i++)
     if (strcmp (entry->journals[i], journal) == 0)
@@ -18,15 +18,15 @@
   return false;
 }
 
-/* Keeps the first mention of each journal. */
+/* Keeps the first occurrence of each journal. */
 static void
-entry_drop_repeats (struct PartitionEntry *entry)
+entry_remove_duplicates (struct PartitionEntry *entry)
 {
   uint32_t n = entry->n_journals;
 
   entry->n_journals = 0;
   for (uint32_t i = 0; i < n; i++)
-    if (!entry_names (entry, entry->journals[i]))
+    if (!entry_has_journal (entry, entry->journals[i]))
       {
         uint32_t to = entry->n_journals++;
 
@@ -38,14 +38,14 @@
 bool
 entry_claim (struct PartitionEntry *entry, const char *home)
 {
-  entry_drop_repeats (entry);
-  /* So many homes have died or left, one after the other, before the next had written its
-   * snapshots: the entry can name no further journal, and none may be left out. */
+  entry_remove_duplicates (entry);
+  /* PARTITION_JOURNALS_MAX homes in a row failed or handed off before their snapshots were durable.
+   * The entry has no room for another journal, and all of the listed ones are still needed. */
   if (entry->n_journals == PARTITION_JOURNALS_MAX)
     {
       log_event (LOG_LEVEL_ERROR, "map_entry_full", NULL,
-                 "look at why homes die before they are ready", "%d journals still count",
-                 PARTITION_JOURNALS_MAX);
+                 "check why instances fail before their takeovers finish",
+                 "%d journals are still needed", PARTITION_JOURNALS_MAX);
       return false;
     }
   entry->epoch++;
@@ -83,7 +83,7 @@
   log_event (error == ERROR_NONE ? LOG_LEVEL_NOTICE : LOG_LEVEL_WARNING, "journal_sealed", NULL,
              NULL, "%s: %s", seal->incarnation, error_name (error));
   talloc_free (seal);
-  /* A failure waits for the next poll of the map. */
+  /* After a failure the next poll of the map tries again. */
   if (error == ERROR_NONE)
     homes_step (homes);
 }
@@ -108,10 +108,10 @@
     talloc_free (seal);
 }
 
-/* Spooled records stand behind every slot of their journal. */
+/* Sorts spooled records after every slot of their journal. */
 #define SPOOLED_SLOT_BASE (1ULL << 62)
 
-/* Reading what counts for some partitions of one group. */
+/* Reads the needed journals for partitions of one group. */
 struct HomesAdoption
 {
   struct Homes *homes;
@@ -120,10 +120,10 @@
   size_t n_partitions;
   char **journals;
   size_t n_journals, n_read;
-  struct JournalReplay *replays; /* one a journal */
+  struct JournalReplay *replays; /* one per journal */
 };
 
-/* A record with its place in the order of replay. */
+/* A record with its position in the replay order. */
 struct HomesRecord
 {
   uint64_t epoch, slot;
@@ -143,8 +143,9 @@
   return x->index < y->index ? -1 : x->index > y->index;
 }
 
-/* Records of partition that count, in order. Those under an epoch before the last home that wrote
- * all its snapshots are left out: they could bring back a program that was since forgotten. */
+/* Collects the needed records of partition in replay order. Records of epochs before that of the
+ * last home whose snapshots all became durable are skipped: they could restore a program that has
+ * since been forgotten. */
 static int32_t
 collect_records (struct HomesAdoption *adoption,
                  uint32_t partition,
@@ -182,8 +183,8 @@
   return ERROR_NONE;
 }
 
-/* Snapshots of one adopted partition on their way into the journal. */
-struct HomesAdopted
+/* Snapshots of an adopted partition that are being appended to the journal. */
+struct HomesSnapshotWrite
 {
   struct Homes *homes;
   uint32_t partition;
@@ -193,19 +194,19 @@
 static void
 homes_on_snapshots (void *data, int32_t error)
 {
-  struct HomesAdopted *adopted = data;
-  struct Homes *homes = adopted->homes;
-  struct HomesPartition *p = &homes->partitions[adopted->partition];
-  bool own = p->epoch == adopted->epoch;
+  struct HomesSnapshotWrite *write = data;
+  struct Homes *homes = write->homes;
+  struct HomesPartition *p = &homes->partitions[write->partition];
+  bool own = p->epoch == write->epoch;
 
-  talloc_free (adopted);
+  talloc_free (write);
   if (error != ERROR_NONE || !own)
     return;
   p->snapshots_durable = true;
   homes_step (homes);
 }
 
-/* Queues the snapshots before anything else can be queued for the partition's programs. */
+/* Queues the snapshots, before any other record of the partition's programs can be queued. */
 static int32_t
 journal_snapshots (struct Homes *homes,
                    uint32_t partition,
@@ -213,24 +214,24 @@
                    size_t n_records)
 {
   struct HomesPartition *p = &homes->partitions[partition];
-  struct HomesAdopted *adopted;
+  struct HomesSnapshotWrite *write;
   int32_t error = ERROR_NONE;
 
   p->snapshots_durable = n_records == 0;
   if (n_records == 0)
     return ERROR_NONE;
-  adopted = talloc_zero (homes, struct HomesAdopted);
-  if (adopted == NULL)
+  write = talloc_zero (homes, struct HomesSnapshotWrite);
+  if (write == NULL)
     return ERROR_NO_MEMORY;
-  adopted->homes = homes;
-  adopted->partition = partition;
-  adopted->epoch = p->epoch;
+  write->homes = homes;
+  write->partition = partition;
+  write->epoch = p->epoch;
   for (size_t i = 0; i + 1 < n_records && error == ERROR_NONE; i++)
     error = journal_append (homes->journal, &records[i], NULL, NULL);
   if (error == ERROR_NONE)
-    error = journal_append (homes->journal, &records[n_records - 1], homes_on_snapshots, adopted);
+    error = journal_append (homes->journal, &records[n_records - 1], homes_on_snapshots, write);
   if (error != ERROR_NONE)
-    talloc_free (adopted);
+    talloc_free (write);
   return error;
 }
 
@@ -253,7 +254,7 @@
     {
       planned = records[i].record->kind == RECORD_HANDOFF && records[i].epoch + 1 == entry->epoch;
       error = ledger_apply (homes->ledger, records[i].record);
-      /* Of a program that a later checkpoint holds, or that was forgotten. */
+      /* The program is in a later checkpoint or was forgotten. */
       if (error == ERROR_NOT_FOUND)
         error = ERROR_NONE;
     }
@@ -267,11 +268,11 @@
       ledger_drop_partition (homes->ledger, partition);
       return error;
     }
-  /* The first claim of a partition takes nothing over from anybody. */
+  /* The first claim of a partition is no takeover: there was no earlier home. */
   if (entry->n_journals > 1)
     counter_add (planned ? COUNTER_HANDOFFS : COUNTER_TAKEOVERS, 1);
   p->state = HOMES_OWNED;
-  homes_count_owned (homes);
+  homes_update_owned_gauge (homes);
   if (homes->options.gained != NULL)
     homes->options.gained (homes->options.data, partition);
   return ERROR_NONE;
@@ -287,14 +288,14 @@
       struct HomesPartition *p = &homes->partitions[adoption->partitions[i]];
       int32_t failed = error;
 
-      /* Lost again while its journals were read. */
+      /* The partition was lost while its journals were read. */
       if (p->state != HOMES_READING)
         continue;
       if (failed == ERROR_NONE)
         failed = adopt_partition (adoption, adoption->partitions[i]);
       if (failed == ERROR_NONE)
         continue;
-      p->state = HOMES_AWAY; /* until the next poll of the map */
+      p->state = HOMES_NOT_SERVED; /* until the next poll of the map */
       log_event (LOG_LEVEL_ERROR, "adoption_failed", NULL, error_remedy (failed),
                  "partition %u: %s", adoption->partitions[i], error_name (failed));
     }
@@ -307,8 +308,8 @@
 static void
 adoption_read_next (struct HomesAdoption *adoption);
 
-/* Puts the spooled records behind the slots: the writer spooled in the order of its journal, and
- * only what was not known to be in it. What is in both is applied twice, which changes nothing. */
+/* Appends the spooled records to the slots: the writer spooled in journal order, and only records
+ * that it did not know to be in the journal. Applying a record twice has no effect. */
 static void
 adoption_on_spool (void *data, const struct HomesSpooled *spooled, size_t n_spooled)
 {
@@ -351,8 +352,8 @@
   *kept = *replay;
   talloc_steal (adoption, kept->slots);
   talloc_steal (adoption, kept->slot_numbers);
-  /* The journal of a home that left as planned has no seal, and all that it ever acknowledged is in
-   * front of its hand-off. */
+  /* The journal of a home that handed off has no seal, and every record that the home acknowledged
+   * precedes the hand-off record, so no spool has to be read. */
   if (kept->seal_slot == 0 || options->collect_spool == NULL)
     {
       adoption->n_read++;
@@ -378,13 +379,13 @@
     adoption_end (adoption, ERROR_NO_MEMORY);
 }
 
-/* Adds partition, and those of its journals that are not listed yet. */
+/* Adds partition and those of its journals that are not listed yet. */
 static bool
 adoption_add (struct HomesAdoption *adoption, uint32_t partition)
 {
   const struct PartitionEntry *entry = homes_entry (adoption->homes, partition);
 
-  /* The last is this incarnation's own, which has nothing of the new epoch yet. */
+  /* The last journal is the own one, which has no records of the new epoch yet. */
   for (uint32_t j = 0; j + 1 < entry->n_journals; j++)
     if (!name_list_has (adoption->journals, adoption->n_journals, entry->journals[j])
         && !name_list_add (adoption, &adoption->journals, &adoption->n_journals,
@@ -413,7 +414,7 @@
       uint32_t partition = index * homes->options.group_size + i;
       struct HomesPartition *p = &homes->partitions[partition];
 
-      if (p->state != HOMES_AWAY || !homes_is_self (homes, group->map->entries[i].home))
+      if (p->state != HOMES_NOT_SERVED || !homes_is_self (homes, group->map->entries[i].home))
         continue;
       if (!adoption_add (adoption, partition))
         break;
--- a/core/replay.c
+++ b/core/replay.c
@@ -9,18 +9,19 @@
 enum
 {
   REPLAY_PAGE_SLOTS = 8,
-  REPLAY_ATTEMPTS_MAX = 8, /* in a row; then the asker tries again later */
+  REPLAY_ATTEMPTS_MAX = 8, /* in a row; the caller may then retry later */
   REPLAY_RETRY_MS = 200
 };
 
-/* The steps in their order. Sealing comes before all reading of records: a writer that is only
- * slow could otherwise write a slot after the last one read, acknowledge it, and be missed. */
+/* Steps in their order. The journal is sealed before any records are read: a writer that is slow
+ * rather than failed could otherwise append and acknowledge a slot after the last one read, and its
+ * records would be lost. */
 enum ReplayStep
 {
-  REPLAY_FIND_LAST, /* keys only */
-  REPLAY_LOOK_AT_LAST,
+  REPLAY_FIND_LAST,  /* reads keys only */
+  REPLAY_CHECK_LAST, /* for a seal */
   REPLAY_PUT_SEAL,
-  REPLAY_READ_NEWEST, /* for its replay_from */
+  REPLAY_READ_NEWEST, /* slot before the end, for its replay_from */
   REPLAY_READ_SLOTS,
   REPLAY_DONE
 };
@@ -30,24 +31,24 @@
   struct KvPort *kv;
   struct TimerService *timers;
   const char *incarnation;
-  const char *folder; /* prefix of all the journal's slots */
+  const char *folder; /* prefix of the keys of all slots of the journal */
   const char *prefix;
   char taker[NAME_MAX_BYTES + 24];
-  bool seals;
-  bool reads;
+  bool must_seal;
+  bool must_read;
   JournalReplayDone done;
   void *data;
   enum ReplayStep step;
   uint32_t n_attempts;
-  uint32_t n_gaps;    /* readings that met a missing slot */
-  uint64_t last_slot; /* highest that is there */
-  uint64_t end_slot;  /* first that does not count: the seal, or one past the last */
-  uint64_t next_slot; /* to be read */
+  uint32_t n_gaps;    /* reads that found a slot missing */
+  uint64_t last_slot; /* highest existing slot */
+  uint64_t end_slot;  /* end of the records: the seal, or one past the last slot */
+  uint64_t next_slot; /* next slot to read */
   struct JournalReplay replay;
 };
 
 static void
-replay_go (struct ReplaySession *session);
+replay_send (struct ReplaySession *session);
 
 static void
 replay_finish (struct ReplaySession *session, int32_t error)
@@ -56,7 +57,7 @@
   session->replay.error = error;
   if (error != ERROR_NONE)
     session->replay.n_slots = 0;
-  /* The asker may free the context that the session belongs to. */
+  /* done may free the context that owns the session. */
   talloc_steal (NULL, session);
   session->done (session->data, &session->replay);
   talloc_free (session);
@@ -65,7 +66,7 @@
 static void
 replay_on_retry (void *data)
 {
-  replay_go (data);
+  replay_send (data);
 }
 
 static void
@@ -77,7 +78,7 @@
     replay_finish (session, ERROR_PLATFORM_DOWN);
 }
 
-/* Number of a slot's key; 0 for a key that is none. */
+/* Returns the slot number in key; 0 when key is no slot's key. */
 static uint64_t
 slot_number (const struct ReplaySession *session, const char *key)
 {
@@ -96,21 +97,21 @@
 {
   session->step = step;
   session->n_attempts = 0;
-  replay_go (session);
+  replay_send (session);
 }
 
-/* The end is known: reads what counts. */
+/* Starts to read the needed records, once the end is known. */
 static void
 replay_read_from_newest (struct ReplaySession *session)
 {
-  if (session->end_slot <= JOURNAL_FIRST_SLOT || !session->reads)
+  if (session->end_slot <= JOURNAL_FIRST_SLOT || !session->must_read)
     replay_finish (session, ERROR_NONE);
   else
     replay_step (session, REPLAY_READ_NEWEST);
 }
 
-/* A seal that says that a replay needs nothing before it was put there by whoever cleaned up: of
- * what may still lie there, or be written late, nothing counts. */
+/* Handles a seal. One whose replay_from is its own slot was written when the journal was cleaned:
+ * slots that remain before it, or are written late, are ignored. */
 static void
 replay_found_seal (struct ReplaySession *session, uint64_t slot, uint64_t replay_from)
 {
@@ -123,7 +124,7 @@
 }
 
 static void
-replay_on_last (struct ReplaySession *session, const struct KvResult *result)
+replay_on_keys (struct ReplaySession *session, const struct KvResult *result)
 {
   session->last_slot = 0;
   for (size_t i = 0; i < result->n_entries; i++)
@@ -135,8 +136,8 @@
     }
   session->end_slot = session->last_slot + 1;
   if (session->last_slot > 0)
-    replay_step (session, REPLAY_LOOK_AT_LAST);
-  else if (session->seals)
+    replay_step (session, REPLAY_CHECK_LAST);
+  else if (session->must_seal)
     replay_step (session, REPLAY_PUT_SEAL);
   else
     replay_finish (session, ERROR_NONE);
@@ -149,7 +150,7 @@
 }
 
 static void
-replay_on_look (struct ReplaySession *session, const struct KvResult *result)
+replay_on_last_slot (struct ReplaySession *session, const struct KvResult *result)
 {
   struct Slot *slot;
   uint64_t replay_from;
@@ -165,15 +166,15 @@
   talloc_free (slot);
   if (sealed)
     replay_found_seal (session, session->last_slot, replay_from);
-  else if (session->seals)
+  else if (session->must_seal)
     replay_step (session, REPLAY_PUT_SEAL);
   else
     replay_read_from_newest (session);
 }
 
-/* The slot was taken first. By a seal, another taker's or the own one whose answer was lost: the
- * journal is sealed, and it does not matter by whom. By the writer, which raced ahead: the seal
- * goes one further. */
+/* Handles a slot that already exists where the seal was to be written. If it is a seal, of another
+ * instance or an own one whose response was lost, the journal is sealed. If the writer has appended
+ * it meanwhile, the seal is tried at the next slot. */
 static void
 replay_on_seal_conflict (struct ReplaySession *session, const struct KvResult *result)
 {
@@ -256,7 +257,8 @@
     }
   for (size_t i = 0; i < result->n_entries && session->next_slot < session->end_slot; i++)
     {
-      /* A gap: a writer that lives on has deleted slots meanwhile, which its newest one says. */
+      /* A gap: a live writer may have deleted slots meanwhile. Its newest slot then has a higher
+       * replay_from. */
       if (slot_number (session, result->entries[i].key) != session->next_slot)
         break;
       error = replay_add_slot (session, &result->entries[i]);
@@ -270,7 +272,7 @@
   if (session->next_slot >= session->end_slot)
     replay_finish (session, ERROR_NONE);
   else if (result->more)
-    replay_go (session);
+    replay_send (session);
   else if (++session->n_gaps >= REPLAY_ATTEMPTS_MAX)
     replay_finish (session, ERROR_INVALID);
   else
@@ -297,17 +299,17 @@
     }
   if (result->error != ERROR_NONE)
     {
-      /* Also an answer to the seal that was lost: the next attempt meets what stands there. */
+      /* If the response to the seal was lost, the next attempt finds the seal in place. */
       replay_retry (session);
       return;
     }
   switch (session->step)
     {
     case REPLAY_FIND_LAST:
-      replay_on_last (session, result);
+      replay_on_keys (session, result);
       break;
-    case REPLAY_LOOK_AT_LAST:
-      replay_on_look (session, result);
+    case REPLAY_CHECK_LAST:
+      replay_on_last_slot (session, result);
       break;
     case REPLAY_PUT_SEAL:
       replay_found_seal (session, session->end_slot, 0);
@@ -329,9 +331,9 @@
   return journal_slot_key (ctx, session->prefix, session->incarnation, slot);
 }
 
-/* Sends the request of the present step. */
+/* Sends the request of the current step. */
 static void
-replay_go (struct ReplaySession *session)
+replay_send (struct ReplaySession *session)
 {
   TALLOC_CTX *scratch = talloc_new (session);
   struct KvRequest request = { .op = KV_OP_GET };
@@ -347,7 +349,7 @@
       request.range.prefix = session->folder;
       request.range.keys_only = true;
       break;
-    case REPLAY_LOOK_AT_LAST:
+    case REPLAY_CHECK_LAST:
       request.get.key = replay_key (session, scratch, session->last_slot);
       break;
     case REPLAY_PUT_SEAL:
@@ -382,7 +384,7 @@
 static void
 replay_on_start (void *data)
 {
-  replay_go (data);
+  replay_send (data);
 }
 
 static int32_t
@@ -392,7 +394,7 @@
               const char *prefix,
               const char *incarnation,
               const char *taker,
-              bool reads,
+              bool must_read,
               JournalReplayDone done,
               void *data)
 {
@@ -404,14 +406,14 @@
   session->timers = timers;
   session->done = done;
   session->data = data;
-  session->seals = taker != NULL;
-  session->reads = reads;
+  session->must_seal = taker != NULL;
+  session->must_read = must_read;
   snprintf (session->taker, sizeof session->taker, "%s", taker != NULL ? taker : "");
   session->prefix = talloc_strdup (session, prefix);
   session->incarnation = talloc_strdup (session, incarnation);
   session->folder = talloc_asprintf (session, "%sjournal/%s/", prefix, incarnation);
   session->replay.slots = talloc_array (session, struct Slot *, 1);
-  /* From the loop, so that done is never called from in here. */
+  /* Started by a timer, so that done is never called from inside this function. */
   if (session->prefix == NULL || session->incarnation == NULL || session->folder == NULL
       || session->replay.slots == NULL
       || timer_subscribe (session, timers, 0, 0, replay_on_start, session) == NULL)
--- a/include/buckthornhead/partition.h
+++ b/include/buckthornhead/partition.h
@@ -1,7 +1,7 @@
-/* Partition map: which incarnation is the home of which programs.
+/* Partition map: maps programs to the incarnation that is their home.
  *
- * Programs hash into a fixed number of partitions. The map lives in the key-value service, one
- * value per group of partitions, changed by compare-and-swap only. */
+ * Programs are hashed into a fixed number of partitions. The map is stored in the key-value
+ * service, one value per group of partitions, and changed by compare-and-swap only. */
 #pragma once
 
 #include <buckthornhead/kv.h>
@@ -15,10 +15,11 @@
 struct PartitionEntry
 {
   uint64_t epoch;                       /* 0: never owned */
-  uint64_t base_epoch;                  /* records of lower epochs count no more */
+  uint64_t base_epoch;                  /* records of lower epochs are ignored */
   char home[INCARNATION_MAX_BYTES + 1]; /* "<instance>.<number>", "" for none */
-  /* Journals that still count, oldest first; the home's own is the last. Each but the last is
-   * sealed or was left by a hand-off: its writer can write nothing more for the partition. */
+  /* Journals whose records are still needed, oldest first; the last is the home's own. All others
+   * are sealed or end, for this partition, with a hand-off record, so their writers can write
+   * nothing more for it. */
   uint32_t n_journals;
   char journals[PARTITION_JOURNALS_MAX][INCARNATION_MAX_BYTES + 1];
 };
@@ -26,11 +27,11 @@
 struct PartitionGroup
 {
   uint32_t n_entries;
-  int64_t mod_revision; /* of the value in the key-value service, 0: absent */
+  int64_t mod_revision; /* of the value in the key-value service; 0: absent */
   struct PartitionEntry *entries;
 };
 
-/* The partition of a program. */
+/* Returns the partition of program. */
 uint32_t
 partition_of (const char *program, uint32_t n_partitions);
 
@@ -45,9 +46,9 @@
                         size_t bytes,
                         struct PartitionGroup **group);
 
-/* Rendezvous hashing: index of the highest-scoring of names for key; -1 when n is 0. */
+/* Returns the index of the name with the highest rendezvous score for key; -1 when n is 0. */
 int32_t
 rendezvous_pick (const char *key, const char *const *names, size_t n);
-/* Score of one name for key, for callers that filter or rank themselves. */
+/* Returns the score of name for key, for callers that filter or rank names themselves. */
 uint64_t
 rendezvous_score (const char *key, const char *name);
