--- a/tests/test_backend_list.c
+++ b/tests/test_backend_list.c
@@ -12,12 +12,12 @@
   POLL_MS = 1000
 };
 
-/* A list that the test writes. */
-struct Bench
+/* A platform list whose content the test sets. */
+struct Fixture
 {
   struct InstancesPort port;
   struct TimerService *timers;
-  const char *text; /* NULL: it can not be read */
+  const char *text; /* NULL: fetching the list fails */
   InstancesDone done;
   void *done_data;
   struct BackendSetting servers[4];
@@ -27,58 +27,58 @@
 };
 
 static void
-bench_answer (void *data)
+fixture_respond (void *data)
 {
-  struct Bench *bench = data;
+  struct Fixture *fixture = data;
 
-  bench->done (bench->done_data, bench->text != NULL ? ERROR_NONE : ERROR_UNREACHABLE, bench->text,
-               bench->text != NULL ? strlen (bench->text) : 0);
+  fixture->done (fixture->done_data, fixture->text != NULL ? ERROR_NONE : ERROR_UNREACHABLE,
+                 fixture->text, fixture->text != NULL ? strlen (fixture->text) : 0);
 }
 
 static int32_t
-bench_fetch (struct InstancesPort *port, TALLOC_CTX *owner, InstancesDone done, void *data)
+fixture_fetch (struct InstancesPort *port, TALLOC_CTX *owner, InstancesDone done, void *data)
 {
-  struct Bench *bench = (struct Bench *)port;
+  struct Fixture *fixture = (struct Fixture *)port;
 
-  bench->done = done;
-  bench->done_data = data;
-  bench->n_fetches++;
-  timer_subscribe (owner, bench->timers, 1, 0, bench_answer, bench);
+  fixture->done = done;
+  fixture->done_data = data;
+  fixture->n_fetches++;
+  timer_subscribe (owner, fixture->timers, 1, 0, fixture_respond, fixture);
   return ERROR_NONE;
 }
 
 static void
-bench_on_changed (void *data,
-                  const struct BackendSetting *listed,
-                  const bool *leaving,
-                  size_t n_listed)
+fixture_on_changed (void *data,
+                    const struct BackendSetting *listed,
+                    const bool *leaving,
+                    size_t n_listed)
 {
-  struct Bench *bench = data;
+  struct Fixture *fixture = data;
 
   CU_ASSERT_FATAL (n_listed <= 4);
   for (size_t i = 0; i < n_listed; i++)
     {
-      bench->servers[i] = listed[i];
-      bench->leaving[i] = leaving[i];
+      fixture->servers[i] = listed[i];
+      fixture->leaving[i] = leaving[i];
     }
-  bench->n_servers = n_listed;
-  bench->n_changes++;
+  fixture->n_servers = n_listed;
+  fixture->n_changes++;
 }
 
-static struct Bench *
-bench_new (const char *text)
+static struct Fixture *
+fixture_new (const char *text)
 {
-  struct Bench *bench = talloc_zero (NULL, struct Bench);
+  struct Fixture *fixture = talloc_zero (NULL, struct Fixture);
   struct BackendListOptions options = { .poll_ms = POLL_MS, .seed = 1 };
 
-  bench->port.fetch = bench_fetch;
-  bench->timers = fake_timer_new (bench);
-  bench->text = text;
-  options.changed = bench_on_changed;
-  options.data = bench;
-  backend_list_new (bench, &bench->port, bench->timers, &options);
-  fake_timer_advance (bench->timers, 10);
-  return bench;
+  fixture->port.fetch = fixture_fetch;
+  fixture->timers = fake_timer_new (fixture);
+  fixture->text = text;
+  options.changed = fixture_on_changed;
+  options.data = fixture;
+  backend_list_new (fixture, &fixture->port, fixture->timers, &options);
+  fake_timer_advance (fixture->timers, 10);
+  return fixture;
 }
 
 #define SERVER(name, state)                                                                        \
@@ -87,50 +87,50 @@
 
 static const char both_live[] = "[" SERVER ("e2", "live") "," SERVER ("e1", "live") "]";
 static const char one_leaving[] = "[" SERVER ("e1", "leaving") "," SERVER ("e2", "live") "]";
-static const char one_gone[] = "[" SERVER ("e2", "live") "]";
+static const char one_removed[] = "[" SERVER ("e2", "live") "]";
 
 static void
-bench_list (struct Bench *bench, const char *text)
+fixture_set_list (struct Fixture *fixture, const char *text)
 {
-  bench->text = text;
-  fake_timer_advance (bench->timers, 2 * POLL_MS);
+  fixture->text = text;
+  fake_timer_advance (fixture->timers, 2 * POLL_MS);
 }
 
-/* A backend server is about to leave: the platform lists it as leaving, then not at all. Within
- * two polls of either it is known to get no new work. */
+/* The platform lists a backend server as leaving, then removes it from the list. Both changes have
+ * to be reported within two polls, so that the server gets no new work. */
 static void
-test_leaving_server_is_told (void)
+test_leaving_server_is_reported (void)
 {
-  struct Bench *t = bench_new (both_live);
+  struct Fixture *t = fixture_new (both_live);
 
   CU_ASSERT_EQUAL (t->n_servers, 2);
   CU_ASSERT_STRING_EQUAL (t->servers[0].name, "e1");
   CU_ASSERT_FALSE (t->leaving[0] || t->leaving[1]);
-  bench_list (t, one_leaving);
+  fixture_set_list (t, one_leaving);
   CU_ASSERT_TRUE (t->leaving[0]);
   CU_ASSERT_FALSE (t->leaving[1]);
-  bench_list (t, one_gone);
+  fixture_set_list (t, one_removed);
   CU_ASSERT_EQUAL (t->n_servers, 1);
   CU_ASSERT_STRING_EQUAL (t->servers[0].name, "e2");
   CU_ASSERT_EQUAL (t->n_changes, 3);
-  bench_list (t, one_gone);
+  fixture_set_list (t, one_removed);
   CU_ASSERT_EQUAL (t->n_changes, 3);
   talloc_free (t);
 }
 
-/* The list can not be read, or what comes is no list: all servers go on working as they were. */
+/* When the list cannot be fetched or is not a JSON array, the previous servers must stay in use. */
 static void
 test_unreadable_list_changes_nothing (void)
 {
   static const char *const texts[] = { NULL, "", "{}", "[", "null" };
-  struct Bench *t = bench_new (both_live);
+  struct Fixture *t = fixture_new (both_live);
 
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
-    bench_list (t, texts[i]);
+    fixture_set_list (t, texts[i]);
   CU_ASSERT_EQUAL (t->n_changes, 1);
   CU_ASSERT_EQUAL (t->n_servers, 2);
   CU_ASSERT_TRUE (t->n_fetches > 5);
-  bench_list (t, "[]");
+  fixture_set_list (t, "[]");
   CU_ASSERT_EQUAL (t->n_servers, 0);
   talloc_free (t);
 }
@@ -138,7 +138,7 @@
 static void
 test_items_are_checked_one_by_one (void)
 {
-  struct Bench *t = bench_new ("[3,{},{\"name\":\"e1\"}," SERVER ("e/1", "live") "," SERVER (
+  struct Fixture *t = fixture_new ("[3,{},{\"name\":\"e1\"}," SERVER ("e/1", "live") "," SERVER (
       "e1", "leaving") "," SERVER ("e1", "live") "]");
 
   CU_ASSERT_EQUAL (t->n_servers, 1);
@@ -150,7 +150,7 @@
 
 const char test_suite_name[] = "backend_list";
 const struct TestCase test_cases[] = {
-  { "leaving server is told", test_leaving_server_is_told },
+  { "leaving server is reported", test_leaving_server_is_reported },
   { "unreadable list changes nothing", test_unreadable_list_changes_nothing },
   { "items are checked one by one", test_items_are_checked_one_by_one },
   { NULL, NULL },
--- a/tests/test_fake_kv.c
+++ b/tests/test_fake_kv.c
@@ -5,21 +5,21 @@
 
 #include <string.h>
 
-struct Bench
+struct Fixture
 {
   struct TimerService *timers;
   struct FakeKv *kv;
   struct KvPort *port;
-  int32_t error; /* of the last answer */
+  int32_t error; /* of the last result */
   int64_t revision, lease_id;
   size_t n_entries;
-  uint32_t n_answers;
+  uint32_t n_results;
 };
 
-static struct Bench *
-bench_new (void)
+static struct Fixture *
+fixture_new (void)
 {
-  struct Bench *b = talloc_zero (NULL, struct Bench);
+  struct Fixture *b = talloc_zero (NULL, struct Fixture);
 
   b->timers = fake_timer_new (b);
   b->kv = fake_kv_new (b, b->timers);
@@ -28,19 +28,19 @@
 }
 
 static void
-bench_on_done (void *data, const struct KvResult *result)
+fixture_on_done (void *data, const struct KvResult *result)
 {
-  struct Bench *b = data;
+  struct Fixture *b = data;
 
   b->error = result->error;
   b->revision = result->revision;
   b->lease_id = result->lease_id;
   b->n_entries = result->n_entries;
-  b->n_answers++;
+  b->n_results++;
 }
 
 static void
-bench_put (struct Bench *b, const char *key, const char *value, enum KvCondition condition)
+fixture_put (struct Fixture *b, const char *key, const char *value, enum KvCondition condition)
 {
   struct KvRequest request = { .op = KV_OP_PUT };
 
@@ -48,28 +48,28 @@
   request.put.value = (const uint8_t *)value;
   request.put.value_bytes = strlen (value);
   request.put.condition = condition;
-  kv_submit (b->port, &request, bench_on_done, b);
+  kv_submit (b->port, &request, fixture_on_done, b);
 }
 
 static void
-test_answers_come_later (void)
+test_results_are_asynchronous (void)
 {
-  struct Bench *b = bench_new ();
+  struct Fixture *b = fixture_new ();
 
-  bench_put (b, "a", "1", KV_IF_ABSENT);
-  CU_ASSERT_EQUAL (b->n_answers, 0);
+  fixture_put (b, "a", "1", KV_IF_ABSENT);
+  CU_ASSERT_EQUAL (b->n_results, 0);
   CU_ASSERT_EQUAL (fake_kv_run (b->kv), 1);
   CU_ASSERT_EQUAL (b->error, ERROR_NONE);
-  bench_put (b, "a", "2", KV_IF_ABSENT);
+  fixture_put (b, "a", "2", KV_IF_ABSENT);
   fake_timer_advance (b->timers, FAKE_KV_LATENCY_MS);
-  CU_ASSERT_EQUAL (b->n_answers, 2);
+  CU_ASSERT_EQUAL (b->n_results, 2);
   CU_ASSERT_EQUAL (b->error, ERROR_CONFLICT);
   CU_ASSERT_EQUAL (b->n_entries, 1);
   talloc_free (b);
 }
 
 static void
-test_each_fault_has_its_effect_and_answer (void)
+test_each_fault_has_its_effect_and_result (void)
 {
   static const struct
   {
@@ -87,14 +87,14 @@
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      struct Bench *b = bench_new ();
+      struct Fixture *b = fixture_new ();
 
       fake_kv_fault_next (b->kv, KV_OP_PUT, "a", cases[i].fault, 1);
-      bench_put (b, "a", "1", KV_IF_ABSENT);
+      fixture_put (b, "a", "1", KV_IF_ABSENT);
       CU_ASSERT_EQUAL (fake_kv_run (b->kv), 1);
       CU_ASSERT_EQUAL (b->error, cases[i].error);
       CU_ASSERT_EQUAL (fake_kv_peek (b->kv, "a", NULL), cases[i].applied);
-      bench_put (b, "a", "1", KV_IF_ALWAYS);
+      fixture_put (b, "a", "1", KV_IF_ALWAYS);
       fake_kv_run (b->kv);
       CU_ASSERT_EQUAL (b->error, ERROR_NONE);
       talloc_free (b);
@@ -104,46 +104,46 @@
 static void
 test_late_and_held_wait_for_release (void)
 {
-  struct Bench *b = bench_new ();
+  struct Fixture *b = fixture_new ();
 
   fake_kv_fault_next (b->kv, KV_OP_PUT, "late", FAKE_KV_LATE, 1);
   fake_kv_fault_next (b->kv, KV_OP_PUT, "request", FAKE_KV_HOLD_REQUEST, 1);
   fake_kv_fault_next (b->kv, KV_OP_PUT, "answer", FAKE_KV_HOLD_ANSWER, 1);
-  bench_put (b, "late", "1", KV_IF_ABSENT);
-  bench_put (b, "request", "1", KV_IF_ABSENT);
-  bench_put (b, "answer", "1", KV_IF_ABSENT);
+  fixture_put (b, "late", "1", KV_IF_ABSENT);
+  fixture_put (b, "request", "1", KV_IF_ABSENT);
+  fixture_put (b, "answer", "1", KV_IF_ABSENT);
   fake_timer_advance (b->timers, 100);
-  CU_ASSERT_EQUAL (b->n_answers, 1);
+  CU_ASSERT_EQUAL (b->n_results, 1);
   CU_ASSERT_EQUAL (fake_kv_count (b->kv, ""), 1);
   CU_ASSERT_STRING_EQUAL (fake_kv_peek_key (b->kv, "a", 0), "answer");
   CU_ASSERT_EQUAL (fake_kv_n_waiting (b->kv), 3);
   CU_ASSERT_EQUAL (fake_kv_release (b->kv), 3);
   fake_kv_run (b->kv);
-  CU_ASSERT_EQUAL (b->n_answers, 3);
+  CU_ASSERT_EQUAL (b->n_results, 3);
   CU_ASSERT_EQUAL (fake_kv_count (b->kv, ""), 3);
   CU_ASSERT_EQUAL (fake_kv_n_waiting (b->kv), 0);
   talloc_free (b);
 }
 
 static void
-test_watch_is_answered_by_a_change_or_its_wait (void)
+test_watch_ends_with_a_change_or_its_timeout (void)
 {
-  struct Bench *b = bench_new ();
+  struct Fixture *b = fixture_new ();
   struct KvRequest watch = { .op = KV_OP_WATCH };
 
   watch.watch.prefix = "a";
   watch.watch.start_revision = 2;
   watch.watch.wait_ms = 50;
-  kv_submit (b->port, &watch, bench_on_done, b);
+  kv_submit (b->port, &watch, fixture_on_done, b);
   fake_timer_advance (b->timers, 10);
-  CU_ASSERT_EQUAL (b->n_answers, 0);
+  CU_ASSERT_EQUAL (b->n_results, 0);
   fake_kv_poke (b->kv, "ab", "1", 1);
   fake_timer_advance (b->timers, 10);
   CU_ASSERT_EQUAL (b->n_entries, 1);
   watch.watch.start_revision = 3;
-  kv_submit (b->port, &watch, bench_on_done, b);
+  kv_submit (b->port, &watch, fixture_on_done, b);
   fake_timer_advance (b->timers, 100);
-  CU_ASSERT_EQUAL (b->n_answers, 2);
+  CU_ASSERT_EQUAL (b->n_results, 2);
   CU_ASSERT_EQUAL (b->error, ERROR_NONE);
   CU_ASSERT_EQUAL (b->n_entries, 0);
   talloc_free (b);
@@ -152,17 +152,17 @@
 static void
 test_lease_lapses_with_its_keys (void)
 {
-  struct Bench *b = bench_new ();
+  struct Fixture *b = fixture_new ();
   struct KvRequest request = { .op = KV_OP_LEASE_GRANT, .lease_grant.ttl_s = 3 };
 
-  kv_submit (b->port, &request, bench_on_done, b);
+  kv_submit (b->port, &request, fixture_on_done, b);
   fake_kv_run (b->kv);
   request = (struct KvRequest){ .op = KV_OP_PUT, .put.key = "a", .put.lease_id = b->lease_id };
-  kv_submit (b->port, &request, bench_on_done, b);
+  kv_submit (b->port, &request, fixture_on_done, b);
   fake_timer_advance (b->timers, 2000);
   CU_ASSERT_TRUE (fake_kv_peek (b->kv, "a", NULL));
   fake_timer_advance (b->timers, 2000);
-  bench_put (b, "b", "1", KV_IF_ALWAYS);
+  fixture_put (b, "b", "1", KV_IF_ALWAYS);
   fake_kv_run (b->kv);
   CU_ASSERT_FALSE (fake_kv_peek (b->kv, "a", NULL));
   talloc_free (b);
@@ -170,10 +170,10 @@
 
 const char test_suite_name[] = "fake_kv";
 const struct TestCase test_cases[] = {
-  { "answers come later", test_answers_come_later },
-  { "each fault has its effect and answer", test_each_fault_has_its_effect_and_answer },
+  { "results are asynchronous", test_results_are_asynchronous },
+  { "each fault has its effect and result", test_each_fault_has_its_effect_and_result },
   { "late and held wait for release", test_late_and_held_wait_for_release },
-  { "watch is answered by a change or its wait", test_watch_is_answered_by_a_change_or_its_wait },
+  { "watch ends with a change or its timeout", test_watch_ends_with_a_change_or_its_timeout },
   { "lease lapses with its keys", test_lease_lapses_with_its_keys },
   { NULL, NULL },
 };
--- a/tests/test_homes.c
+++ b/tests/test_homes.c
@@ -25,7 +25,7 @@
   struct FakeKv *kv;
 };
 
-/* One instance: all that a home is made of. */
+/* One instance with its journal, ledger and homes. */
 struct Node
 {
   struct Fixture *f;
@@ -122,7 +122,8 @@
   return node;
 }
 
-/* Tells node who is live: incarnations "<instance>.<number>", a trailing '!' for draining. */
+/* Sets the live members of node: incarnations "<instance>.<number>", with '!' appended when
+ * draining. */
 static void
 set_members (struct Node *node, size_t n, const char *const *names)
 {
@@ -146,7 +147,7 @@
   set_members ((node), sizeof ((const char *[]){ __VA_ARGS__ }) / sizeof (const char *),           \
                (const char *[]){ __VA_ARGS__ })
 
-/* A record on its way; durable ones are applied, as the daemon does. */
+/* A record that is being appended. It is applied to the ledger once durable, as in the daemon. */
 struct Commit
 {
   struct Node *node;
@@ -231,7 +232,7 @@
   return decision;
 }
 
-/* Ends a call that node has in flight. */
+/* Ends a call in flight at node. */
 static void
 finish (struct Node *node, uint64_t sequence, const char *answer, int32_t *error)
 {
@@ -276,7 +277,7 @@
   return view;
 }
 
-/* Fills n slots with what concerns nobody, so that checkpoints come due. */
+/* Fills n slots with records of no real partition, so that checkpoints are started. */
 static void
 write_slots (struct Node *node, int n)
 {
@@ -290,7 +291,7 @@
   advance (node->f, LONG_MS);
 }
 
-/* A lone instance that owns every partition and has run two turns of a program. */
+/* Creates a single instance that owns every partition and has run two turns of a program. */
 static struct Node *
 first_home (struct Fixture *f)
 {
@@ -323,10 +324,10 @@
   talloc_free (f->ctx);
 }
 
-/* The home is killed between two turns, with a call in flight. The caller resends at the new home
- * and finds its history, its answers and its budget; the call in flight is charged in full. */
+/* The home is killed between two turns, with a call in flight. The new home must have the program's
+ * history, answers and budget, and charge the call in flight in full. */
 static void
-test_take_over (void)
+test_takeover (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b = node_new (f, "b.1");
@@ -345,10 +346,11 @@
   talloc_free (f->ctx);
 }
 
-/* A home is paused with a wage confirmation sent; another takes over; the first one wakes and has
- * the answer. It must not be able to acknowledge it: the new home has said "may have run". */
+/* A home is paused after it sent a call that may run only once, and another home takes over. When
+ * the first one resumes and gets the answer, it must not be able to acknowledge it: the new home
+ * has already reported "may have run". */
 static void
-test_paused_home_wakes (void)
+test_paused_home_resumes (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b;
@@ -376,8 +378,8 @@
   talloc_free (f->ctx);
 }
 
-/* The former home is slow, not dead, and writes until the seal: what it acknowledged before must
- * be in the new home's history, and what it writes after is refused. */
+/* The former home is slow rather than failed, and writes until its journal is sealed. Records that
+ * it acknowledged before must be in the new home's history, and later writes must be refused. */
 static void
 test_slow_home_keeps_writing (void)
 {
@@ -404,10 +406,10 @@
   talloc_free (f->ctx);
 }
 
-/* The home dies and two instances each think that they are to take its programs. Both seal, one
- * wins the map; the other one leaves them to it. */
+/* The home fails and two instances each start to take over its programs. Both seal the journal, but
+ * only one may win the compare-and-swap of the map and become the home. */
 static void
-test_two_takers (void)
+test_two_concurrent_takeovers (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b = node_new (f, "b.1"), *c = node_new (f, "c.1");
@@ -427,17 +429,18 @@
   talloc_free (f->ctx);
 }
 
-/* Refuses what b writes to its journal, while *data is set. */
+/* Refuses puts while *data is set. */
 static enum FakeKvFault
 on_journal_put (void *data, const struct KvRequest *request)
 {
   return request->op == KV_OP_PUT && *(bool *)data ? FAKE_KV_REFUSE : FAKE_KV_OK;
 }
 
-/* The new home dies too, after the map names it and before its own snapshots are durable. The
- * journals of both count: nothing may be missing, and the intent still "may have run". */
+/* The new home fails too, after the map names it and before its own snapshots are durable. The
+ * third home must read the journals of both: no turn may be missing, and the call whose intent was
+ * journaled must still be reported as "may have run". */
 static void
-test_second_death_in_mid_take_over (void)
+test_second_failure_during_takeover (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b, *c;
@@ -467,10 +470,11 @@
   talloc_free (f->ctx);
 }
 
-/* Answers of the platform are lost after their effect, at every kind of step of a take-over: the
- * seal, the map, the snapshots. The new home settles each by what stands there. */
+/* Responses of the platform are lost after the write was applied, at each kind of step of a
+ * takeover: the seal, the map and the snapshots. The new home must resolve each by reading the
+ * stored value. */
 static void
-test_lost_answers_in_a_take_over (void)
+test_lost_responses_in_takeover (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b;
@@ -489,9 +493,9 @@
   talloc_free (f->ctx);
 }
 
-/* The platform is down and everybody suspects everybody. Nothing changes hands. */
+/* The platform is down and an instance treats all others as failed. No partition may move. */
 static void
-test_outage_moves_nothing (void)
+test_outage_moves_no_partition (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b = node_new (f, "b.1");
@@ -511,9 +515,9 @@
   talloc_free (f->ctx);
 }
 
-/* Planned stop with a call in flight: it ends at its home, then the program moves, uncharged, to
- * the next one and later back. Each home goes on from the other's last turn, and nobody is fenced.
- */
+/* Planned stop with a call in flight: the call ends at its home, then the program moves to the next
+ * home and later back, without a charge. Each home must continue after the other's last turn, and
+ * neither may be fenced. */
 static void
 test_hand_off_and_back (void)
 {
@@ -549,10 +553,10 @@
   talloc_free (f->ctx);
 }
 
-/* The next home dies before it has read what was handed to it, while the former one lives on and
- * checkpoints. Its slots must still be there for the third. */
+/* The next home fails before it has read the journal of the former one, which goes on running and
+ * writes checkpoints. The former home must keep the slots that a third home needs. */
 static void
-test_next_home_dies_before_reading (void)
+test_next_home_fails_before_reading (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b = node_new (f, "b.1"), *c;
@@ -574,8 +578,8 @@
   talloc_free (f->ctx);
 }
 
-/* Two instances are stopped at once, and then the last one: each hands over what it has, and what
- * the last one leaves is found by the next to start. */
+/* Two instances are stopped at once, and then the last one. Each must hand off its partitions, and
+ * the next instance that starts must find those of the last one. */
 static void
 test_stop_of_all (void)
 {
@@ -605,7 +609,7 @@
   talloc_free (f->ctx);
 }
 
-/* A member joins: the partitions that are its choice move to it, and no others. */
+/* A member joins. Only the partitions that rendezvous hashing assigns to it may move. */
 static void
 test_joining_member_gets_its_share (void)
 {
@@ -622,11 +626,11 @@
   talloc_free (f->ctx);
 }
 
-/* A member joins while a program reads a long answer. Its caller wants to end the program, and its
- * other branches go on calling: nobody may be told to wait until the long answer has ended, just
- * because the partition would be better elsewhere. */
+/* A member joins while a program receives a long answer. Other calls of the partition, such as
+ * those of other branches or the end of the program, must not be deferred until the long answer
+ * ends only to rebalance the partition. */
 static void
-test_busy_partition_is_served_on (void)
+test_busy_partition_stays_served (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b = node_new (f, "b.1");
@@ -648,11 +652,11 @@
   talloc_free (f->ctx);
 }
 
-/* The hand-off's record is on its way when a program's release is acknowledged. Written behind the
- * hand-off it would count as durable here, and the next home may already have read past it: a
- * record that was acknowledged would be missing. */
+/* A program's release must not be acknowledged while the hand-off record is being written. A record
+ * after the hand-off would be durable here, but the next home may already have read the journal and
+ * would miss an acknowledged record. */
 static void
-test_nothing_follows_the_hand_off (void)
+test_no_record_follows_the_hand_off (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b = node_new (f, "b.1");
@@ -672,15 +676,15 @@
   talloc_free (f->ctx);
 }
 
-/* A program runs for long: checkpoints keep the journal short, also while outcomes wait, and a
- * take-over after whichever turn still finds every one of them. */
+/* Checkpoints must bound the journal of a long-running program, also while outcomes are pending,
+ * and a takeover after any turn must find all turns. */
 static void
 check_checkpoints (uint64_t n_turns)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b;
 
-  /* Slower than the polls, which start checkpoints: most find an outcome waiting. */
+  /* Slower than the polls that start checkpoints, so that most find an outcome pending. */
   journal_set_flush_interval (a->journal, 2 * POLL_MS);
   for (uint64_t n = 3; n <= n_turns; n++)
     {
@@ -707,8 +711,8 @@
     check_checkpoints (n_turns);
 }
 
-/* The program ends at its second home, which forgets it; the first one gets the partition back
- * and dies. Its old records must not bring the program back to life at the third. */
+/* A program ends at its second home, which forgets it; the first home gets the partition back and
+ * fails. The old records in its journal must not restore the program at the third home. */
 static void
 test_forgotten_program_stays_forgotten (void)
 {
@@ -737,8 +741,8 @@
   talloc_free (f->ctx);
 }
 
-/* A partition is handed over and at once back, before the map forgets the first journal: the two
- * journals interleave by epoch, and a planned move charges nothing. */
+/* A partition is handed off and back at once, while the map still names the first journal. The two
+ * journals must be interleaved by epoch, and a planned move must not be charged. */
 static void
 test_handed_back_at_once (void)
 {
@@ -758,7 +762,8 @@
   talloc_free (f->ctx);
 }
 
-/* Two members share a dead home's partitions. Each gets its own programs and no others. */
+/* Two members take over the partitions of a failed home. Each must get only the programs of its own
+ * partitions. */
 static void
 test_programs_are_not_mixed (void)
 {
@@ -777,10 +782,10 @@
   talloc_free (f->ctx);
 }
 
-/* An answer to an old read of the map comes after the partitions were handed off. Taken in, it
- * would make the former home serve them again beside the new one. */
+/* The response to an old read of the map arrives after the partitions were handed off. If it were
+ * applied, the former home would serve them again in parallel with the new one. */
 static void
-test_map_never_goes_back (void)
+test_old_map_reads_are_ignored (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b = node_new (f, "b.1");
@@ -813,11 +818,11 @@
          && slot->kind == SLOT_SEAL;
 }
 
-/* Homes die and leave, one after the other. The slots of each are deleted once nothing needs them,
- * but never its seal: a writer paused since before it could else write that slot, and tell a caller
- * of an outcome that no home will ever know. */
+/* Homes fail and hand off, one after the other. The slots of each must be deleted once they are not
+ * needed, but never the seal: a writer that was paused before the seal was written could otherwise
+ * write that slot, and report an outcome to a caller that no other home ever has. */
 static void
-test_dead_journals_are_cleaned (void)
+test_unneeded_journals_are_cleaned (void)
 {
   struct Fixture *f = fixture_new ();
   struct Node *a = first_home (f), *b = node_new (f, "b.1"), *c;
@@ -847,7 +852,7 @@
   talloc_free (f->ctx);
 }
 
-/* Holds the first reading of slots, when *data is set. */
+/* Holds the response to the first read of slots when *data is set. */
 static enum FakeKvFault
 on_journal_read (void *data, const struct KvRequest *request)
 {
@@ -859,8 +864,8 @@
   return FAKE_KV_HOLD_ANSWER;
 }
 
-/* The new home is so slow to read that a third takes over from it. What it then has read is no
- * longer its to serve. */
+/* The new home reads so slowly that a third one takes over from it. It must not serve the
+ * partitions whose journals it has read meanwhile. */
 static void
 test_lost_while_reading (void)
 {
@@ -887,25 +892,25 @@
 const char test_suite_name[] = "homes";
 const struct TestCase test_cases[] = {
   { "first claims do not overlap", test_first_claims_do_not_overlap },
-  { "take-over", test_take_over },
-  { "paused home wakes", test_paused_home_wakes },
+  { "takeover", test_takeover },
+  { "paused home resumes", test_paused_home_resumes },
   { "slow home keeps writing", test_slow_home_keeps_writing },
-  { "two takers", test_two_takers },
-  { "second death in mid take-over", test_second_death_in_mid_take_over },
-  { "lost answers in a take-over", test_lost_answers_in_a_take_over },
-  { "outage moves nothing", test_outage_moves_nothing },
+  { "two concurrent takeovers", test_two_concurrent_takeovers },
+  { "second failure during a takeover", test_second_failure_during_takeover },
+  { "lost responses in a takeover", test_lost_responses_in_takeover },
+  { "outage moves no partition", test_outage_moves_no_partition },
   { "hand-off and back", test_hand_off_and_back },
-  { "next home dies before reading", test_next_home_dies_before_reading },
+  { "next home fails before reading", test_next_home_fails_before_reading },
   { "stop of all", test_stop_of_all },
   { "joining member gets its share", test_joining_member_gets_its_share },
-  { "busy partition is served on", test_busy_partition_is_served_on },
-  { "nothing follows the hand-off", test_nothing_follows_the_hand_off },
+  { "busy partition stays served", test_busy_partition_stays_served },
+  { "no record follows the hand-off", test_no_record_follows_the_hand_off },
   { "checkpoints bound the journal", test_checkpoints_bound_the_journal },
   { "forgotten program stays forgotten", test_forgotten_program_stays_forgotten },
   { "handed back at once", test_handed_back_at_once },
   { "programs are not mixed", test_programs_are_not_mixed },
-  { "map never goes back", test_map_never_goes_back },
-  { "dead journals are cleaned", test_dead_journals_are_cleaned },
+  { "old map reads are ignored", test_old_map_reads_are_ignored },
+  { "unneeded journals are cleaned", test_unneeded_journals_are_cleaned },
   { "lost while reading", test_lost_while_reading },
   { NULL, NULL },
 };
--- a/tests/test_homes_chaos.c
+++ b/tests/test_homes_chaos.c
@@ -1,6 +1,6 @@
-/* Seeded interleavings: instances die, are paused, suspect each other wrongly, drain and restart,
- * while the platform loses requests and answers and lets writes come late. A seed that fails is
- * printed and gives the same run again. */
+/* Random interleavings from seeds: instances fail, pause, wrongly treat each other as failed, drain
+ * and restart, while the platform loses requests and responses and applies writes late. A failing
+ * seed is printed and reproduces the run. */
 #include "test_main.h"
 
 #include "fakes/fake_kv.h"
@@ -33,11 +33,11 @@
   uint32_t n_started[N_INSTANCES];
   uint64_t random;
   uint32_t seed;
-  uint64_t next_call; /* that the caller sends */
+  uint64_t next_call; /* sequence of the next call that the caller sends */
   uint32_t runs[N_CALLS + 1], n_runs;
-  char known[N_CALLS + 1][64]; /* outcome of each call, as first seen in any ledger */
+  char outcomes[N_CALLS + 1][64]; /* of each call, as first seen in any ledger */
   bool created;
-  const char *broken; /* the first promise that did not hold */
+  const char *violation; /* the first invariant that was violated */
 };
 
 struct Node
@@ -48,7 +48,7 @@
   struct Journal *journal;
   struct Ledger *ledger;
   struct Homes *homes;
-  uint64_t running; /* sequence of the call that its backend server works on; 0: none */
+  uint64_t running; /* sequence of the call that its backend server is running; 0: none */
   bool draining;
 };
 
@@ -60,10 +60,10 @@
 }
 
 static void
-expect (struct World *w, bool holds, const char *promise)
+expect (struct World *w, bool holds, const char *invariant)
 {
-  if (!holds && w->broken == NULL)
-    w->broken = promise;
+  if (!holds && w->violation == NULL)
+    w->violation = invariant;
 }
 
 static void
@@ -87,7 +87,7 @@
   w->nodes[i] = node;
 }
 
-/* Tells node a view of the fleet, in which others may be missing. */
+/* Sets the members that node has, from which others may be missing. */
 static void
 node_see (struct World *w, struct Node *node, uint32_t percent_missing)
 {
@@ -131,7 +131,7 @@
   if (error == ERROR_PLATFORM_DOWN)
     {
       ledger_abandon_call (node->ledger, &record->intent.key, &unused, &must_journal);
-      expect (w, !must_journal, "what was given up was never tried");
+      expect (w, !must_journal, "an abandoned intent was never submitted");
       return;
     }
   if (error != ERROR_NONE)
@@ -186,7 +186,8 @@
 {
   struct Node *node = data;
 
-  expect (node->world, error != ERROR_NONE, "the program is known, in order and has budget");
+  expect (node->world, error != ERROR_NONE,
+          "a confirmed home never refuses an in-order call within budget");
 }
 
 /* The caller sends its next call to node; every third is non-idempotent. */
@@ -224,8 +225,8 @@
       w->next_call++;
       break;
     case LEDGER_REFUSE:
-      /* A home that was replaced may not know the program; as in the daemon, its word counts only
-       * once the journal confirms that it is the home still. */
+      /* A replaced home may not have the program. As in the daemon, its refusal is valid only once
+       * the journal confirms that it is still the home. */
       journal_confirm (node->journal, on_refusal_confirmed, node);
       break;
     case LEDGER_JOIN:
@@ -266,17 +267,17 @@
 {
   struct History *history = data;
   struct World *w = history->world;
-  char *known = w->known[key->sequence];
+  char *first = w->outcomes[key->sequence];
   char text[64];
 
   (void)request;
   (void)request_bytes;
   snprintf (text, sizeof text, "%s %.*s", error_name (outcome->error), (int)outcome->answer_bytes,
             outcome->answer != NULL ? (const char *)outcome->answer : "");
-  expect (w, key->sequence == ++history->n, "turns stand in the program's order");
-  if (known[0] == '\0')
-    memcpy (known, text, sizeof text);
-  expect (w, strcmp (known, text) == 0, "an outcome never changes");
+  expect (w, key->sequence == ++history->n, "turns are in the order of their sequence");
+  if (first[0] == '\0')
+    memcpy (first, text, sizeof text);
+  expect (w, strcmp (first, text) == 0, "an outcome never changes");
 }
 
 static uint64_t
@@ -327,7 +328,7 @@
     node_finish (node);
 }
 
-/* All is well again: one home has the whole history, and has charged for every run. */
+/* Ends all faults. One home must then have the complete history and have charged every run. */
 static void
 settle (struct World *w)
 {
@@ -359,13 +360,14 @@
     if (homes_owns (w->nodes[i]->homes, partition_of ("p", 2), &epoch))
       {
         n_owners++;
-        expect (w, node_check (w, w->nodes[i]) + 1 >= w->next_call, "no told outcome is missing");
+        expect (w, node_check (w, w->nodes[i]) + 1 >= w->next_call,
+                "no reported outcome is missing");
         expect (w, ledger_view_program (w->nodes[i]->ledger, "p", &view) || !w->created,
-                "the program is there");
+                "the program exists");
         expect (w, view.charged_tokens + view.reserved_tokens >= (uint64_t)COST * w->n_runs,
                 "every run is charged");
       }
-  expect (w, n_owners == 1, "one home in the end");
+  expect (w, n_owners == 1, "exactly one home remains");
 }
 
 static uint64_t
@@ -373,7 +375,7 @@
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct World *w = talloc_zero (ctx, struct World);
-  uint64_t n_told;
+  uint64_t n_reported;
 
   w->ctx = ctx;
   w->seed = seed;
@@ -383,7 +385,7 @@
   w->kv = fake_kv_new (ctx, w->timers);
   for (uint32_t i = 0; i < N_INSTANCES; i++)
     node_start (w, i);
-  for (uint32_t step = 0; step < N_STEPS && w->broken == NULL && w->next_call < N_CALLS; step++)
+  for (uint32_t step = 0; step < N_STEPS && w->violation == NULL && w->next_call < N_CALLS; step++)
     {
       step_faults (w);
       step_node (w, pick (w, N_INSTANCES));
@@ -392,30 +394,30 @@
         if (w->nodes[i] != NULL)
           node_check (w, w->nodes[i]);
     }
-  if (w->broken == NULL)
+  if (w->violation == NULL)
     settle (w);
-  if (w->broken != NULL)
-    printf ("seed %" PRIu32 ": does not hold: %s\n", seed, w->broken);
-  CU_ASSERT_PTR_NULL (w->broken);
-  n_told = w->next_call - 1;
+  if (w->violation != NULL)
+    printf ("seed %" PRIu32 ": violated: %s\n", seed, w->violation);
+  CU_ASSERT_PTR_NULL (w->violation);
+  n_reported = w->next_call - 1;
   talloc_free (ctx);
-  return n_told;
+  return n_reported;
 }
 
 static void
-test_promises_hold_under_any_pair_of_failures (void)
+test_invariants_hold_under_any_pair_of_failures (void)
 {
-  uint64_t n_told = 0;
+  uint64_t n_reported = 0;
 
   for (uint32_t seed = 1; seed <= N_SEEDS; seed++)
-    n_told += run_seed (seed);
-  /* Else the interleavings would prove little. */
-  CU_ASSERT (n_told > 5 * N_SEEDS);
-  printf ("%d seeds, %" PRIu64 " calls told ", N_SEEDS, n_told);
+    n_reported += run_seed (seed);
+  /* With few completed calls the interleavings would test little. */
+  CU_ASSERT (n_reported > 5 * N_SEEDS);
+  printf ("%d seeds, %" PRIu64 " calls reported ", N_SEEDS, n_reported);
 }
 
 const char test_suite_name[] = "homes under chaos";
 const struct TestCase test_cases[] = {
-  { "promises hold under any pair of failures", test_promises_hold_under_any_pair_of_failures },
+  { "invariants hold under any pair of failures", test_invariants_hold_under_any_pair_of_failures },
   { NULL, NULL },
 };
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -12,15 +12,15 @@
 {
   TTL_S = 6,
   TTL_MS = TTL_S * 1000,
-  SETTLED_MS = 2 * TTL_MS, /* enough for all retries and one superseded registration */
+  SETTLED_MS = 2 * TTL_MS, /* covers all retries and one superseded registration */
   NODES_MAX = 4
 };
 
-struct Bench;
+struct Fixture;
 
 struct Node
 {
-  struct Bench *bench;
+  struct Fixture *fixture;
   const char *name;
   struct KvPort *port;
   struct Membership *membership;
@@ -31,20 +31,20 @@
   bool up, left;
 };
 
-struct Bench
+struct Fixture
 {
   struct TimerService *timers;
   struct FakeKv *kv;
 };
 
-static struct Bench *
-bench_new (void)
+static struct Fixture *
+fixture_new (void)
 {
-  struct Bench *bench = talloc_zero (NULL, struct Bench);
+  struct Fixture *fixture = talloc_zero (NULL, struct Fixture);
 
-  bench->timers = fake_timer_new (bench);
-  bench->kv = fake_kv_new (bench, bench->timers);
-  return bench;
+  fixture->timers = fake_timer_new (fixture);
+  fixture->kv = fake_kv_new (fixture, fixture->timers);
+  return fixture;
 }
 
 static void
@@ -76,14 +76,14 @@
 }
 
 static struct Node *
-node_new (struct Bench *bench, const char *name)
+node_new (struct Fixture *fixture, const char *name)
 {
-  struct Node *node = talloc_zero (bench, struct Node);
+  struct Node *node = talloc_zero (fixture, struct Node);
   struct MembershipOptions options = { .prefix = "t/", .instance = name, .zone = "zg-a" };
 
-  node->bench = bench;
+  node->fixture = fixture;
   node->name = name;
-  node->port = fake_kv_port_new (node, bench->kv);
+  node->port = fake_kv_port_new (node, fixture->kv);
   options.caller_address = "127.0.0.1:1";
   options.peer_address = "127.0.0.1:2";
   options.lease_ttl_s = TTL_S;
@@ -93,7 +93,7 @@
   options.members_changed = node_on_members;
   options.platform_changed = node_on_platform;
   options.data = node;
-  node->membership = membership_new (node, node->port, bench->timers, &options);
+  node->membership = membership_new (node, node->port, fixture->timers, &options);
   return node;
 }
 
@@ -106,7 +106,7 @@
   return NULL;
 }
 
-/* node holds an incarnation, the last one it was told, and observer sees the same. */
+/* Checks that node holds the incarnation last reported to it and that observer sees the same. */
 static void
 assert_registered (const struct Node *node, const struct Node *observer)
 {
@@ -123,7 +123,7 @@
 static void
 test_members_see_each_other (void)
 {
-  struct Bench *t = bench_new ();
+  struct Fixture *t = fixture_new ();
   struct Node *a = node_new (t, "a");
   struct Node *b = node_new (t, "b");
 
@@ -145,18 +145,18 @@
   talloc_free (t);
 }
 
-/* An instance is paused for longer than its lease. The others see it gone and may take over its
- * programs. It wakes up and believes that it is still there: it must come back under another
- * incarnation, as its journal may have been sealed. */
+/* An instance is paused for longer than its lease, so the others remove it and may take over its
+ * programs. When it resumes it must register under a new incarnation, since its journal may have
+ * been sealed. */
 static void
 test_lease_lapsed_while_paused (void)
 {
-  /* What becomes of a keepalive that was on its way: it waits, or its connection breaks. */
+  /* Effect on the keepalive in flight: it is applied late, or its connection breaks. */
   static const enum FakeKvFault faults[] = { FAKE_KV_OK, FAKE_KV_LOSE_REQUEST };
 
   for (size_t i = 0; i < 2; i++)
     {
-      struct Bench *t = bench_new ();
+      struct Fixture *t = fixture_new ();
       struct Node *a = node_new (t, "a");
       struct Node *b = node_new (t, "b");
       char former[INCARNATION_MAX_BYTES + 1];
@@ -178,17 +178,17 @@
     }
 }
 
-/* The store is down for less than a lease, then for much longer, so that every lease lapses. No
- * ownership may move: nobody is dropped, then or when the store is back and shows no keys at all,
- * and everybody comes back under the incarnation they had. Only who died meanwhile goes. */
+/* The service is down for less than a lease period, then so long that every lease lapses. Ownership
+ * must not move: no member is removed during the outage, nor after it while the service has no
+ * keys, and every member comes back under its incarnation. Only a member that failed is removed. */
 static void
-test_outage_moves_nothing (void)
+test_outage_removes_no_member (void)
 {
   static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_LOSE_REQUEST, FAKE_KV_LIMIT };
 
   for (size_t i = 0; i < 3; i++)
     {
-      struct Bench *t = bench_new ();
+      struct Fixture *t = fixture_new ();
       struct Node *a = node_new (t, "a");
       struct Node *b = node_new (t, "b");
       struct Node *c = node_new (t, "c");
@@ -222,13 +222,13 @@
     }
 }
 
-/* Only one instance is cut off from the store, for longer than its lease. The others see it gone;
- * it comes back as it was, and its journal tells it if it was taken over. A key that was taken
- * away while the lease was kept costs the incarnation. */
+/* One instance is cut off from the service for longer than its lease. The others remove it; it
+ * comes back under its incarnation, since a seal in its journal shows whether it was taken over.
+ * When its key is deleted while the lease is renewed, it drops the incarnation. */
 static void
 test_one_instance_cut_off (void)
 {
-  struct Bench *t = bench_new ();
+  struct Fixture *t = fixture_new ();
   struct Node *a = node_new (t, "a");
   struct Node *b = node_new (t, "b");
 
@@ -248,9 +248,9 @@
   talloc_free (t);
 }
 
-/* After an outage the answers of an instance that comes back are lost as well. */
+/* After an outage, the responses to an instance that registers again are lost as well. */
 static void
-test_lost_answers_after_an_outage (void)
+test_lost_responses_after_an_outage (void)
 {
   static const int32_t ops[] = { KV_OP_LEASE_GRANT, KV_OP_GET, KV_OP_PUT };
   static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_ANSWER, FAKE_KV_LOSE_REQUEST,
@@ -259,7 +259,7 @@
   for (size_t i = 0; i < 3; i++)
     for (size_t j = 0; j < 4; j++)
       {
-        struct Bench *t = bench_new ();
+        struct Fixture *t = fixture_new ();
         struct Node *a = node_new (t, "a");
         struct Node *b = node_new (t, "b");
 
@@ -278,10 +278,11 @@
       }
 }
 
-/* Any answer, or any request, of a registration is lost, or comes in late, after others. The
- * instance ends up as one member, under the incarnation that it was told and the others see. */
+/* Any request or response of a registration is lost, or a request is applied late, after others.
+ * The instance must end up as one member, with the same incarnation reported to it and to the
+ * others. */
 static void
-test_lost_answers_while_registering (void)
+test_lost_responses_while_registering (void)
 {
   static const int32_t ops[] = { KV_OP_LEASE_GRANT, KV_OP_GET, KV_OP_PUT };
   static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_ANSWER, FAKE_KV_LOSE_REQUEST,
@@ -291,13 +292,13 @@
     for (size_t j = 0; j < 4; j++)
       for (uint32_t n = 1; n <= 4; n++)
         {
-          struct Bench *t = bench_new ();
+          struct Fixture *t = fixture_new ();
           struct Node *b = node_new (t, "b");
           struct Node *a = NULL;
           char incarnation[INCARNATION_MAX_BYTES + 1];
 
           fake_timer_advance (t->timers, 100);
-          /* The first n - 1 pass: the n-th is hit. */
+          /* The first n - 1 requests succeed, the n-th fails. */
           if (n > 1)
             fake_kv_fault_next (t->kv, ops[i], i == 0 ? "" : "t/member/a", FAKE_KV_OK, n - 1);
           fake_kv_fault_next (t->kv, ops[i], i == 0 ? "" : "t/member/a", faults[j], 1);
@@ -317,12 +318,12 @@
         }
 }
 
-/* An instance is replaced under its old name before its lease has run out; the one before was
- * only paused. The new one is seen at once, and the old one learns that it is not the one. */
+/* An instance is replaced under its name before its lease has expired, while the old one was only
+ * paused. The new one must be seen at once, and the old one must detect that it was replaced. */
 static void
 test_replaced_under_the_same_name (void)
 {
-  struct Bench *t = bench_new ();
+  struct Fixture *t = fixture_new ();
   struct Node *old = node_new (t, "a");
   struct Node *b = node_new (t, "b");
   struct Node *new = NULL;
@@ -344,7 +345,7 @@
 static void
 test_rejoin_takes_a_new_incarnation (void)
 {
-  struct Bench *t = bench_new ();
+  struct Fixture *t = fixture_new ();
   struct Node *a = node_new (t, "a");
   struct Node *b = node_new (t, "b");
 
@@ -358,12 +359,12 @@
   talloc_free (t);
 }
 
-/* A watch is late: an instance that has taken a new incarnation then hears how it gave the former
- * one up. That is old news, and no reason to give the new one up too. */
+/* A late watch reports to an instance with a new incarnation that the former one was dropped. This
+ * outdated change must not make it drop the new incarnation too. */
 static void
 test_late_watch_after_a_rejoin (void)
 {
-  struct Bench *t = bench_new ();
+  struct Fixture *t = fixture_new ();
   struct Node *a = node_new (t, "a");
 
   fake_timer_advance (t->timers, 100);
@@ -390,7 +391,7 @@
 static void
 test_leaving (void)
 {
-  struct Bench *t = bench_new ();
+  struct Fixture *t = fixture_new ();
   struct Node *a = node_new (t, "a");
   struct Node *b = node_new (t, "b");
 
@@ -413,10 +414,10 @@
 const struct TestCase test_cases[] = {
   { "members see each other", test_members_see_each_other },
   { "lease lapsed while paused", test_lease_lapsed_while_paused },
-  { "outage moves nothing", test_outage_moves_nothing },
+  { "outage removes no member", test_outage_removes_no_member },
   { "one instance cut off", test_one_instance_cut_off },
-  { "lost answers after an outage", test_lost_answers_after_an_outage },
-  { "lost answers while registering", test_lost_answers_while_registering },
+  { "lost responses after an outage", test_lost_responses_after_an_outage },
+  { "lost responses while registering", test_lost_responses_while_registering },
   { "replaced under the same name", test_replaced_under_the_same_name },
   { "rejoin takes a new incarnation", test_rejoin_takes_a_new_incarnation },
   { "late watch after a rejoin", test_late_watch_after_a_rejoin },
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -20,7 +20,7 @@
   struct KvPort *port;
 };
 
-/* What a replay gave. */
+/* Result of a replay. */
 struct Reading
 {
   int n_calls;
@@ -102,8 +102,8 @@
   talloc_free (f->ctx);
 }
 
-/* An instance dies before it wrote anything. Its journal is sealed all the same: it may only be
- * paused, and about to write its first slot. */
+/* An instance stops before it wrote anything. Its journal must still be sealed, since the instance
+ * may be paused just before its first write. */
 static void
 test_empty_journal_is_sealed (void)
 {
@@ -126,7 +126,7 @@
   uint64_t next, until;
 };
 
-/* Writes a slot just before a request of op takes effect. */
+/* Writes a slot just before a request of op is applied. */
 static enum FakeKvFault
 on_request (void *data, const struct KvRequest *request)
 {
@@ -137,8 +137,8 @@
   return FAKE_KV_OK;
 }
 
-/* The former home is slow, not dead: it writes slots, which it acknowledges, between the taker's
- * look at the last slot and its seal. Each of them has to be read. */
+/* The former home is slow rather than failed: it appends and acknowledges slots after the last slot
+ * was read and before the seal is written. Each of them has to be read. */
 static void
 test_writer_races_ahead (void)
 {
@@ -156,9 +156,10 @@
   talloc_free (f->ctx);
 }
 
-/* Two takers seal at once. Both read the same slots; there is one seal, and no third thing. */
+/* Two instances seal a journal at the same time. Both must read the same slots, and only one seal
+ * may be written. */
 static void
-test_two_takers (void)
+test_two_concurrent_seals (void)
 {
   struct Fixture *f = fixture_new ();
   struct Reading first = { 0 }, second = { 0 };
@@ -175,10 +176,10 @@
   talloc_free (f->ctx);
 }
 
-/* The seal takes effect and its answer is lost, and the platform fails now and then: the taker
- * finds its own seal, and a second look finds the journal sealed. */
+/* The seal is written but the response is lost, and some reads fail. The replay must find its own
+ * seal, and a second replay must find the journal sealed. */
 static void
-test_lost_answer_on_the_seal (void)
+test_lost_response_to_the_seal (void)
 {
   struct Fixture *f = fixture_new ();
   struct Reading reading = { 0 }, again = { 0 };
@@ -197,10 +198,10 @@
   talloc_free (f->ctx);
 }
 
-/* The platform stays down: the taker is told so and nothing changes hands. Later the journal is
- * found damaged: taken as whole, it would lose what was acknowledged. */
+/* A replay must report that the platform stays down. It must also report a missing slot: a replay
+ * that ignored the gap would lose acknowledged records. */
 static void
-test_failures_are_told (void)
+test_failures_are_reported (void)
 {
   struct Fixture *f = fixture_new ();
   struct Reading down = { 0 }, gap = { 0 }, lost = { 0 };
@@ -222,8 +223,8 @@
   talloc_free (f->ctx);
 }
 
-/* A dead journal was cleaned up, and a write of its former owner came late and brought a slot back.
- * The seal says that nothing counts; what lies there must neither be read nor be called damaged. */
+/* A late write of the former owner restores a slot in a journal that was cleaned. The seal marks
+ * the journal as cleaned, so the slot must not be read, nor be reported as damage. */
 static void
 test_cleaned_journal_reads_empty (void)
 {
@@ -240,7 +241,8 @@
   talloc_free (f->ctx);
 }
 
-/* A partition was handed off by an instance that lives on: reading its journal must not seal it. */
+/* A partition was handed off by an instance that goes on running. Reading its journal must not seal
+ * it. */
 static void
 test_reading_does_not_seal (void)
 {
@@ -257,7 +259,8 @@
   talloc_free (f->ctx);
 }
 
-/* A slot is missing while the writer goes on: what it writes meanwhile must not fill the count. */
+/* A slot is missing while the writer goes on. A slot appended meanwhile must not hide the gap by
+ * making up the expected number of slots. */
 static void
 test_later_slot_does_not_hide_a_gap (void)
 {
@@ -274,9 +277,9 @@
   talloc_free (f->ctx);
 }
 
-/* The taker dies in mid-replay: nobody is called back. */
+/* The owner of a replay is freed while it runs: done must not be called. */
 static void
-test_taker_dies (void)
+test_owner_freed_during_replay (void)
 {
   struct Fixture *f = fixture_new ();
   struct Reading reading = { 0 };
@@ -298,12 +301,12 @@
   { "seals, then reads from the checkpoint", test_seals_then_reads_from_the_checkpoint },
   { "empty journal is sealed", test_empty_journal_is_sealed },
   { "writer races ahead", test_writer_races_ahead },
-  { "two takers", test_two_takers },
-  { "lost answer on the seal", test_lost_answer_on_the_seal },
-  { "failures are told", test_failures_are_told },
+  { "two concurrent seals", test_two_concurrent_seals },
+  { "lost response to the seal", test_lost_response_to_the_seal },
+  { "failures are reported", test_failures_are_reported },
   { "cleaned journal reads empty", test_cleaned_journal_reads_empty },
   { "reading does not seal", test_reading_does_not_seal },
   { "later slot does not hide a gap", test_later_slot_does_not_hide_a_gap },
-  { "taker dies", test_taker_dies },
+  { "owner freed during replay", test_owner_freed_during_replay },
   { NULL, NULL },
 };
