--- a/core/registration.h
+++ b/core/registration.h
@@ -1,10 +1,10 @@
 /* Registration of this instance: its key among the members, with its lease and its incarnation.
  *
- * The incarnation is dropped when its lease lapsed while this instance was paused, or when its key
- * was removed. It is kept when the lease lapsed because the service was unavailable: all leases
- * lapse in a long outage, and dropping every incarnation would move every program at its end.
- * Keeping it is safe, since no invariant depends on the lease: if the journal was sealed meanwhile,
- * the next append finds the seal, and the incarnation is dropped then. */
+ * The incarnation is dropped when its lease lapsed while this instance was paused, or when its
+ * lease or key was removed. It is kept when the lease lapsed because the service was unavailable:
+ * all leases lapse in a long outage, and dropping every incarnation would move every program at its
+ * end. Keeping it is safe, since no invariant depends on the lease: if the journal was sealed
+ * meanwhile, the next append finds the seal, and the incarnation is dropped then. */
 #pragma once
 
 #include "member_entry.h"
