--- a/core/journal.c
+++ b/core/journal.c
@@ -13,11 +13,11 @@
 {
   SLOT_RECORDS_MAX_BYTES = KV_VALUE_MAX_BYTES - SLOT_HEADER_MAX_BYTES,
   WRITES_PER_SLOT = 2, /* its creation and its deletion */
-  BURST_SLOTS = 8      /* that may follow one another at once after a quiet time */
+  BURST_SLOTS = 8      /* slots that may be written without delay after an idle period */
 };
 
-/* The slot being written. It stays the same, number, id and bytes, from the first attempt that
- * may have reached the platform until it is known whether that did. */
+/* The slot being written. Its number, id and bytes stay the same from the first attempt that may
+ * have reached the platform until the result of that attempt is known. */
 struct JournalBatch
 {
   struct JournalQueue entries;
@@ -26,12 +26,12 @@
   uint8_t *packed;
   size_t packed_bytes;
   bool in_flight;
-  bool may_be_there;
+  bool may_be_written; /* an attempt may have reached the platform */
 };
 
-struct JournalIdle
+struct JournalIdleWaiter
 {
-  struct JournalIdle *next;
+  struct JournalIdleWaiter *next;
   JournalIdleFn fn;
   void *data;
 };
@@ -43,17 +43,17 @@
   struct JournalOptions options;
   struct JournalQueue waiting;
   struct JournalBatch *batch;
-  struct JournalIdle *idlers;
+  struct JournalIdleWaiter *idle_waiters;
   struct Timer *timer;
   int64_t last_put_ms;
-  int64_t paid_until_ms; /* each slot costs one interval of the write budget */
+  int64_t budget_used_until_ms; /* each slot advances it by one flush interval */
   uint64_t next_slot, last_batch_id;
-  uint64_t replay_from;         /* as the next slot will say */
-  uint64_t durable_replay_from; /* as the last durable slot says */
-  uint64_t oldest_slot;         /* that may still be there */
+  uint64_t replay_from;         /* value for the next slot */
+  uint64_t durable_replay_from; /* value in the last durable slot */
+  uint64_t oldest_slot;         /* oldest slot that may still exist */
   uint32_t n_failures;          /* since the last success */
   bool deleting;
-  bool answering; /* records of a settled batch are being answered */
+  bool completing; /* done is being called for the records of a durable batch */
   bool fenced;
 };
 
@@ -91,7 +91,7 @@
   journal->options = *options;
   journal->options.prefix = talloc_strdup (journal, options->prefix);
   journal->options.incarnation = talloc_strdup (journal, options->incarnation);
-  journal_queue_clear (&journal->waiting);
+  journal_queue_init (&journal->waiting);
   journal->next_slot = JOURNAL_FIRST_SLOT;
   journal->replay_from = JOURNAL_FIRST_SLOT;
   journal->durable_replay_from = JOURNAL_FIRST_SLOT;
@@ -101,8 +101,8 @@
   return journal;
 }
 
-/* Another incarnation has sealed this journal: nothing more will ever be durable here. What was
- * not acknowledged was not read by the taker either, or is in the slots that it read. */
+/* Stops the journal after another incarnation has sealed it: no further record can become durable.
+ * Each unacknowledged record is either in the slots that the taker read or was not written. */
 static void
 journal_fence (struct Journal *journal)
 {
@@ -113,14 +113,14 @@
   TALLOC_FREE (journal->timer);
   lost = journal->waiting;
   if (lost.first == NULL)
-    journal_queue_clear (&lost);
-  journal_queue_clear (&journal->waiting);
+    journal_queue_init (&lost);
+  journal_queue_init (&journal->waiting);
   if (journal->batch != NULL)
     {
       journal_queue_prepend (&lost, &journal->batch->entries);
       TALLOC_FREE (journal->batch);
     }
-  journal_queue_answer (&lost, ERROR_FENCED);
+  journal_queue_complete (&lost, ERROR_FENCED);
   if (journal->options.fenced != NULL)
     journal->options.fenced (journal->options.data);
 }
@@ -135,9 +135,9 @@
     journal->oldest_slot++;
 }
 
-/* One deletion a slot written: storage stays bounded, and so do the writes a second. A slot is
- * deleted only after a later one that is durable says that no replay needs it: else a replay
- * would find a gap that it can't tell from a loss. */
+/* Deletes at most one slot per slot written, which bounds both storage and the write rate. A slot
+ * is deleted only after a later durable slot records that replays start after it; otherwise a
+ * replay could not distinguish the gap from lost data. */
 static void
 journal_delete_oldest (struct Journal *journal)
 {
@@ -169,26 +169,26 @@
   journal->next_slot++;
   journal->n_failures = 0;
   TALLOC_FREE (journal->batch);
-  journal->answering = true;
-  journal_queue_answer (&entries, ERROR_NONE);
-  journal->answering = false;
+  journal->completing = true;
+  journal_queue_complete (&entries, ERROR_NONE);
+  journal->completing = false;
   journal_delete_oldest (journal);
   journal_schedule (journal);
 }
 
-/* Gives up what was only wanted while the platform answers. */
+/* Fails the waiting records that were queued by journal_append_unless_down or journal_confirm. */
 static void
-journal_drop_unless_down (struct Journal *journal)
+journal_fail_unless_down (struct Journal *journal)
 {
-  struct JournalQueue kept, dropped;
+  struct JournalQueue kept, failed;
   struct JournalEntry *entry;
 
-  journal_queue_clear (&kept);
-  journal_queue_clear (&dropped);
+  journal_queue_init (&kept);
+  journal_queue_init (&failed);
   while ((entry = journal_queue_pop (&journal->waiting)) != NULL)
-    journal_queue_push (entry->unless_down ? &dropped : &kept, entry);
+    journal_queue_push (entry->unless_down ? &failed : &kept, entry);
   journal_queue_prepend (&journal->waiting, &kept);
-  journal_queue_answer (&dropped, ERROR_PLATFORM_DOWN);
+  journal_queue_complete (&failed, ERROR_PLATFORM_DOWN);
 }
 
 static void
@@ -197,21 +197,21 @@
   struct JournalBatch *batch = journal->batch;
 
   journal->n_failures++;
-  /* No attempt can have reached the platform: the records are as if never tried, and may be given
-   * up or batched anew. One that may have must not be: it can still take effect, and a caller
-   * would have heard "not run" of what the journal says was sent. */
-  if (!batch->may_be_there)
+  /* If no attempt can have reached the platform, the records may be failed or put in another batch.
+   * Otherwise the batch must be kept: the write can still take effect, and the caller would have
+   * received "not run" for a call that the journal records as sent. */
+  if (!batch->may_be_written)
     {
       journal_queue_prepend (&journal->waiting, &batch->entries);
       TALLOC_FREE (journal->batch);
     }
-  journal_drop_unless_down (journal);
+  journal_fail_unless_down (journal);
   journal_schedule (journal);
 }
 
-/* Settles a batch by what stands in its slot. */
+/* Resolves the batch from the content of its slot: durable if it is this batch, else fenced. */
 static void
-journal_on_present (struct Journal *journal, const uint8_t *value, size_t value_bytes)
+journal_settle_batch (struct Journal *journal, const uint8_t *value, size_t value_bytes)
 {
   struct Slot *slot = NULL;
   bool own = slot_unpack (journal, value, value_bytes, &slot) == ERROR_NONE
@@ -232,7 +232,7 @@
 
   journal->batch->in_flight = false;
   if (result->error == ERROR_NONE && result->n_entries == 1)
-    journal_on_present (journal, result->entries[0].value, result->entries[0].value_bytes);
+    journal_settle_batch (journal, result->entries[0].value, result->entries[0].value_bytes);
   else
     journal_on_failed (journal);
 }
@@ -265,12 +265,12 @@
       journal_on_durable (journal);
       return;
     case ERROR_CONFLICT:
-      /* The slot is taken: by this batch, if the answer to an earlier attempt was lost, or by a
-       * seal. What stands there tells; nothing is concluded from the refusal alone. */
-      batch->may_be_there = true;
+      /* The slot exists: it contains this batch, if the response to an earlier attempt was lost, or
+       * a seal. Its content decides; the conflict alone is not evidence of either. */
+      batch->may_be_written = true;
       if (result->n_entries == 1)
         {
-          journal_on_present (journal, result->entries[0].value, result->entries[0].value_bytes);
+          journal_settle_batch (journal, result->entries[0].value, result->entries[0].value_bytes);
           return;
         }
       key = journal_slot_key (batch, journal->options.prefix, journal->options.incarnation,
@@ -281,22 +281,22 @@
     case ERROR_RATE_LIMITED:
       break;
     default:
-      batch->may_be_there = true;
+      batch->may_be_written = true;
     }
   journal_on_failed (journal);
 }
 
-/* The write budget as a bucket: an interval saved up is an interval to spend, up to burst_slots. A
- * program that calls one tool after the other on a quiet instance then waits for the platform's
- * answer alone, and not for the interval that a busy fleet needs. */
+/* Charges one slot to the write budget, a token bucket that holds up to burst_slots. On an idle
+ * instance a program that calls one tool after another thus waits only for the platform's response
+ * and not for the flush interval that a busy fleet needs. */
 static void
-journal_pay (struct Journal *journal)
+journal_charge_slot (struct Journal *journal)
 {
   int64_t now_ms = timer_now_ms (journal->timers);
 
-  if (journal->paid_until_ms < now_ms)
-    journal->paid_until_ms = now_ms;
-  journal->paid_until_ms += journal->options.flush_interval_ms;
+  if (journal->budget_used_until_ms < now_ms)
+    journal->budget_used_until_ms = now_ms;
+  journal->budget_used_until_ms += journal->options.flush_interval_ms;
   journal->last_put_ms = now_ms;
 }
 
@@ -312,7 +312,7 @@
   request.put.value = batch->packed;
   request.put.value_bytes = batch->packed_bytes;
   request.put.condition = KV_IF_ABSENT;
-  journal_pay (journal);
+  journal_charge_slot (journal);
   batch->in_flight = true;
   if (key == NULL
       || kv_submit_guarded (journal, journal->kv, &request, journal_on_put, journal) != ERROR_NONE)
@@ -324,7 +324,7 @@
   talloc_free (key);
 }
 
-/* Takes as many records as fit into a slot. */
+/* Moves as many waiting records as fit into a slot to a new batch. */
 static int32_t
 journal_build_batch (struct Journal *journal)
 {
@@ -336,7 +336,7 @@
 
   if (batch == NULL)
     return ERROR_NO_MEMORY;
-  journal_queue_clear (&batch->entries);
+  journal_queue_init (&batch->entries);
   records = talloc_array (batch, struct PackedRecord, journal->waiting.n);
   if (records == NULL)
     {
@@ -351,7 +351,7 @@
       n_bytes += entry->n_bytes;
       records[n].bytes = entry->bytes;
       records[n].n_bytes = entry->n_bytes;
-      n += entry->n_bytes > 0; /* a confirmation has no record */
+      n += entry->n_bytes > 0; /* journal_confirm queues an entry without a record */
       journal_queue_push (&batch->entries, entry);
     }
   batch->id = ++journal->last_batch_id;
@@ -370,31 +370,31 @@
   return ERROR_NONE;
 }
 
-/* No record is between having been put in a slot and having been answered for. */
+/* Returns true if there is no batch, no done callback is running and the journal is not fenced. */
 static bool
 journal_is_idle (const struct Journal *journal)
 {
-  return journal->batch == NULL && !journal->answering && !journal->fenced;
+  return journal->batch == NULL && !journal->completing && !journal->fenced;
 }
 
 static void
-journal_run_idlers (struct Journal *journal)
+journal_run_idle_waiters (struct Journal *journal)
 {
-  struct JournalIdle *idler;
+  struct JournalIdleWaiter *waiter;
 
-  while (journal_is_idle (journal) && (idler = journal->idlers) != NULL)
+  while (journal_is_idle (journal) && (waiter = journal->idle_waiters) != NULL)
     {
-      JournalIdleFn fn = idler->fn;
-      void *data = idler->data;
+      JournalIdleFn fn = waiter->fn;
+      void *data = waiter->data;
 
-      journal->idlers = idler->next;
-      talloc_free (idler);
+      journal->idle_waiters = waiter->next;
+      talloc_free (waiter);
       fn (data);
     }
 }
 
 static void
-journal_on_due (void *data)
+journal_on_timer (void *data)
 {
   struct Journal *journal = data;
 
@@ -410,8 +410,8 @@
     journal_put (journal);
 }
 
-/* Retries of many instances are spread, so that a platform that comes back is not met by all at
- * once. */
+/* Returns the retry delay, with jitter per incarnation and attempt so that a recovering platform
+ * does not receive the retries of all instances at once. */
 static int64_t
 journal_retry_delay_ms (const struct Journal *journal)
 {
@@ -424,28 +424,28 @@
                      % ((uint64_t)retry_ms / 2 + 1));
 }
 
-/* Arms the timer of the next attempt, unless it is armed, the answer of one is on its way, or
- * there is nothing to write. */
+/* Starts the timer for the next attempt, unless it is running, a request is in flight or there is
+ * nothing to write. */
 static void
 journal_schedule (struct Journal *journal)
 {
   int64_t delay_ms, saved_ms = 0;
 
-  journal_run_idlers (journal);
+  journal_run_idle_waiters (journal);
   if (journal->fenced || journal->timer != NULL)
     return;
   if (journal->batch != NULL ? journal->batch->in_flight : journal->waiting.first == NULL)
     return;
   if (journal->options.burst_slots > 1)
     saved_ms = (int64_t)(journal->options.burst_slots - 1) * journal->options.flush_interval_ms;
-  delay_ms = journal->paid_until_ms - saved_ms - timer_now_ms (journal->timers);
+  delay_ms = journal->budget_used_until_ms - saved_ms - timer_now_ms (journal->timers);
   if (journal->n_failures > 0 && delay_ms < journal_retry_delay_ms (journal))
     delay_ms = journal_retry_delay_ms (journal);
   journal->timer = timer_subscribe (journal, journal->timers, delay_ms > 0 ? delay_ms : 0, 0,
-                                    journal_on_due, journal);
+                                    journal_on_timer, journal);
 }
 
-/* A packed record, not queued yet. */
+/* Creates an entry with the packed record without queueing it. */
 static int32_t
 journal_entry_new (struct Journal *journal,
                    const struct Record *record,
@@ -529,17 +529,17 @@
 void
 journal_when_idle (struct Journal *journal, JournalIdleFn fn, void *data)
 {
-  struct JournalIdle *idler = talloc_zero (journal, struct JournalIdle);
-  struct JournalIdle **last = &journal->idlers;
+  struct JournalIdleWaiter *waiter = talloc_zero (journal, struct JournalIdleWaiter);
+  struct JournalIdleWaiter **last = &journal->idle_waiters;
 
-  if (idler == NULL)
+  if (waiter == NULL)
     return;
-  idler->fn = fn;
-  idler->data = data;
+  waiter->fn = fn;
+  waiter->data = data;
   while (*last != NULL)
     last = &(*last)->next;
-  *last = idler;
-  journal_run_idlers (journal);
+  *last = waiter;
+  journal_run_idle_waiters (journal);
 }
 
 int32_t
@@ -555,7 +555,7 @@
 
   if (!journal_is_idle (journal))
     return journal->fenced ? ERROR_FENCED : ERROR_CONFLICT;
-  journal_queue_clear (&front);
+  journal_queue_init (&front);
   for (size_t i = 0; i < n_records && error == ERROR_NONE; i++)
     {
       bool last = i + 1 == n_records;
@@ -599,7 +599,7 @@
 {
   if (journal->fenced || journal->n_failures == 0)
     return !journal->fenced;
-  /* Nothing is left to try again with: after a pause the next record is the trial. */
+  /* No record is left to retry. After the retry delay the next record is accepted, as a probe. */
   return journal_n_waiting (journal) == 0
          && timer_now_ms (journal->timers)
                 >= journal->last_put_ms + journal_retry_delay_ms (journal);
--- a/core/journal_queue.c
+++ b/core/journal_queue.c
@@ -1,7 +1,7 @@
 #include "journal_queue.h"
 
 void
-journal_queue_clear (struct JournalQueue *queue)
+journal_queue_init (struct JournalQueue *queue)
 {
   queue->first = NULL;
   queue->last = &queue->first;
@@ -41,11 +41,11 @@
     queue->last = front->last;
   queue->first = front->first;
   queue->n += front->n;
-  journal_queue_clear (front);
+  journal_queue_init (front);
 }
 
 void
-journal_queue_answer (struct JournalQueue *queue, int32_t error)
+journal_queue_complete (struct JournalQueue *queue, int32_t error)
 {
   struct JournalEntry *entry;
 
--- a/core/journal_queue.h
+++ b/core/journal_queue.h
@@ -1,9 +1,8 @@
-/* Records of the journal that wait for their slot or for its answer. */
+/* Queue of journal records that are not durable yet. */
 #pragma once
 
 #include <buckthornhead/journal.h>
 
-/* A record that waits. */
 struct JournalEntry
 {
   struct JournalEntry *next;
@@ -20,16 +19,17 @@
   size_t n;
 };
 
+/* Makes queue empty without freeing any entries. */
 void
-journal_queue_clear (struct JournalQueue *queue);
+journal_queue_init (struct JournalQueue *queue);
 void
 journal_queue_push (struct JournalQueue *queue, struct JournalEntry *entry);
-/* The first entry, or NULL. */
+/* Removes and returns the first entry, or returns NULL. */
 struct JournalEntry *
 journal_queue_pop (struct JournalQueue *queue);
-/* Puts all of front before queue. */
+/* Moves all entries of front to the head of queue. */
 void
 journal_queue_prepend (struct JournalQueue *queue, struct JournalQueue *front);
-/* Takes every entry out, in order, and tells it error. */
+/* Removes and frees every entry in order and calls its done with error. */
 void
-journal_queue_answer (struct JournalQueue *queue, int32_t error);
+journal_queue_complete (struct JournalQueue *queue, int32_t error);
--- a/tests/test_journal.c
+++ b/tests/test_journal.c
@@ -25,8 +25,8 @@
   int n_fenced;
 };
 
-/* What became of appended records, in order. */
-struct Answers
+/* Results of the appended records, in order. */
+struct Results
 {
   int32_t errors[64];
   size_t n;
@@ -41,9 +41,9 @@
 static void
 on_done (void *data, int32_t error)
 {
-  struct Answers *answers = data;
+  struct Results *results = data;
 
-  answers->errors[answers->n++ % 64] = error;
+  results->errors[results->n++ % 64] = error;
 }
 
 static struct Fixture *
@@ -84,11 +84,11 @@
 }
 
 static void
-append (struct Fixture *f, const char *program, struct Answers *answers)
+append (struct Fixture *f, const char *program, struct Results *results)
 {
   struct Record record = record_of (program);
 
-  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, answers), ERROR_NONE);
+  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, results), ERROR_NONE);
 }
 
 static struct Slot *
@@ -126,47 +126,46 @@
 test_waiting_records_share_a_slot (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers answers = { 0 };
+  struct Results results = { 0 };
 
-  append (f, "a", &answers);
-  append (f, "b", &answers);
-  CU_ASSERT_EQUAL (answers.n, 0);
+  append (f, "a", &results);
+  append (f, "b", &results);
+  CU_ASSERT_EQUAL (results.n, 0);
   fake_timer_advance (f->timers, 2);
-  CU_ASSERT_EQUAL (answers.n, 2);
+  CU_ASSERT_EQUAL (results.n, 2);
   CU_ASSERT_EQUAL (n_records_at (f, 1), 2);
-  append (f, "c", &answers);
+  append (f, "c", &results);
   fake_timer_advance (f->timers, INTERVAL_MS / 2);
-  CU_ASSERT_EQUAL (answers.n, 2);
+  CU_ASSERT_EQUAL (results.n, 2);
   fake_timer_advance (f->timers, INTERVAL_MS);
-  CU_ASSERT_EQUAL (answers.n, 3);
+  CU_ASSERT_EQUAL (results.n, 3);
   CU_ASSERT_EQUAL (fake_kv_n_writes (f->kv), 2);
   talloc_free (f->ctx);
 }
 
-/* A program calls tool after tool on a quiet instance: each of its records must reach the service
- * at once, while what was saved up lasts, and the average of the write budget must hold all the
- * same. */
+/* A program calls one tool after another on an idle instance. Each of its records must be written
+ * without delay up to the burst size, and the average write rate must still be kept. */
 static void
-test_quiet_time_is_saved_up (void)
+test_idle_time_allows_a_burst (void)
 {
   struct Fixture *f = fixture_with_burst (3);
-  struct Answers answers = { 0 };
+  struct Results results = { 0 };
 
   for (uint32_t i = 1; i <= 3; i++)
     {
-      append (f, "a", &answers);
+      append (f, "a", &results);
       fake_timer_advance (f->timers, 2);
-      CU_ASSERT_EQUAL (answers.n, i);
+      CU_ASSERT_EQUAL (results.n, i);
     }
-  append (f, "a", &answers);
+  append (f, "a", &results);
   fake_timer_advance (f->timers, 2);
-  CU_ASSERT_EQUAL (answers.n, 3);
+  CU_ASSERT_EQUAL (results.n, 3);
   fake_timer_advance (f->timers, INTERVAL_MS);
-  CU_ASSERT_EQUAL (answers.n, 4);
-  /* Never more than the burst and one slot an interval. */
+  CU_ASSERT_EQUAL (results.n, 4);
+  /* At most the burst plus one slot per interval. */
   for (uint32_t ms = 0; ms < 10 * INTERVAL_MS; ms++)
     {
-      append (f, "a", &answers);
+      append (f, "a", &results);
       fake_timer_advance (f->timers, 1);
     }
   CU_ASSERT_TRUE (fake_kv_n_writes (f->kv) <= 4 + 10 + 1);
@@ -174,23 +173,23 @@
   talloc_free (f->ctx);
 }
 
-/* The service applies the append and its answer is lost. Taking that for a failure, the writer
- * would write the records twice, or think itself sealed by its own slot. */
+/* The key-value service applies the append, but its response is lost. Guards against a writer that
+ * treats this as a failure and writes the records twice, or treats its own slot as a seal. */
 static void
-test_lost_answer_is_settled (void)
+test_lost_response_is_resolved (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers answers = { 0 };
+  struct Results results = { 0 };
 
   fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_LOSE_ANSWER, 1);
-  append (f, "a", &answers);
+  append (f, "a", &results);
   fake_timer_advance (f->timers, 5);
-  CU_ASSERT_EQUAL (answers.n, 0);
+  CU_ASSERT_EQUAL (results.n, 0);
   CU_ASSERT_FALSE (journal_is_writable (f->journal));
-  append (f, "b", &answers);
+  append (f, "b", &results);
   fake_timer_advance (f->timers, LONG_MS);
-  CU_ASSERT_EQUAL (answers.n, 2);
-  CU_ASSERT_EQUAL (answers.errors[0], ERROR_NONE);
+  CU_ASSERT_EQUAL (results.n, 2);
+  CU_ASSERT_EQUAL (results.errors[0], ERROR_NONE);
   CU_ASSERT_EQUAL (f->n_fenced, 0);
   CU_ASSERT_EQUAL (n_records_at (f, 1), 1);
   CU_ASSERT_EQUAL (n_records_at (f, 2), 1);
@@ -198,14 +197,14 @@
   talloc_free (f->ctx);
 }
 
-/* The append is on its way, unanswered, while the platform is down, and arrives much later. Its
- * records must be those of the later attempts: a caller would else hear "not run" of a call whose
- * intent then stands in the journal. */
+/* An append gets no response while the platform is down and takes effect much later. Every retry
+ * must contain the same records; otherwise a caller could receive "not run" for a call whose intent
+ * is then in the journal. */
 static void
-test_late_write_is_the_same_batch (void)
+test_late_write_contains_the_same_batch (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers intent = { 0 }, outcome = { 0 };
+  struct Results intent = { 0 }, outcome = { 0 };
   struct Record record = record_of ("a");
 
   fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_LATE, 1);
@@ -226,13 +225,13 @@
   talloc_free (f->ctx);
 }
 
-/* The platform refuses connections for long. Outcomes wait in memory and are written when it is
- * back; intents are refused at once, never having been tried, and one may try again later. */
+/* The platform refuses connections for a long time. Outcomes must be kept in memory and written
+ * when it recovers. Intents must fail immediately without an attempt, and may be retried later. */
 static void
-test_outage_keeps_outcomes_and_refuses_intents (void)
+test_outage_keeps_outcomes_and_fails_intents (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers intent = { 0 }, outcome = { 0 };
+  struct Results intent = { 0 }, outcome = { 0 };
   struct Record record = record_of ("a");
 
   fake_kv_set_fault (f->kv, FAKE_KV_REFUSE);
@@ -256,46 +255,46 @@
   talloc_free (f->ctx);
 }
 
-/* A home is paused, its journal is sealed and its programs taken over; it wakes and writes. It
- * finds the seal where its slot should go, and nothing that it has not acknowledged may be. */
+/* A home is paused, its journal is sealed and its programs are taken over, then it resumes writing.
+ * It must find the seal in its next slot, and must not acknowledge any further record. */
 static void
 test_paused_writer_finds_the_seal (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers answers = { 0 };
+  struct Results results = { 0 };
   struct Record record = record_of ("x");
 
-  append (f, "a", &answers);
+  append (f, "a", &results);
   fake_timer_advance (f->timers, 5);
   seal_at (f, 2);
-  append (f, "b", &answers);
-  append (f, "c", &answers);
+  append (f, "b", &results);
+  append (f, "c", &results);
   fake_timer_advance (f->timers, LONG_MS);
-  CU_ASSERT_EQUAL (answers.n, 3);
-  CU_ASSERT_EQUAL (answers.errors[1], ERROR_FENCED);
-  CU_ASSERT_EQUAL (answers.errors[2], ERROR_FENCED);
+  CU_ASSERT_EQUAL (results.n, 3);
+  CU_ASSERT_EQUAL (results.errors[1], ERROR_FENCED);
+  CU_ASSERT_EQUAL (results.errors[2], ERROR_FENCED);
   CU_ASSERT_EQUAL (f->n_fenced, 1);
   CU_ASSERT (journal_is_fenced (f->journal));
   CU_ASSERT_EQUAL (slot_at (f, 2)->kind, SLOT_SEAL);
-  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, &answers), ERROR_FENCED);
+  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, &results), ERROR_FENCED);
   talloc_free (f->ctx);
 }
 
-/* The append's answer is lost, and it never took effect; a taker seals the slot meanwhile. Then
- * the slot holds something foreign and the records are lost, not durable. */
+/* An append is lost before it takes effect, and a taker seals the slot before the retry. The
+ * records must be reported as fenced, not as durable. */
 static void
-test_seal_settles_a_lost_request (void)
+test_seal_resolves_a_lost_request (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers answers = { 0 };
+  struct Results results = { 0 };
 
   fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_LOSE_REQUEST, 1);
-  append (f, "a", &answers);
+  append (f, "a", &results);
   fake_timer_advance (f->timers, 5);
   seal_at (f, 1);
   fake_timer_advance (f->timers, LONG_MS);
-  CU_ASSERT_EQUAL (answers.n, 1);
-  CU_ASSERT_EQUAL (answers.errors[0], ERROR_FENCED);
+  CU_ASSERT_EQUAL (results.n, 1);
+  CU_ASSERT_EQUAL (results.errors[0], ERROR_FENCED);
   CU_ASSERT_EQUAL (f->n_fenced, 1);
   talloc_free (f->ctx);
 }
@@ -304,28 +303,28 @@
 test_records_beyond_a_slot_go_to_the_next (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers answers = { 0 };
+  struct Results results = { 0 };
   uint8_t *body = talloc_zero_array (f->ctx, uint8_t, KV_VALUE_MAX_BYTES);
   struct Record record = { .kind = RECORD_SNAPSHOT, .snapshot.n_parts = 1 };
 
   record.snapshot.state = body;
   record.snapshot.state_bytes = KV_VALUE_MAX_BYTES;
-  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, &answers), ERROR_TOO_LARGE);
+  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, &results), ERROR_TOO_LARGE);
   record.snapshot.state_bytes = KV_VALUE_MAX_BYTES * 2 / 3;
-  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, &answers), ERROR_NONE);
-  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, &answers), ERROR_NONE);
+  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, &results), ERROR_NONE);
+  CU_ASSERT_EQUAL (journal_append (f->journal, &record, on_done, &results), ERROR_NONE);
   fake_timer_advance (f->timers, LONG_MS);
-  CU_ASSERT_EQUAL (answers.n, 2);
+  CU_ASSERT_EQUAL (results.n, 2);
   CU_ASSERT_EQUAL (n_records_at (f, 1), 1);
   CU_ASSERT_EQUAL (n_records_at (f, 2), 1);
   talloc_free (f->ctx);
 }
 
-struct Idler
+struct IdleWaiter
 {
   struct Fixture *f;
-  struct Answers *answers;
-  size_t n_answered; /* when it was called */
+  struct Results *results;
+  size_t n_completed; /* when the callback ran */
   int32_t error;
   struct Record record;
 };
@@ -333,82 +332,84 @@
 static void
 on_idle (void *data)
 {
-  struct Idler *idler = data;
+  struct IdleWaiter *waiter = data;
 
-  idler->n_answered = idler->answers->n;
-  idler->error = journal_prepend (idler->f->journal, &idler->record, 1, on_done, idler->answers);
+  waiter->n_completed = waiter->results->n;
+  waiter->error =
+      journal_prepend (waiter->f->journal, &waiter->record, 1, on_done, waiter->results);
 }
 
-/* As on_done, and asks for a quiet moment from inside the first record's answer. */
+/* Like on_done, and calls journal_when_idle from within the first record's callback. */
 static void
-on_done_ask_idle (void *data, int32_t error)
+on_done_wait_idle (void *data, int32_t error)
 {
-  struct Idler *idler = data;
+  struct IdleWaiter *waiter = data;
 
-  on_done (idler->answers, error);
-  journal_when_idle (idler->f->journal, on_idle, idler);
+  on_done (waiter->results, error);
+  journal_when_idle (waiter->f->journal, on_idle, waiter);
 }
 
-/* The moment comes only when all of the slot's records were answered: the snapshot would else miss
- * those that are durable and not yet applied. */
+/* The idle callback must run only after done was called for all records of the slot; otherwise the
+ * snapshot would miss records that are durable but not applied yet. */
 static void
-test_idle_is_after_all_answers (void)
+test_idle_callback_follows_all_completions (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers answers = { 0 };
-  struct Idler idler = { .f = f, .answers = &answers, .record = record_of ("snapshot") };
+  struct Results results = { 0 };
+  struct IdleWaiter waiter = { .f = f, .results = &results, .record = record_of ("snapshot") };
   struct Record record = record_of ("a");
 
-  journal_append (f->journal, &record, on_done_ask_idle, &idler);
-  append (f, "b", &answers);
+  journal_append (f->journal, &record, on_done_wait_idle, &waiter);
+  append (f, "b", &results);
   fake_timer_advance (f->timers, LONG_MS);
-  CU_ASSERT_EQUAL (idler.n_answered, 2);
+  CU_ASSERT_EQUAL (waiter.n_completed, 2);
   talloc_free (f->ctx);
 }
 
-/* A checkpoint is taken while outcomes wait. Its snapshots hold what was applied, so they must
- * stand before what was not: a replay would else put the older state over a newer outcome. */
+/* A checkpoint is taken while outcomes are queued. Its snapshots contain only applied records, so
+ * they must precede the queued ones; otherwise a replay would replace a newer outcome with older
+ * state. */
 static void
-test_snapshot_goes_before_what_waits (void)
+test_snapshot_precedes_queued_records (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers answers = { 0 };
-  struct Idler idler = { .f = f, .answers = &answers, .record = record_of ("snapshot") };
+  struct Results results = { 0 };
+  struct IdleWaiter waiter = { .f = f, .results = &results, .record = record_of ("snapshot") };
 
-  append (f, "a", &answers);
-  append (f, "b", &answers);
+  append (f, "a", &results);
+  append (f, "b", &results);
   fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_HOLD_REQUEST, 1);
   fake_timer_advance (f->timers, 5);
-  append (f, "c", &answers);
-  CU_ASSERT_EQUAL (journal_prepend (f->journal, &idler.record, 1, NULL, NULL), ERROR_CONFLICT);
-  journal_when_idle (f->journal, on_idle, &idler);
-  CU_ASSERT_EQUAL (idler.n_answered, 0);
+  append (f, "c", &results);
+  CU_ASSERT_EQUAL (journal_prepend (f->journal, &waiter.record, 1, NULL, NULL), ERROR_CONFLICT);
+  journal_when_idle (f->journal, on_idle, &waiter);
+  CU_ASSERT_EQUAL (waiter.n_completed, 0);
   fake_kv_release (f->kv);
   fake_timer_advance (f->timers, LONG_MS);
-  CU_ASSERT_EQUAL (idler.n_answered, 2);
-  CU_ASSERT_EQUAL (idler.error, ERROR_NONE);
+  CU_ASSERT_EQUAL (waiter.n_completed, 2);
+  CU_ASSERT_EQUAL (waiter.error, ERROR_NONE);
   CU_ASSERT_EQUAL_FATAL (n_records_at (f, 2), 2);
   CU_ASSERT_STRING_EQUAL (slot_at (f, 2)->records[0].end.program, "snapshot");
   CU_ASSERT_STRING_EQUAL (slot_at (f, 2)->records[1].end.program, "c");
   talloc_free (f->ctx);
 }
 
-/* Old slots are deleted only after a durable slot says that nobody needs them: a home that dies
- * in between would else leave a journal with a hole. */
+/* Old slots must be deleted only after a durable slot records that no replay needs them; otherwise
+ * a home that fails in between would leave a journal with a gap. */
 static void
 test_old_slots_are_deleted_after_a_checkpoint (void)
 {
   struct Fixture *f = fixture_new ();
-  struct Answers answers = { 0 };
+  struct Results results = { 0 };
 
   for (int i = 0; i < 4; i++)
     {
-      append (f, "a", &answers);
+      append (f, "a", &results);
       fake_timer_advance (f->timers, 2 * INTERVAL_MS);
     }
-  /* The slot on its way says that the older ones are needed still. */
+  /* The slot in flight still records that the older ones are needed. */
   fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_HOLD_REQUEST, 1);
-  append (f, "a", &answers);
+  append (f, "a", &results);
   fake_timer_advance (f->timers, 5);
   journal_checkpointed (f->journal, 5);
   fake_kv_release (f->kv);
@@ -417,7 +418,7 @@
   fake_kv_fault_next (f->kv, KV_OP_DELETE, NULL, FAKE_KV_LOSE_ANSWER, 1);
   for (int i = 0; i < 6; i++)
     {
-      append (f, "a", &answers);
+      append (f, "a", &results);
       fake_timer_advance (f->timers, 2 * INTERVAL_MS);
     }
   CU_ASSERT_EQUAL (slot_at (f, 11)->replay_from, 5);
@@ -439,15 +440,15 @@
 const char test_suite_name[] = "journal";
 const struct TestCase test_cases[] = {
   { "waiting records share a slot", test_waiting_records_share_a_slot },
-  { "quiet time is saved up", test_quiet_time_is_saved_up },
-  { "lost answer is settled", test_lost_answer_is_settled },
-  { "late write is the same batch", test_late_write_is_the_same_batch },
-  { "outage keeps outcomes and refuses intents", test_outage_keeps_outcomes_and_refuses_intents },
+  { "idle time allows a burst", test_idle_time_allows_a_burst },
+  { "lost response is resolved", test_lost_response_is_resolved },
+  { "late write contains the same batch", test_late_write_contains_the_same_batch },
+  { "outage keeps outcomes and fails intents", test_outage_keeps_outcomes_and_fails_intents },
   { "paused writer finds the seal", test_paused_writer_finds_the_seal },
-  { "seal settles a lost request", test_seal_settles_a_lost_request },
+  { "seal resolves a lost request", test_seal_resolves_a_lost_request },
   { "records beyond a slot go to the next", test_records_beyond_a_slot_go_to_the_next },
-  { "snapshot goes before what waits", test_snapshot_goes_before_what_waits },
-  { "idle is after all answers", test_idle_is_after_all_answers },
+  { "snapshot precedes queued records", test_snapshot_precedes_queued_records },
+  { "idle callback follows all completions", test_idle_callback_follows_all_completions },
   { "old slots are deleted after a checkpoint", test_old_slots_are_deleted_after_a_checkpoint },
   { "write budget is shared", test_write_budget_is_shared },
   { NULL, NULL },
