--- a/core/ledger.c
+++ b/core/ledger.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static bool
-same_digest (const uint8_t a[DIGEST_BYTES], const uint8_t b[DIGEST_BYTES])
+digests_equal (const uint8_t a[DIGEST_BYTES], const uint8_t b[DIGEST_BYTES])
 {
   return memcmp (a, b, DIGEST_BYTES) == 0;
 }
@@ -20,21 +20,21 @@
 
   *exists = false;
   if (id[0] == '\0' || want->kind != RECORD_PROGRAM)
-    return fault_set (fault, ERROR_INVALID, "name the program", "a program needs an id");
+    return fault_set (fault, ERROR_INVALID, "set the program id", "the program id is missing");
   program = ledger_find (ledger, id);
   if (program != NULL)
     {
-      /* A resend while the first creation is still being written writes it once more, which a
-       * replay ignores: both callers then hear of it only when it is durable. */
+      /* A creation that is resent while the first is being written is journaled again, which a
+       * replay ignores. Both callers thus receive the response only when the record is durable. */
       *exists = !program->pending;
-      if (same_digest (program->created.program.create_digest, want->program.create_digest))
+      if (digests_equal (program->created.program.create_digest, want->program.create_digest))
         return ERROR_NONE;
-      return fault_set (fault, ERROR_CONFLICT, "choose another id for another program",
+      return fault_set (fault, ERROR_CONFLICT, "use another id for a different program",
                         "program %s exists with other parameters", id);
     }
   program = ledger_insert (ledger, want);
   if (program == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for program %s", id);
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory for program %s", id);
   program->pending = true;
   return ERROR_NONE;
 }
@@ -56,39 +56,40 @@
 }
 
 static void
-refuse_other_request (struct LedgerDecision *decision, const struct CallKey *key)
+refuse_reused_sequence (struct LedgerDecision *decision, const struct CallKey *key)
 {
   refuse (decision, ERROR_UNKNOWN_CALL);
   fault_set (&decision->fault, ERROR_UNKNOWN_CALL, NULL,
-             "sequence %llu of branch %s was used for another request",
+             "sequence %llu of branch %s belongs to another request",
              (unsigned long long)key->sequence, key->branch);
 }
 
-/* Answers a call that was seen before: stored, in flight, or a number used for something else. */
+/* Decides on a call whose sequence number was used before: its answer is stored, it is in flight,
+ * or the number belongs to another request. Returns false for a new number. */
 static bool
-decide_seen (const struct LedgerProgram *program,
-             const struct LedgerBranch *branch,
-             const struct Call *call,
-             struct LedgerDecision *decision)
+decide_repeated (const struct LedgerProgram *program,
+                 const struct LedgerBranch *branch,
+                 const struct Call *call,
+                 struct LedgerDecision *decision)
 {
   const struct LedgerTurn *turn;
 
-  if (branch->flight.active && call->key.sequence == branch->flight.sequence)
+  if (branch->in_flight.active && call->key.sequence == branch->in_flight.sequence)
     {
       decision->verdict = LEDGER_JOIN;
-      if (!same_digest (branch->flight.digest, call->digest))
-        refuse_other_request (decision, &call->key);
+      if (!digests_equal (branch->in_flight.digest, call->digest))
+        refuse_reused_sequence (decision, &call->key);
       return true;
     }
   if (call->key.sequence == 0 || call->key.sequence > branch->last_sequence)
     return false;
   turn = program_find_turn (program, &call->key);
-  if (turn == NULL || !same_digest (turn->digest, call->digest))
+  if (turn == NULL || !digests_equal (turn->digest, call->digest))
     {
-      refuse_other_request (decision, &call->key);
+      refuse_reused_sequence (decision, &call->key);
       return true;
     }
-  /* An older turn gets its stored answer too: "not run" would be untrue of it. */
+  /* Older turns also get their stored answer: a refusal would report "not run". */
   decision->verdict = LEDGER_STORED;
   decision->stored = &turn->outcome;
   if (turn->outcome.error != ERROR_NONE)
@@ -97,7 +98,8 @@
   return true;
 }
 
-/* Whether program can take a further call of this reservation now. */
+/* Checks the deadline, turn limit and budget of program for a further call. Fills in the refusal
+ * and returns false if one of them is exceeded. */
 static bool
 decide_limits (const struct LedgerProgram *program,
                uint64_t reservation_tokens,
@@ -106,7 +108,7 @@
 {
   const struct Record *created = &program->created;
   struct Fault *fault = &decision->fault;
-  uint32_t n_flights = program_n_flights (program);
+  uint32_t n_in_flight = program_n_in_flight (program);
 
   decision->verdict = LEDGER_REFUSE;
   if (created->program.deadline_unix_ms != 0 && now_unix_ms >= created->program.deadline_unix_ms)
@@ -117,20 +119,21 @@
       return false;
     }
   if (created->program.turn_limit != 0
-      && program->n_turns + n_flights >= created->program.turn_limit)
+      && program->n_turns + n_in_flight >= created->program.turn_limit)
     {
-      if (n_flights == 0)
+      if (n_in_flight == 0)
         decision->end_reason = END_LOOPING;
-      fault_set (fault, ERROR_BUDGET, "look for an endless loop, or raise the profile's turn limit",
-                 "the program has used its %u turns", created->program.turn_limit);
+      fault_set (fault, ERROR_BUDGET,
+                 "check the program for an endless loop, or raise the profile's turn limit",
+                 "the program has reached its limit of %u turns", created->program.turn_limit);
       return false;
     }
-  /* A sum that would overflow is larger than any budget: it is never formed. */
+  /* Subtracts instead of adding the reservation to the tokens in use, as a sum could overflow. */
   if (reservation_tokens > program_remaining_tokens (program))
     {
       if (reservation_tokens > created->program.budget_tokens - program->charged_tokens)
         decision->end_reason = END_OVER_BUDGET;
-      fault_set (fault, ERROR_BUDGET, NULL, "the call reserves %llu tokens and %llu are left",
+      fault_set (fault, ERROR_BUDGET, NULL, "the call reserves %llu tokens but only %llu are left",
                  (unsigned long long)reservation_tokens,
                  (unsigned long long)program_remaining_tokens (program));
       return false;
@@ -139,7 +142,7 @@
 }
 
 static void
-fill_header (const struct LedgerProgram *program, enum RecordKind kind, struct Record *record)
+init_record (const struct LedgerProgram *program, enum RecordKind kind, struct Record *record)
 {
   memset (record, 0, sizeof *record);
   record->kind = kind;
@@ -153,39 +156,39 @@
              enum RecordKind kind,
              struct Record *record)
 {
-  const struct LedgerFlight *flight = &branch->flight;
+  const struct LedgerInFlight *in_flight = &branch->in_flight;
 
-  fill_header (program, kind, record);
+  init_record (program, kind, record);
   memcpy (record->intent.key.program, program->created.program.program,
           sizeof record->intent.key.program);
   memcpy (record->intent.key.branch, branch->name, sizeof branch->name);
-  record->intent.key.sequence = flight->sequence;
-  memcpy (record->intent.digest, flight->digest, DIGEST_BYTES);
-  record->intent.reserved_tokens = flight->reserved_tokens;
-  record->intent.idempotent = flight->idempotent;
+  record->intent.key.sequence = in_flight->sequence;
+  memcpy (record->intent.digest, in_flight->digest, DIGEST_BYTES);
+  record->intent.reserved_tokens = in_flight->reserved_tokens;
+  record->intent.idempotent = in_flight->idempotent;
 }
 
 static void
-start_flight (struct LedgerProgram *program,
-              struct LedgerBranch *branch,
-              const struct Call *call,
-              uint64_t reservation_tokens,
-              struct LedgerDecision *decision)
+start_call (struct LedgerProgram *program,
+            struct LedgerBranch *branch,
+            const struct Call *call,
+            uint64_t reservation_tokens,
+            struct LedgerDecision *decision)
 {
-  struct LedgerFlight *flight = &branch->flight;
+  struct LedgerInFlight *in_flight = &branch->in_flight;
 
-  flight->active = true;
-  flight->sequence = call->key.sequence;
-  flight->idempotent = call->idempotent;
-  flight->reserved_tokens = reservation_tokens;
-  memcpy (flight->digest, call->digest, DIGEST_BYTES);
+  in_flight->active = true;
+  in_flight->sequence = call->key.sequence;
+  in_flight->idempotent = call->idempotent;
+  in_flight->reserved_tokens = reservation_tokens;
+  memcpy (in_flight->digest, call->digest, DIGEST_BYTES);
   program->reserved_tokens += reservation_tokens;
-  /* An idempotent call may go out unjournaled only when a home that takes over would still charge
-   * for it: its program and branch are in the journal and its reservation is within the grant. */
-  flight->intent_issued = !call->idempotent || program->pending || !branch->known
-                          || reservation_tokens > program->created.program.grant_tokens;
-  decision->verdict = flight->intent_issued ? LEDGER_JOURNAL_FIRST : LEDGER_RUN;
-  if (flight->intent_issued)
+  /* An idempotent call may be sent without an intent only if a home that takes over would still
+   * charge for it: its program and branch are journaled and its reservation is within the grant. */
+  in_flight->intent_issued = !call->idempotent || program->pending || !branch->journaled
+                             || reservation_tokens > program->created.program.grant_tokens;
+  decision->verdict = in_flight->intent_issued ? LEDGER_JOURNAL_FIRST : LEDGER_RUN;
+  if (in_flight->intent_issued)
     fill_intent (program, branch, RECORD_INTENT, &decision->record);
 }
 
@@ -212,7 +215,7 @@
   if (branch != NULL)
     {
       decision->expected_sequence = branch->last_sequence + 1;
-      if (decide_seen (program, branch, call, decision))
+      if (decide_repeated (program, branch, call, decision))
         return;
     }
   if (program->ended || program->ending)
@@ -222,7 +225,7 @@
       return;
     }
   if (call->key.sequence != decision->expected_sequence
-      || (branch != NULL && branch->flight.active))
+      || (branch != NULL && branch->in_flight.active))
     {
       refuse (decision, ERROR_OUT_OF_ORDER);
       fault_set (&decision->fault, ERROR_OUT_OF_ORDER, NULL, "expected sequence %llu on branch %s",
@@ -233,15 +236,15 @@
     return;
   branch = program_need_branch (program, call->key.branch);
   if (branch == NULL)
-    fault_set (&decision->fault, ERROR_NO_MEMORY, NULL, "no memory for branch %s",
+    fault_set (&decision->fault, ERROR_NO_MEMORY, NULL, "out of memory for branch %s",
                call->key.branch);
   else
-    start_flight (program, branch, call, reservation_tokens, decision);
+    start_call (program, branch, call, reservation_tokens, decision);
 }
 
-/* The branch whose call in flight is key and not yet closing, or NULL. */
+/* Returns the branch on which the call of key is in flight without an issued outcome, or NULL. */
 static struct LedgerBranch *
-find_open_flight (struct Ledger *ledger, const struct CallKey *key, struct LedgerProgram **program)
+find_open_call (struct Ledger *ledger, const struct CallKey *key, struct LedgerProgram **program)
 {
   struct LedgerBranch *branch;
 
@@ -249,8 +252,8 @@
   if (*program == NULL)
     return NULL;
   branch = program_find_branch (*program, key->branch);
-  if (branch == NULL || !branch->flight.active || branch->flight.closing
-      || branch->flight.sequence != key->sequence)
+  if (branch == NULL || !branch->in_flight.active || branch->in_flight.closing
+      || branch->in_flight.sequence != key->sequence)
     return NULL;
   return branch;
 }
@@ -262,18 +265,18 @@
                      bool *must_journal)
 {
   struct LedgerProgram *program;
-  struct LedgerBranch *branch = find_open_flight (ledger, key, &program);
+  struct LedgerBranch *branch = find_open_call (ledger, key, &program);
 
   *must_journal = false;
   if (branch == NULL)
     return ERROR_NOT_FOUND;
-  if (!branch->flight.intent_applied)
+  if (!branch->in_flight.intent_applied)
     {
-      program_clear_flight (program, branch);
+      program_clear_in_flight (program, branch);
       return ERROR_NONE;
     }
   *must_journal = true;
-  branch->flight.closing = true;
+  branch->in_flight.closing = true;
   fill_intent (program, branch, RECORD_NOT_SENT, record);
   return ERROR_NONE;
 }
@@ -287,24 +290,24 @@
                  struct Record *record)
 {
   struct LedgerProgram *program;
-  struct LedgerBranch *branch = find_open_flight (ledger, key, &program);
-  struct LedgerFlight *flight;
+  struct LedgerBranch *branch = find_open_call (ledger, key, &program);
+  struct LedgerInFlight *in_flight;
 
   if (branch == NULL)
     return ERROR_NOT_FOUND;
-  flight = &branch->flight;
-  if (flight->intent_issued && !flight->intent_applied)
+  in_flight = &branch->in_flight;
+  if (in_flight->intent_issued && !in_flight->intent_applied)
     return ERROR_INVALID;
-  flight->closing = true;
-  fill_header (program, RECORD_OUTCOME, record);
+  in_flight->closing = true;
+  init_record (program, RECORD_OUTCOME, record);
   record->outcome.key = *key;
-  memcpy (record->outcome.digest, flight->digest, DIGEST_BYTES);
-  record->outcome.idempotent = flight->idempotent;
+  memcpy (record->outcome.digest, in_flight->digest, DIGEST_BYTES);
+  record->outcome.idempotent = in_flight->idempotent;
   record->outcome.outcome = *outcome;
-  /* An engine may answer longer than it was told to. The program pays what it agreed to: what is
-   * charged beyond the reservation could exceed the budget. */
-  if (record->outcome.outcome.charge_tokens > flight->reserved_tokens)
-    record->outcome.outcome.charge_tokens = flight->reserved_tokens;
+  /* An engine may generate more than max_tokens. The charge is capped at the reservation, as a
+   * larger charge could exceed the budget. */
+  if (record->outcome.outcome.charge_tokens > in_flight->reserved_tokens)
+    record->outcome.outcome.charge_tokens = in_flight->reserved_tokens;
   record->outcome.request = request;
   record->outcome.request_bytes = request_bytes;
   return ERROR_NONE;
@@ -323,7 +326,7 @@
   if (p->ended || p->ending)
     return ERROR_ENDED;
   p->ending = true;
-  fill_header (p, RECORD_END, record);
+  init_record (p, RECORD_END, record);
   snprintf (record->end.program, sizeof record->end.program, "%s", program);
   record->end.reason = reason;
   return ERROR_NONE;
@@ -334,7 +337,7 @@
 {
   struct LedgerProgram *p = ledger_find (ledger, program);
 
-  if (p == NULL || !p->ended || p->n_held > 0 || program_n_flights (p) > 0)
+  if (p == NULL || !p->ended || p->n_holders > 0 || program_n_in_flight (p) > 0)
     return false;
   ledger_remove (ledger, p);
   return true;
@@ -344,16 +347,16 @@
 ledger_drop_partition (struct Ledger *ledger, uint32_t partition)
 {
   struct LedgerProgram *program, *next;
-  struct LedgerPartial *partial, *next_partial;
+  struct LedgerPartialSnapshot *partial, *next_partial;
 
   HASH_ITER (hh, ledger->programs, program, next)
   {
     if (program->created.partition == partition)
       ledger_remove (ledger, program);
   }
-  HASH_ITER (hh, ledger->partials, partial, next_partial)
+  HASH_ITER (hh, ledger->partial_snapshots, partial, next_partial)
   {
     if (partial->partition == partition)
-      ledger_remove_partial (ledger, partial);
+      ledger_remove_partial_snapshot (ledger, partial);
   }
 }
--- a/core/ledger_apply.c
+++ b/core/ledger_apply.c
@@ -20,25 +20,25 @@
 apply_intent (struct LedgerProgram *program, const struct Record *record)
 {
   struct LedgerBranch *branch = program_need_branch (program, record->intent.key.branch);
-  struct LedgerFlight *flight;
+  struct LedgerInFlight *in_flight;
 
   if (branch == NULL)
     return ERROR_NO_MEMORY;
-  branch->known = true;
+  branch->journaled = true;
   if (record->intent.key.sequence != branch->last_sequence + 1)
     return ERROR_NONE;
-  flight = &branch->flight;
-  if (!flight->active)
+  in_flight = &branch->in_flight;
+  if (!in_flight->active)
     {
-      flight->active = true;
-      flight->sequence = record->intent.key.sequence;
-      flight->idempotent = record->intent.idempotent;
-      flight->reserved_tokens = record->intent.reserved_tokens;
-      memcpy (flight->digest, record->intent.digest, DIGEST_BYTES);
-      program->reserved_tokens += flight->reserved_tokens;
+      in_flight->active = true;
+      in_flight->sequence = record->intent.key.sequence;
+      in_flight->idempotent = record->intent.idempotent;
+      in_flight->reserved_tokens = record->intent.reserved_tokens;
+      memcpy (in_flight->digest, record->intent.digest, DIGEST_BYTES);
+      program->reserved_tokens += in_flight->reserved_tokens;
     }
-  flight->intent_issued = true;
-  flight->intent_applied = true;
+  in_flight->intent_issued = true;
+  in_flight->intent_applied = true;
   return ERROR_NONE;
 }
 
@@ -47,9 +47,9 @@
 {
   struct LedgerBranch *branch = program_find_branch (program, record->intent.key.branch);
 
-  if (branch != NULL && branch->flight.active
-      && branch->flight.sequence == record->intent.key.sequence)
-    program_clear_flight (program, branch);
+  if (branch != NULL && branch->in_flight.active
+      && branch->in_flight.sequence == record->intent.key.sequence)
+    program_clear_in_flight (program, branch);
   return ERROR_NONE;
 }
 
@@ -69,18 +69,18 @@
 
   if (branch == NULL)
     return ERROR_NO_MEMORY;
-  /* Taken in before, as when a replay meets what a snapshot holds already. */
+  /* Already applied, for example when a replay reads an outcome that a snapshot contains. */
   if (key->sequence != branch->last_sequence + 1)
     return ERROR_NONE;
   memcpy (turn.digest, record->outcome.digest, DIGEST_BYTES);
   error = program_add_turn (program, &turn);
   if (error == ERROR_NONE)
-    error = program_hold (program, turn.outcome.backend);
+    error = program_add_holder (program, turn.outcome.backend);
   if (error != ERROR_NONE)
     return error;
-  if (branch->flight.active)
-    program_clear_flight (program, branch);
-  branch->known = true;
+  if (branch->in_flight.active)
+    program_clear_in_flight (program, branch);
+  branch->journaled = true;
   branch->last_sequence = key->sequence;
   program->charged_tokens += turn.outcome.charge_tokens;
   program->cached_tokens += turn.outcome.cached_tokens;
@@ -97,10 +97,10 @@
   return ERROR_NONE;
 }
 
-static struct LedgerPartial *
-start_partial (struct Ledger *ledger, const struct Record *record)
+static struct LedgerPartialSnapshot *
+start_partial_snapshot (struct Ledger *ledger, const struct Record *record)
 {
-  struct LedgerPartial *partial = talloc_zero (ledger, struct LedgerPartial);
+  struct LedgerPartialSnapshot *partial = talloc_zero (ledger, struct LedgerPartialSnapshot);
 
   if (partial == NULL)
     return NULL;
@@ -108,50 +108,51 @@
   partial->partition = record->partition;
   partial->n_parts = record->snapshot.n_parts;
   partial->epoch = record->epoch;
-  HASH_ADD_STR (ledger->partials, program, partial);
+  HASH_ADD_STR (ledger->partial_snapshots, program, partial);
   return partial;
 }
 
-/* Parts stand in order in one journal. A first part begins anew: a snapshot cut off by its
- * writer's death is followed by another writer's whole one. */
+/* Adds one part of a snapshot and replaces the program with the last part. The parts are in order
+ * in one journal. A first part discards earlier parts: a snapshot left incomplete by a writer that
+ * failed is followed by a complete one of another writer. */
 static int32_t
 apply_snapshot (struct Ledger *ledger, const struct Record *record)
 {
-  struct LedgerPartial *partial = NULL;
-  uint8_t *grown;
+  struct LedgerPartialSnapshot *partial = NULL;
+  uint8_t *resized;
   int32_t error;
 
-  HASH_FIND_STR (ledger->partials, record->snapshot.program, partial);
+  HASH_FIND_STR (ledger->partial_snapshots, record->snapshot.program, partial);
   if (record->snapshot.part == 0)
     {
       if (partial != NULL)
-        ledger_remove_partial (ledger, partial);
-      partial = start_partial (ledger, record);
+        ledger_remove_partial_snapshot (ledger, partial);
+      partial = start_partial_snapshot (ledger, record);
       if (partial == NULL)
         return ERROR_NO_MEMORY;
     }
   if (partial == NULL || partial->next_part != record->snapshot.part
       || partial->epoch != record->epoch || partial->n_parts != record->snapshot.n_parts)
     return ERROR_INVALID;
-  grown = talloc_realloc (partial, partial->state, uint8_t,
-                          partial->state_bytes + record->snapshot.state_bytes);
-  if (grown == NULL)
+  resized = talloc_realloc (partial, partial->state, uint8_t,
+                            partial->state_bytes + record->snapshot.state_bytes);
+  if (resized == NULL)
     return ERROR_NO_MEMORY;
-  partial->state = grown;
+  partial->state = resized;
   if (record->snapshot.state_bytes > 0)
-    memcpy (grown + partial->state_bytes, record->snapshot.state, record->snapshot.state_bytes);
+    memcpy (resized + partial->state_bytes, record->snapshot.state, record->snapshot.state_bytes);
   partial->state_bytes += record->snapshot.state_bytes;
   partial->next_part++;
   if (partial->next_part < partial->n_parts)
     return ERROR_NONE;
   error = ledger_unpack_program (ledger, partial->state, partial->state_bytes, record->partition,
                                  record->epoch);
-  ledger_remove_partial (ledger, partial);
+  ledger_remove_partial_snapshot (ledger, partial);
   return error;
 }
 
 static const char *
-record_program (const struct Record *record)
+record_program_id (const struct Record *record)
 {
   switch (record->kind)
     {
@@ -178,11 +179,11 @@
 int32_t
 ledger_apply (struct Ledger *ledger, const struct Record *record)
 {
-  const char *id = record_program (record);
+  const char *id = record_program_id (record);
   struct LedgerProgram *program = id != NULL ? ledger_find (ledger, id) : NULL;
 
-  /* A home that was paused over a take-over may have written under its lower epoch after the new
-   * home's records. What it wrote is no part of the history that the new home told of. */
+  /* A home that was paused during a take-over may write records under its lower epoch after those
+   * of the new home. They are not part of the history that the new home reported to callers. */
   if (program != NULL && record->epoch < program->created.epoch)
     return ERROR_NONE;
   if (program != NULL)
@@ -206,38 +207,38 @@
     case RECORD_END:
       return apply_end (program, record);
     case RECORD_RELEASED:
-      program_release (program, record->released.backend);
+      program_remove_holder (program, record->released.backend);
       return ERROR_NONE;
     case RECORD_HELD:
-      return program_hold (program, record->released.backend);
+      return program_add_holder (program, record->released.backend);
     default:
       return ERROR_INVALID;
     }
 }
 
-/* The call may have run at the former home: it gets an outcome that says so, and is never sent
- * again. The charge is the reservation, the most that it can have used. */
+/* Adds an outcome of "may have run" for a call that the previous home may have sent, so that it is
+ * not sent again. It is charged its reservation, the maximum that it can have used. */
 static int32_t
-adopt_unknown_call (struct LedgerProgram *program, struct LedgerBranch *branch)
+adopt_uncertain_call (struct LedgerProgram *program, struct LedgerBranch *branch)
 {
-  const struct LedgerFlight *flight = &branch->flight;
+  const struct LedgerInFlight *in_flight = &branch->in_flight;
   struct LedgerTurn turn = {
     .outcome = { .error = ERROR_MAY_HAVE_RUN,
                  .ran = RAN_MAYBE,
-                 .charge_tokens = flight->reserved_tokens },
+                 .charge_tokens = in_flight->reserved_tokens },
   };
   int32_t error;
 
   memcpy (turn.key.program, program->created.program.program, sizeof turn.key.program);
   memcpy (turn.key.branch, branch->name, sizeof turn.key.branch);
-  memcpy (turn.digest, flight->digest, DIGEST_BYTES);
-  turn.key.sequence = flight->sequence;
+  memcpy (turn.digest, in_flight->digest, DIGEST_BYTES);
+  turn.key.sequence = in_flight->sequence;
   error = program_add_turn (program, &turn);
   if (error != ERROR_NONE)
     return error;
-  branch->last_sequence = flight->sequence;
-  program->charged_tokens += flight->reserved_tokens;
-  program_clear_flight (program, branch);
+  branch->last_sequence = in_flight->sequence;
+  program->charged_tokens += in_flight->reserved_tokens;
+  program_clear_in_flight (program, branch);
   return ERROR_NONE;
 }
 
@@ -245,18 +246,19 @@
 adopt_branch (struct LedgerProgram *program, struct LedgerBranch *branch)
 {
   const struct Record *created = &program->created;
-  uint64_t left_tokens, lost_tokens;
+  uint64_t remaining_tokens, unrecorded_tokens;
 
-  if (branch->flight.active && !branch->flight.idempotent)
-    return adopt_unknown_call (program, branch);
-  /* An idempotent call that was in flight unjournaled had at most the grant; together those of
-   * all branches had at most what was left of the budget. */
-  lost_tokens =
-      branch->flight.active ? branch->flight.reserved_tokens : created->program.grant_tokens;
-  program_clear_flight (program, branch);
-  left_tokens = program_remaining_tokens (program);
-  if (!program->ended && branch->known)
-    program->charged_tokens += lost_tokens < left_tokens ? lost_tokens : left_tokens;
+  if (branch->in_flight.active && !branch->in_flight.idempotent)
+    return adopt_uncertain_call (program, branch);
+  /* An idempotent call that was in flight without an intent reserved at most the grant. Such calls
+   * of all branches together reserved at most the remaining budget. */
+  unrecorded_tokens =
+      branch->in_flight.active ? branch->in_flight.reserved_tokens : created->program.grant_tokens;
+  program_clear_in_flight (program, branch);
+  remaining_tokens = program_remaining_tokens (program);
+  if (!program->ended && branch->journaled)
+    program->charged_tokens +=
+        unrecorded_tokens < remaining_tokens ? unrecorded_tokens : remaining_tokens;
   return ERROR_NONE;
 }
 
@@ -269,7 +271,7 @@
   for (size_t i = 0; i < program->n_branches && error == ERROR_NONE && !planned; i++)
     error = adopt_branch (program, program->branches[i]);
   if (error == ERROR_NONE && !planned && !program->ended)
-    error = program_hold (program, LEDGER_ANY_BACKEND);
+    error = program_add_holder (program, LEDGER_ANY_BACKEND);
   return error;
 }
 
--- a/core/ledger_pack.c
+++ b/core/ledger_pack.c
@@ -7,11 +7,11 @@
 enum
 {
   SNAPSHOT_VERSION = 1,
-  SNAPSHOT_PART_BYTES = 256 * 1024 /* several parts fit into a slot */
+  SNAPSHOT_PART_BYTES = 256 * 1024 /* several parts fit into one slot */
 };
 
 static void
-pack_head (struct PackWriter *writer, const struct LedgerProgram *program)
+pack_program_fields (struct PackWriter *writer, const struct LedgerProgram *program)
 {
   const struct Record *created = &program->created;
 
@@ -31,7 +31,7 @@
 }
 
 static void
-unpack_head (struct PackReader *reader, struct LedgerProgram *program)
+unpack_program_fields (struct PackReader *reader, struct LedgerProgram *program)
 {
   struct Record *created = &program->created;
 
@@ -53,22 +53,22 @@
   read_fixed (reader, program->history_digest, DIGEST_BYTES);
 }
 
-/* A flight without an applied intent is left out: a replay would not know it either. */
+/* Omits a call in flight without an applied intent, which a replay could not restore either. */
 static void
 pack_branch (struct PackWriter *writer, const struct LedgerBranch *branch)
 {
-  const struct LedgerFlight *flight = &branch->flight;
-  bool has_intent = flight->active && flight->intent_applied;
+  const struct LedgerInFlight *in_flight = &branch->in_flight;
+  bool has_intent = in_flight->active && in_flight->intent_applied;
 
   pack_array (writer, has_intent ? 6 : 3);
   pack_string (writer, branch->name);
   pack_u64 (writer, branch->last_sequence);
-  pack_bool (writer, branch->known);
+  pack_bool (writer, branch->journaled);
   if (!has_intent)
     return;
-  pack_bytes (writer, flight->digest, DIGEST_BYTES);
-  pack_u64 (writer, flight->reserved_tokens);
-  pack_bool (writer, flight->idempotent);
+  pack_bytes (writer, in_flight->digest, DIGEST_BYTES);
+  pack_u64 (writer, in_flight->reserved_tokens);
+  pack_bool (writer, in_flight->idempotent);
 }
 
 static void
@@ -87,19 +87,19 @@
       return;
     }
   branch->last_sequence = read_u64 (&fields, UINT64_MAX);
-  branch->known = read_bool (&fields);
+  branch->journaled = read_bool (&fields);
   if (fields.n_items > 3)
     {
-      struct LedgerFlight *flight = &branch->flight;
+      struct LedgerInFlight *in_flight = &branch->in_flight;
 
-      flight->active = true;
-      flight->intent_issued = true;
-      flight->intent_applied = true;
-      flight->sequence = branch->last_sequence + 1;
-      read_fixed (&fields, flight->digest, DIGEST_BYTES);
-      flight->reserved_tokens = read_u64 (&fields, program_remaining_tokens (program));
-      flight->idempotent = read_bool (&fields);
-      program->reserved_tokens += flight->reserved_tokens;
+      in_flight->active = true;
+      in_flight->intent_issued = true;
+      in_flight->intent_applied = true;
+      in_flight->sequence = branch->last_sequence + 1;
+      read_fixed (&fields, in_flight->digest, DIGEST_BYTES);
+      in_flight->reserved_tokens = read_u64 (&fields, program_remaining_tokens (program));
+      in_flight->idempotent = read_bool (&fields);
+      program->reserved_tokens += in_flight->reserved_tokens;
     }
   if (read_end (&fields) != ERROR_NONE)
     reader->failed = true;
@@ -132,18 +132,18 @@
   turn.idempotent = read_bool (&fields);
   outcome_read (&fields, scratch, &turn.outcome);
   turn.request = read_bytes (&fields, scratch, &turn.request_bytes);
-  if (read_end (&fields) != ERROR_NONE || program_push_turn (program, &turn) != ERROR_NONE)
+  if (read_end (&fields) != ERROR_NONE || program_append_turn (program, &turn) != ERROR_NONE)
     reader->failed = true;
   talloc_free (scratch);
 }
 
 static void
-unpack_held (struct PackReader *reader, struct LedgerProgram *program)
+unpack_holder (struct PackReader *reader, struct LedgerProgram *program)
 {
   char backend[NAME_MAX_BYTES + 1];
 
   read_string (reader, backend, sizeof backend);
-  if (program_hold (program, backend) != ERROR_NONE)
+  if (program_add_holder (program, backend) != ERROR_NONE)
     reader->failed = true;
 }
 
@@ -172,16 +172,16 @@
   if (writer == NULL)
     return ERROR_NO_MEMORY;
   pack_array (writer, 16);
-  pack_head (writer, program);
+  pack_program_fields (writer, program);
   pack_array (writer, program->n_branches);
   for (size_t i = 0; i < program->n_branches; i++)
     pack_branch (writer, program->branches[i]);
   pack_array (writer, program->n_turns);
   for (size_t i = 0; i < program->n_turns; i++)
     pack_turn (writer, program->turns[i]);
-  pack_array (writer, program->n_held);
-  for (size_t i = 0; i < program->n_held; i++)
-    pack_string (writer, program->held[i]);
+  pack_array (writer, program->n_holders);
+  for (size_t i = 0; i < program->n_holders; i++)
+    pack_string (writer, program->holders[i]);
   return pack_finish (writer, ctx, state, state_bytes);
 }
 
@@ -205,17 +205,17 @@
                        uint64_t epoch)
 {
   struct LedgerProgram *program = talloc_zero (ledger, struct LedgerProgram);
-  struct LedgerProgram *former;
+  struct LedgerProgram *previous;
   struct PackReader reader;
   void *document;
 
   if (program == NULL)
     return ERROR_NO_MEMORY;
   document = pack_open (program, state, state_bytes, &reader);
-  unpack_head (&reader, program);
+  unpack_program_fields (&reader, program);
   unpack_list (&reader, program, unpack_branch);
   unpack_list (&reader, program, unpack_turn);
-  unpack_list (&reader, program, unpack_held);
+  unpack_list (&reader, program, unpack_holder);
   if (document == NULL || read_end (&reader) != ERROR_NONE)
     {
       talloc_free (program);
@@ -224,9 +224,9 @@
   talloc_free (document);
   program->created.partition = partition;
   program->created.epoch = epoch;
-  former = ledger_find (ledger, program->created.program.program);
-  if (former != NULL)
-    ledger_remove (ledger, former);
+  previous = ledger_find (ledger, program->created.program.program);
+  if (previous != NULL)
+    ledger_remove (ledger, previous);
   HASH_ADD_STR (ledger->programs, created.program.program, program);
   return ERROR_NONE;
 }
@@ -238,7 +238,7 @@
                       struct Record **records,
                       size_t *n_records)
 {
-  struct Record *grown;
+  struct Record *resized;
   uint8_t *state;
   size_t state_bytes;
   uint32_t n_parts;
@@ -248,13 +248,13 @@
   if (error != ERROR_NONE)
     return error;
   n_parts = (uint32_t)((state_bytes + SNAPSHOT_PART_BYTES - 1) / SNAPSHOT_PART_BYTES);
-  grown = talloc_realloc (ctx, *records, struct Record, *n_records + n_parts);
-  if (grown == NULL)
+  resized = talloc_realloc (ctx, *records, struct Record, *n_records + n_parts);
+  if (resized == NULL)
     return ERROR_NO_MEMORY;
-  *records = grown;
+  *records = resized;
   for (uint32_t part = 0; part < n_parts; part++)
     {
-      struct Record *record = &grown[(*n_records)++];
+      struct Record *record = &resized[(*n_records)++];
       size_t at = (size_t)part * SNAPSHOT_PART_BYTES;
       size_t left = state_bytes - at;
 
--- a/core/ledger_state.c
+++ b/core/ledger_state.c
@@ -8,12 +8,12 @@
 ledger_free (struct Ledger *ledger)
 {
   struct LedgerProgram *program, *next;
-  struct LedgerPartial *partial, *next_partial;
+  struct LedgerPartialSnapshot *partial, *next_partial;
 
   HASH_ITER (hh, ledger->programs, program, next)
   ledger_remove (ledger, program);
-  HASH_ITER (hh, ledger->partials, partial, next_partial)
-  ledger_remove_partial (ledger, partial);
+  HASH_ITER (hh, ledger->partial_snapshots, partial, next_partial)
+  ledger_remove_partial_snapshot (ledger, partial);
   return 0;
 }
 
@@ -44,13 +44,13 @@
   if (program == NULL)
     return NULL;
   program->created = *created;
-  /* Every program has its main branch, so a replay knows it from the creation. */
+  /* Every program has a main branch, so a replay recreates it from RECORD_PROGRAM alone. */
   if (program_need_branch (program, MAIN_BRANCH) == NULL)
     {
       talloc_free (program);
       return NULL;
     }
-  program->branches[0]->known = true;
+  program->branches[0]->journaled = true;
   HASH_ADD_STR (ledger->programs, created.program.program, program);
   return program;
 }
@@ -63,9 +63,9 @@
 }
 
 void
-ledger_remove_partial (struct Ledger *ledger, struct LedgerPartial *partial)
+ledger_remove_partial_snapshot (struct Ledger *ledger, struct LedgerPartialSnapshot *partial)
 {
-  HASH_DEL (ledger->partials, partial);
+  HASH_DEL (ledger->partial_snapshots, partial);
   talloc_free (partial);
 }
 
@@ -82,15 +82,15 @@
 program_need_branch (struct LedgerProgram *program, const char *name)
 {
   struct LedgerBranch *branch = program_find_branch (program, name);
-  struct LedgerBranch **grown;
+  struct LedgerBranch **resized;
 
   if (branch != NULL)
     return branch;
-  grown =
+  resized =
       talloc_realloc (program, program->branches, struct LedgerBranch *, program->n_branches + 1);
-  if (grown == NULL)
+  if (resized == NULL)
     return NULL;
-  program->branches = grown;
+  program->branches = resized;
   branch = talloc_zero (program, struct LedgerBranch);
   if (branch == NULL)
     return NULL;
@@ -126,20 +126,20 @@
 }
 
 int32_t
-program_push_turn (struct LedgerProgram *program, const struct LedgerTurn *turn)
+program_append_turn (struct LedgerProgram *program, const struct LedgerTurn *turn)
 {
-  struct LedgerTurn **grown;
+  struct LedgerTurn **resized;
   struct LedgerTurn *copy;
   int32_t error = ERROR_NONE;
   size_t n = program->n_turns;
 
-  /* Doubled, so that a long program does not copy its list at every turn. */
+  /* Doubles the capacity, so that the array of a long program is not copied at every turn. */
   if ((n & (n - 1)) == 0)
     {
-      grown = talloc_realloc (program, program->turns, struct LedgerTurn *, n == 0 ? 1 : 2 * n);
-      if (grown == NULL)
+      resized = talloc_realloc (program, program->turns, struct LedgerTurn *, n == 0 ? 1 : 2 * n);
+      if (resized == NULL)
         return ERROR_NO_MEMORY;
-      program->turns = grown;
+      program->turns = resized;
     }
   copy = talloc_memdup (program, turn, sizeof *turn);
   if (copy == NULL)
@@ -156,7 +156,8 @@
   return ERROR_NONE;
 }
 
-/* Lengths and numbers stand before what they measure, so that no two histories give one chain. */
+/* Hashes a fixed-size number. Each length is hashed before its bytes, so that different histories
+ * never produce the same input. */
 static void
 digest_number (struct sha256_ctx *sha, uint64_t number)
 {
@@ -176,7 +177,7 @@
 }
 
 static void
-program_chain_turn (struct LedgerProgram *program, const struct LedgerTurn *turn)
+program_extend_digest (struct LedgerProgram *program, const struct LedgerTurn *turn)
 {
   struct sha256_ctx sha;
 
@@ -195,58 +196,59 @@
 int32_t
 program_add_turn (struct LedgerProgram *program, const struct LedgerTurn *turn)
 {
-  int32_t error = program_push_turn (program, turn);
+  int32_t error = program_append_turn (program, turn);
 
   if (error == ERROR_NONE)
-    program_chain_turn (program, turn);
+    program_extend_digest (program, turn);
   return error;
 }
 
 int32_t
-program_hold (struct LedgerProgram *program, const char *backend)
+program_add_holder (struct LedgerProgram *program, const char *backend)
 {
-  char (*grown)[NAME_MAX_BYTES + 1];
+  char (*resized)[NAME_MAX_BYTES + 1];
 
   if (backend[0] == '\0')
     return ERROR_NONE;
-  for (size_t i = 0; i < program->n_held; i++)
-    if (strcmp (program->held[i], backend) == 0)
+  for (size_t i = 0; i < program->n_holders; i++)
+    if (strcmp (program->holders[i], backend) == 0)
       return ERROR_NONE;
-  grown =
-      talloc_realloc_size (program, program->held, (program->n_held + 1) * sizeof program->held[0]);
-  if (grown == NULL)
+  resized = talloc_realloc_size (program, program->holders,
+                                 (program->n_holders + 1) * sizeof program->holders[0]);
+  if (resized == NULL)
     return ERROR_NO_MEMORY;
-  program->held = grown;
-  snprintf (grown[program->n_held++], sizeof grown[0], "%s", backend);
+  program->holders = resized;
+  snprintf (resized[program->n_holders++], sizeof resized[0], "%s", backend);
   return ERROR_NONE;
 }
 
 void
-program_release (struct LedgerProgram *program, const char *backend)
+program_remove_holder (struct LedgerProgram *program, const char *backend)
 {
-  for (size_t i = 0; i < program->n_held; i++)
-    if (strcmp (program->held[i], backend) == 0)
+  for (size_t i = 0; i < program->n_holders; i++)
+    if (strcmp (program->holders[i], backend) == 0)
       {
-        program->n_held--;
-        memmove (program->held[i], program->held[program->n_held], sizeof program->held[0]);
+        program->n_holders--;
+        memmove (program->holders[i], program->holders[program->n_holders],
+                 sizeof program->holders[0]);
         return;
       }
 }
 
 void
-program_clear_flight (struct LedgerProgram *program, struct LedgerBranch *branch)
+program_clear_in_flight (struct LedgerProgram *program, struct LedgerBranch *branch)
 {
-  program->reserved_tokens -= branch->flight.reserved_tokens;
-  memset (&branch->flight, 0, sizeof branch->flight);
+  program->reserved_tokens -= branch->in_flight.reserved_tokens;
+  memset (&branch->in_flight, 0, sizeof branch->in_flight);
 }
 
 uint32_t
-program_n_flights (const struct LedgerProgram *program)
+program_n_in_flight (const struct LedgerProgram *program)
 {
   uint32_t n = 0;
 
   for (size_t i = 0; i < program->n_branches; i++)
-    if (program->branches[i]->flight.active)
+    if (program->branches[i]->in_flight.active)
       n++;
   return n;
 }
--- a/core/ledger_view.c
+++ b/core/ledger_view.c
@@ -20,11 +20,11 @@
   view->deadline_unix_ms = created->program.deadline_unix_ms;
   view->turns = (uint32_t)program->n_turns;
   view->turn_limit = created->program.turn_limit;
-  view->in_flight = program_n_flights (program);
+  view->in_flight = program_n_in_flight (program);
   view->ended = program->ended;
   view->end_reason = program->end_reason;
   memcpy (view->history_digest, program->history_digest, DIGEST_BYTES);
-  view->n_held_backends = program->ended ? (uint32_t)program->n_held : 0;
+  view->n_held_backends = program->ended ? (uint32_t)program->n_holders : 0;
 }
 
 bool
@@ -74,8 +74,8 @@
   struct LedgerProgram *program, *next;
 
   HASH_ITER (hh, ledger->programs, program, next)
-  for (size_t i = 0; program->ended && i < program->n_held; i++)
-    fn (data, program->created.program.program, program->held[i]);
+  for (size_t i = 0; program->ended && i < program->n_holders; i++)
+    fn (data, program->created.program.program, program->holders[i]);
 }
 
 bool
@@ -86,7 +86,7 @@
   HASH_ITER (hh, ledger->programs, program, next)
   {
     if (program->created.partition == partition
-        && (program->pending || program->ending || program_n_flights (program) > 0))
+        && (program->pending || program->ending || program_n_in_flight (program) > 0))
       return true;
   }
   return false;
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -16,20 +16,20 @@
 ledger_with (TALLOC_CTX *ctx, const char *program, uint32_t turn_limit)
 {
   struct Ledger *ledger = ledger_new (ctx);
-  struct Record want = { .kind = RECORD_PROGRAM, .partition = PARTITION, .epoch = 1 };
+  struct Record created = { .kind = RECORD_PROGRAM, .partition = PARTITION, .epoch = 1 };
   struct Fault fault;
   bool exists;
 
-  snprintf (want.program.program, sizeof want.program.program, "%s", program);
-  want.program.budget_tokens = BUDGET;
-  want.program.grant_tokens = GRANT;
-  want.program.turn_limit = turn_limit;
-  CU_ASSERT_EQUAL (ledger_create_program (ledger, &want, &exists, &fault), ERROR_NONE);
-  CU_ASSERT_EQUAL (ledger_apply (ledger, &want), ERROR_NONE);
+  snprintf (created.program.program, sizeof created.program.program, "%s", program);
+  created.program.budget_tokens = BUDGET;
+  created.program.grant_tokens = GRANT;
+  created.program.turn_limit = turn_limit;
+  CU_ASSERT_EQUAL (ledger_create_program (ledger, &created, &exists, &fault), ERROR_NONE);
+  CU_ASSERT_EQUAL (ledger_apply (ledger, &created), ERROR_NONE);
   return ledger;
 }
 
-/* A call whose body is told by digest_byte and which reserves 20 + max_tokens. */
+/* Returns a call that reserves 20 + max_tokens. digest_byte stands for its body. */
 static struct Call
 call_of (const char *branch, uint64_t sequence, uint8_t digest_byte, uint32_t max_tokens)
 {
@@ -98,10 +98,10 @@
   return (uint32_t)n_records;
 }
 
-/* A picker's agent resends after a broken connection, and its calls arrive crossed: each gets the
- * answer to its own request, or is told the number that is expected. */
+/* A caller resends after a broken connection, and its calls arrive out of order. Each must get the
+ * answer to its own request, or an error with the expected sequence number. */
 static void
-test_resent_and_crossed_calls (void)
+test_resent_and_out_of_order_calls (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Ledger *ledger = ledger_with (ctx, "p", 0);
@@ -119,10 +119,10 @@
   {
     struct Record record = end_record (ledger, call_of (MAIN_BRANCH, 1, 1, 10), "one", 7);
 
-    /* Written but not durable: nobody may hear of it. */
+    /* Journaled but not durable: no caller may receive it. */
     CU_ASSERT_EQUAL (accept (ledger, call_of (MAIN_BRANCH, 1, 1, 10)).verdict, LEDGER_JOIN);
     ledger_apply (ledger, &record);
-    ledger_apply (ledger, &record); /* a replay may meet it twice */
+    ledger_apply (ledger, &record); /* a replay may apply it twice */
     CU_ASSERT_EQUAL (view_of (ledger).turns, 1);
   }
   run (ledger, call_of (MAIN_BRANCH, 2, 2, 10), "two", 7);
@@ -134,8 +134,8 @@
   talloc_free (ctx);
 }
 
-/* Two programs send equal bodies at once. Their answers and histories must not meet: the call is
- * found by program, branch and sequence, never by its digest. */
+/* Two programs send equal bodies concurrently. Their answers and histories must stay separate: a
+ * call is found by program, branch and sequence, never by its digest. */
 static void
 test_two_programs_with_equal_bodies (void)
 {
@@ -165,8 +165,8 @@
   talloc_free (ctx);
 }
 
-/* Sub-agents draw on one budget at once, and an engine answers longer than it was told to. What
- * is charged and reserved together never passes the budget. */
+/* Sub-agents use one budget concurrently, and an engine generates more than max_tokens. The sum of
+ * charged and reserved tokens must never exceed the budget. */
 static void
 test_budget_is_shared_and_capped (void)
 {
@@ -196,17 +196,17 @@
   talloc_free (ctx);
 }
 
-/* A home dies while sub-agents have calls in flight, and then a second one does. The tokens that
- * those calls used were never written down; charging each branch what it can have reserved keeps
- * the program within its budget, whatever the engines did. */
+/* A home fails while sub-agents have calls in flight, then further homes fail. The tokens used by
+ * those calls were not journaled. Charging each branch the maximum that it can have reserved keeps
+ * the program within its budget. */
 static void
-test_budget_under_take_over (void)
+test_budget_after_take_overs (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Ledger *ledger = ledger_with (ctx, "p", 0);
   struct LedgerDecision d;
 
-  /* A first call on a new branch is journaled, else a take-over would not know to charge it. */
+  /* The first call on a new branch is journaled; otherwise a take-over would not charge it. */
   d = accept (ledger, call_of ("a", 1, 1, 10));
   CU_ASSERT_EQUAL (d.verdict, LEDGER_JOURNAL_FIRST);
   ledger_apply (ledger, &d.record);
@@ -222,41 +222,42 @@
   talloc_free (ctx);
 }
 
-/* A home is replaced while the creation of a program waits to be written, and its caller sends
- * both again elsewhere. What the first home ran meanwhile would be charged to nobody. */
+/* A home is replaced while the creation of a program is queued, and the caller resends the creation
+ * and the call to another home. Without a journaled intent, a call that the first home ran in the
+ * meantime would not be charged. */
 static void
 test_call_before_its_program_is_durable (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Ledger *ledger = ledger_new (ctx);
-  struct Record want = { .kind = RECORD_PROGRAM, .partition = PARTITION, .epoch = 1 };
+  struct Record created = { .kind = RECORD_PROGRAM, .partition = PARTITION, .epoch = 1 };
   struct Fault fault;
   bool exists;
 
-  snprintf (want.program.program, sizeof want.program.program, "p");
-  want.program.budget_tokens = BUDGET;
-  want.program.grant_tokens = GRANT;
-  ledger_create_program (ledger, &want, &exists, &fault);
+  snprintf (created.program.program, sizeof created.program.program, "p");
+  created.program.budget_tokens = BUDGET;
+  created.program.grant_tokens = GRANT;
+  ledger_create_program (ledger, &created, &exists, &fault);
   CU_ASSERT_EQUAL (accept (ledger, call_of (MAIN_BRANCH, 1, 1, 10)).verdict, LEDGER_JOURNAL_FIRST);
   talloc_free (ctx);
 }
 
-/* A wage confirmation was sent and its home died before the answer was written. The resend must
- * hear "may have run", at this home and at the next, and the program goes on with the next call. */
+/* A home fails after sending a non-idempotent call and before journaling its outcome. A resend must
+ * get "may have run" after the take-over, and the program must be able to continue. */
 static void
 test_intent_without_outcome (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Ledger *ledger = ledger_with (ctx, "p", 0);
-  struct Call wage = call_of (MAIN_BRANCH, 1, 1, 10);
+  struct Call call = call_of (MAIN_BRANCH, 1, 1, 10);
   struct LedgerDecision d;
 
-  wage.idempotent = false;
-  d = accept (ledger, wage);
+  call.idempotent = false;
+  d = accept (ledger, call);
   CU_ASSERT_EQUAL (d.verdict, LEDGER_JOURNAL_FIRST);
   ledger_apply (ledger, &d.record);
   CU_ASSERT_EQUAL (adopt (ledger, 2, false), 1);
-  d = accept (ledger, wage);
+  d = accept (ledger, call);
   CU_ASSERT_EQUAL_FATAL (d.verdict, LEDGER_STORED);
   CU_ASSERT_EQUAL (d.stored->error, ERROR_MAY_HAVE_RUN);
   CU_ASSERT_EQUAL (d.stored->ran, RAN_MAYBE);
@@ -264,51 +265,52 @@
   talloc_free (ctx);
 }
 
-/* A refusal races with the dispatch. "Not run" is said of a journaled intent only after a record
- * says so too, else the home that takes over would call it "may have run". */
+/* A call is cancelled while its dispatch is prepared. "Not run" may be reported for a journaled
+ * intent only after RECORD_NOT_SENT is durable; otherwise a home that takes over would report "may
+ * have run". */
 static void
-test_abandoned_intent_may_be_used_again (void)
+test_sequence_of_abandoned_intent_is_reusable (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Ledger *ledger = ledger_with (ctx, "p", 0);
-  struct Call wage = call_of (MAIN_BRANCH, 1, 1, 10);
+  struct Call call = call_of (MAIN_BRANCH, 1, 1, 10);
   struct LedgerDecision d;
   struct Record record;
   bool must_journal;
 
-  wage.idempotent = false;
-  accept (ledger, wage);
-  CU_ASSERT_EQUAL (ledger_abandon_call (ledger, &wage.key, &record, &must_journal), ERROR_NONE);
+  call.idempotent = false;
+  accept (ledger, call);
+  CU_ASSERT_EQUAL (ledger_abandon_call (ledger, &call.key, &record, &must_journal), ERROR_NONE);
   CU_ASSERT_FALSE (must_journal);
-  d = accept (ledger, wage);
+  d = accept (ledger, call);
   ledger_apply (ledger, &d.record);
-  CU_ASSERT_EQUAL (ledger_abandon_call (ledger, &wage.key, &record, &must_journal), ERROR_NONE);
+  CU_ASSERT_EQUAL (ledger_abandon_call (ledger, &call.key, &record, &must_journal), ERROR_NONE);
   CU_ASSERT (must_journal);
-  CU_ASSERT_EQUAL (accept (ledger, wage).verdict, LEDGER_JOIN);
+  CU_ASSERT_EQUAL (accept (ledger, call).verdict, LEDGER_JOIN);
   ledger_apply (ledger, &record);
   CU_ASSERT_EQUAL (view_of (ledger).reserved_tokens, 0);
   adopt (ledger, 2, false);
-  CU_ASSERT_EQUAL (accept (ledger, wage).verdict, LEDGER_JOURNAL_FIRST);
+  CU_ASSERT_EQUAL (accept (ledger, call).verdict, LEDGER_JOURNAL_FIRST);
   talloc_free (ctx);
 }
 
-/* A home paused over a take-over wakes and its old records are read after the new home's: the
- * history that callers were told of must stand. */
+/* A home that was paused during a take-over resumes, and its old records are replayed after those
+ * of the new home. The history that was reported to callers must not change. */
 static void
 test_lower_epoch_is_ignored (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Ledger *ledger = ledger_with (ctx, "p", 0);
-  struct Record late;
+  struct Record late_outcome;
   struct LedgerDecision d;
 
   accept (ledger, call_of (MAIN_BRANCH, 1, 1, 10));
-  late = end_record (ledger, call_of (MAIN_BRANCH, 1, 1, 10), "old", 7);
+  late_outcome = end_record (ledger, call_of (MAIN_BRANCH, 1, 1, 10), "old", 7);
   adopt (ledger, 2, false);
   run (ledger, call_of (MAIN_BRANCH, 1, 1, 10), "new", 7);
-  CU_ASSERT_EQUAL (ledger_apply (ledger, &late), ERROR_NONE);
-  late.outcome.key.sequence = 2;
-  CU_ASSERT_EQUAL (ledger_apply (ledger, &late), ERROR_NONE);
+  CU_ASSERT_EQUAL (ledger_apply (ledger, &late_outcome), ERROR_NONE);
+  late_outcome.outcome.key.sequence = 2;
+  CU_ASSERT_EQUAL (ledger_apply (ledger, &late_outcome), ERROR_NONE);
   d = accept (ledger, call_of (MAIN_BRANCH, 1, 1, 10));
   CU_ASSERT_EQUAL_FATAL (d.verdict, LEDGER_STORED);
   CU_ASSERT_EQUAL (memcmp (d.stored->answer, "new", 3), 0);
@@ -316,8 +318,9 @@
   talloc_free (ctx);
 }
 
-/* A program ends while a call is in flight: later calls are refused, what was in flight is still
- * recorded, and the memory at its backend server counts as held until it is released. */
+/* A program ends while a call is in flight. Later calls must be refused, the outcome of the call
+ * must still be recorded, and the backend server must stay listed until it has released its memory.
+ */
 static void
 test_end_and_release (void)
 {
@@ -344,11 +347,11 @@
   talloc_free (ctx);
 }
 
-/* A call breaks on engine-2 and runs on engine-1; the program is handed to another home and ends
- * there. engine-2 has read the prompt too, and no outcome says so: without the record its memory
- * would stay held for ever. */
+/* A call fails on engine-2 and runs on engine-1; the program is then handed off to another home and
+ * ends there. engine-2 has processed the prompt too, but no outcome names it. Without RECORD_HELD
+ * its memory would never be released. */
 static void
-test_broken_dispatch_is_released_after_a_hand_off (void)
+test_failed_dispatch_is_released_after_a_hand_off (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Ledger *ledger = ledger_with (ctx, "p", 0);
@@ -359,7 +362,7 @@
   snprintf (held.released.backend, sizeof held.released.backend, "engine-2");
   CU_ASSERT_EQUAL (ledger_apply (ledger, &held), ERROR_NONE);
   run (ledger, call_of (MAIN_BRANCH, 1, 1, 10), "one", 7);
-  CU_ASSERT_EQUAL (ledger_apply (ledger, &held), ERROR_NONE); /* told twice */
+  CU_ASSERT_EQUAL (ledger_apply (ledger, &held), ERROR_NONE); /* applied twice */
   adopt (ledger, 2, true);
   CU_ASSERT_EQUAL (ledger_end_program (ledger, "p", END_DONE, &end), ERROR_NONE);
   end.epoch = 2;
@@ -373,7 +376,7 @@
 }
 
 static void
-test_looping_and_late_programs_are_stopped (void)
+test_program_at_its_turn_limit_is_ended (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Ledger *ledger = ledger_with (ctx, "p", 2);
@@ -384,8 +387,8 @@
   talloc_free (ctx);
 }
 
-/* A long program's state is larger than a slot. Its parts, replayed elsewhere, give the same
- * program: history, digests, intent and what is held. */
+/* The state of a long program is larger than a slot. A replay of its parts must give the same
+ * program: history digest, charges, reservation and intent. */
 static void
 test_snapshot_in_parts (void)
 {
@@ -393,28 +396,28 @@
   struct Ledger *ledger = ledger_with (ctx, "p", 0), *other = ledger_new (ctx);
   char *answer = talloc_zero_array (ctx, char, 300001);
   struct Record *records;
-  struct Call wage = call_of (MAIN_BRANCH, 4, 4, 10);
+  struct Call call = call_of (MAIN_BRANCH, 4, 4, 10);
   struct LedgerDecision d;
-  struct LedgerProgramView was, is;
+  struct LedgerProgramView original, restored;
   size_t n_records;
 
   memset (answer, 'x', 300000);
   for (uint64_t n = 1; n <= 3; n++)
     run (ledger, call_of (MAIN_BRANCH, n, (uint8_t)n, 10), answer, 1);
-  wage.idempotent = false;
-  d = accept (ledger, wage);
+  call.idempotent = false;
+  d = accept (ledger, call);
   ledger_apply (ledger, &d.record);
   CU_ASSERT_EQUAL (ledger_snapshot_partition (ledger, ctx, PARTITION, &records, &n_records),
                    ERROR_NONE);
   CU_ASSERT_EQUAL (n_records, 4);
   for (size_t i = 0; i < n_records; i++)
     CU_ASSERT_EQUAL (ledger_apply (other, &records[i]), ERROR_NONE);
-  was = view_of (ledger);
-  is = view_of (other);
-  CU_ASSERT_EQUAL (memcmp (was.history_digest, is.history_digest, DIGEST_BYTES), 0);
-  CU_ASSERT_EQUAL (is.charged_tokens, was.charged_tokens);
-  CU_ASSERT_EQUAL (is.reserved_tokens, 30);
-  CU_ASSERT_EQUAL (accept (other, wage).verdict, LEDGER_JOIN);
+  original = view_of (ledger);
+  restored = view_of (other);
+  CU_ASSERT_EQUAL (memcmp (original.history_digest, restored.history_digest, DIGEST_BYTES), 0);
+  CU_ASSERT_EQUAL (restored.charged_tokens, original.charged_tokens);
+  CU_ASSERT_EQUAL (restored.reserved_tokens, 30);
+  CU_ASSERT_EQUAL (accept (other, call).verdict, LEDGER_JOIN);
   records[1].snapshot.part = 2;
   ledger_apply (other, &records[0]);
   CU_ASSERT_EQUAL (ledger_apply (other, &records[1]), ERROR_INVALID);
@@ -423,18 +426,18 @@
 
 const char test_suite_name[] = "ledger";
 const struct TestCase test_cases[] = {
-  { "resent and crossed calls", test_resent_and_crossed_calls },
+  { "resent and out-of-order calls", test_resent_and_out_of_order_calls },
   { "two programs with equal bodies", test_two_programs_with_equal_bodies },
   { "budget is shared and capped", test_budget_is_shared_and_capped },
-  { "budget under take-over", test_budget_under_take_over },
+  { "budget after take-overs", test_budget_after_take_overs },
   { "call before its program is durable", test_call_before_its_program_is_durable },
   { "intent without outcome", test_intent_without_outcome },
-  { "abandoned intent may be used again", test_abandoned_intent_may_be_used_again },
+  { "sequence of an abandoned intent is reusable", test_sequence_of_abandoned_intent_is_reusable },
   { "lower epoch is ignored", test_lower_epoch_is_ignored },
   { "end and release", test_end_and_release },
-  { "broken dispatch is released after a hand-off",
-    test_broken_dispatch_is_released_after_a_hand_off },
-  { "looping and late programs are stopped", test_looping_and_late_programs_are_stopped },
+  { "failed dispatch is released after a hand-off",
+    test_failed_dispatch_is_released_after_a_hand_off },
+  { "program at its turn limit is ended", test_program_at_its_turn_limit_is_ended },
   { "snapshot in parts", test_snapshot_in_parts },
   { NULL, NULL },
 };
