--- a/core/record_fields.h
+++ b/core/record_fields.h
@@ -1,4 +1,4 @@
-/* Packing of the parts that records, ledger snapshots and messages between instances share. */
+/* Serialization of fields shared by records, ledger snapshots and messages between instances. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -6,6 +6,6 @@
 
 void
 outcome_pack (struct PackWriter *writer, const struct Outcome *outcome);
-/* The answer's copy belongs to ctx. */
+/* Allocates the copy of the answer on ctx. */
 void
 outcome_read (struct PackReader *reader, TALLOC_CTX *ctx, struct Outcome *outcome);
--- a/include/buckthornhead/call.h
+++ b/include/buckthornhead/call.h
@@ -1,5 +1,5 @@
-/* What a call is: the words shared by the callers' interface, the links between instances, the
- * journal and the policy. */
+/* Types that describe a call, shared by the caller API, the links between instances, the journal
+ * and the scheduling policy. */
 #pragma once
 
 #include <stdbool.h>
@@ -14,13 +14,13 @@
   MAIN_BRANCH_BYTES = 5
 };
 
-/* The branch that a program's own calls are on; each sub-agent names another. */
+/* Branch of the program's own calls. Each sub-agent uses a branch with another name. */
 #define MAIN_BRANCH "main"
 
-/* How the body of a chat begins; what stands between it and .messages_end are its messages. */
+/* Prefix of a chat request's body. The messages follow it, up to Call.messages_end. */
 #define CHAT_BODY_HEAD "{\"messages\":["
 
-/* Names one call of one program. */
+/* Identifies one call of one program. */
 struct CallKey
 {
   char program[PROGRAM_ID_MAX_BYTES + 1];
@@ -28,10 +28,10 @@
   uint64_t sequence; /* from 1 on each branch */
 };
 
-/* Whether a request ran, as told to its caller. */
+/* Whether a request ran, as reported to its caller. */
 enum RanState
 {
-  RAN_NO = 0, /* no dispatch happened and none can */
+  RAN_NO = 0, /* it was not dispatched and will not be */
   RAN_YES = 1,
   RAN_MAYBE = 2
 };
@@ -42,7 +42,7 @@
   CALL_TARGET_SERVICE /* target names a plain or tool service */
 };
 
-/* A call as its caller made it. Pointers belong to whoever passes it. */
+/* A call as received from its caller. The code that passes it owns what its pointers refer to. */
 struct Call
 {
   struct CallKey key;
@@ -52,25 +52,25 @@
   char path[128]; /* path at a plain service */
   bool idempotent;
   bool stream;
-  uint32_t max_tokens;          /* most that the answer may generate: what is reserved */
+  uint32_t max_tokens;          /* limit on generated tokens; part of the reservation */
   uint32_t prompt_tokens;       /* estimate */
-  int64_t deadline_ms;          /* time left when received; 0: the program's own deadline only */
+  int64_t deadline_ms;          /* time left at receipt; 0: only the program's deadline */
   uint8_t digest[DIGEST_BYTES]; /* of the body and the target */
   const uint8_t *body;
   size_t body_bytes;
-  /* Of a chat: the body begins with CHAT_BODY_HEAD and its messages, up to here without the closing
-   * bracket. The next turn's body usually begins with the same bytes. 0: no chat. */
+  /* Offset in the body of a chat request at which its messages end, before the closing bracket. The
+   * next turn's body usually begins with the same bytes up to there. 0: not a chat. */
   uint32_t messages_end;
 };
 
-/* The end of a call. */
+/* The result of a call that has ended. */
 struct Outcome
 {
   int32_t error; /* ERROR_NONE, ERROR_BACKEND, ERROR_MAY_HAVE_RUN, ... */
   enum RanState ran;
   uint32_t status;        /* HTTP status of the backend server, 0 when there was none */
   uint64_t charge_tokens; /* prompt and generated tokens charged to the budget */
-  uint32_t cached_tokens; /* prompt tokens that the engine found cached */
+  uint32_t cached_tokens; /* prompt tokens served from the engine's cache */
   char backend[NAME_MAX_BYTES + 1];
   const uint8_t *answer;
   size_t answer_bytes;
--- a/include/buckthornhead/record.h
+++ b/include/buckthornhead/record.h
@@ -1,8 +1,7 @@
-/* Journal records: what a home writes down before it acts, and how it is packed.
+/* Journal records, which a home writes before it acts on them, and their serialization.
  *
- * A slot of the journal is one value in the platform's key-value service: a msgpack array with a
- * version, the writer's incarnation, a batch id, the oldest slot a replay needs, and the records.
- */
+ * A journal slot is one value in the platform's key-value service: a msgpack array of version,
+ * kind, the writer's incarnation, batch id, the oldest slot that a replay needs, and records. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -12,14 +11,14 @@
 enum RecordKind
 {
   RECORD_PROGRAM = 1,  /* a program was created */
-  RECORD_INTENT = 2,   /* a non-idempotent call is about to be sent */
+  RECORD_INTENT = 2,   /* a call is about to be sent; see grant_tokens */
   RECORD_OUTCOME = 3,  /* a call has ended; its answer */
   RECORD_END = 4,      /* a program has ended */
-  RECORD_RELEASED = 5, /* a backend server no longer holds memory for an ended program */
-  RECORD_SNAPSHOT = 6, /* the whole state of one program (adoption, checkpoint) */
-  RECORD_HANDOFF = 7,  /* planned: the writer serves this partition no more */
-  RECORD_NOT_SENT = 8, /* an intent that was never sent and never will be */
-  RECORD_HELD = 9      /* a dispatch broke: the server may hold memory that no outcome tells of */
+  RECORD_RELEASED = 5, /* a backend server has freed its memory for an ended program */
+  RECORD_SNAPSHOT = 6, /* the complete state of one program (adoption, checkpoint) */
+  RECORD_HANDOFF = 7,  /* planned: the writer no longer serves this partition */
+  RECORD_NOT_SENT = 8, /* the call of an intent was not sent and will not be */
+  RECORD_HELD = 9      /* a dispatch failed: its server may hold memory but is in no outcome */
 };
 
 enum EndReason
@@ -32,8 +31,8 @@
   END_CALLER_GONE = 6
 };
 
-/* Every record carries its partition and the epoch under which its writer owned it: a replay
- * orders records by (epoch, slot, index), and a writer only ever uses epochs it holds. */
+/* Every record contains its partition and the epoch under which its writer owned the partition. A
+ * replay orders records by (epoch, slot, index), and a writer uses only epochs that it owns. */
 struct Record
 {
   enum RecordKind kind;
@@ -50,8 +49,8 @@
       int64_t created_unix_ms;
       int64_t deadline_unix_ms; /* 0: none */
       uint32_t turn_limit;      /* 0: none */
-      /* Largest reservation that an idempotent call on a known branch may take without a journaled
-       * intent; what each branch is charged when a home dies. 0: each call is journaled first. */
+      /* Maximum reservation of an idempotent call on a journaled branch that needs no intent. Each
+       * branch is charged this amount when its home fails. 0: every call needs an intent. */
       uint64_t grant_tokens;
       uint8_t create_digest[DIGEST_BYTES];
     } program;
@@ -60,14 +59,14 @@
       struct CallKey key;
       uint8_t digest[DIGEST_BYTES];
       uint64_t reserved_tokens;
-      bool idempotent; /* may be sent again: journaled for the budget's sake only */
+      bool idempotent; /* may be sent again; journaled only to account for its budget */
     } intent;          /* and not_sent */
     struct
     {
       struct CallKey key;
       uint8_t digest[DIGEST_BYTES];
       struct Outcome outcome;
-      const uint8_t *request; /* what this turn added to the history */
+      const uint8_t *request; /* what this turn adds to the history */
       size_t request_bytes;
       bool idempotent;
     } outcome;
@@ -84,8 +83,8 @@
     struct
     {
       char program[PROGRAM_ID_MAX_BYTES + 1];
-      /* ledger_pack_program's bytes, cut to parts that fit into slots; the program's state is
-       * replaced when the last of its parts has come. */
+      /* Part of the result of ledger_pack_program, which is split to fit into slots. The last part
+       * replaces the program's state. */
       uint32_t part, n_parts;
       const uint8_t *state;
       size_t state_bytes;
@@ -102,15 +101,15 @@
 struct Slot
 {
   enum SlotKind kind;
-  char writer[NAME_MAX_BYTES + 24]; /* incarnation that wrote it (the taker, for a seal) */
-  uint64_t batch_id;                /* unique for its writer */
-  uint64_t replay_from; /* oldest slot that a replay needs; in a seal: its own number once
-                           nothing before it counts any more, else 0 */
+  char writer[NAME_MAX_BYTES + 24]; /* incarnation that wrote it; for a seal, the taker */
+  uint64_t batch_id;                /* unique per writer */
+  uint64_t replay_from; /* oldest slot that a replay needs; in a seal: the seal's own number once
+                           no earlier slot is needed, else 0 */
   struct Record *records;
   size_t n_records;
 };
 
-/* A record as record_pack packed it. */
+/* A record as packed by record_pack. */
 struct PackedRecord
 {
   const uint8_t *bytes;
@@ -119,14 +118,14 @@
 
 enum
 {
-  SLOT_HEADER_MAX_BYTES = 256 /* all of a slot but its records */
+  SLOT_HEADER_MAX_BYTES = 256 /* size limit of a packed slot without its records */
 };
 
 /* Packs one record into a new talloc array of *bytes. */
 int32_t
 record_pack (TALLOC_CTX *ctx, const struct Record *record, uint8_t **packed, size_t *bytes);
 
-/* Packs slot, with the given packed records in place of its own. */
+/* Packs slot with the given packed records instead of slot->records. */
 int32_t
 slot_pack_records (TALLOC_CTX *ctx,
                    const struct Slot *slot,
@@ -139,10 +138,10 @@
 int32_t
 slot_pack (TALLOC_CTX *ctx, const struct Slot *slot, uint8_t **packed, size_t *bytes);
 
-/* Unpacks; all pointers in the result belong to ctx. ERROR_INVALID on any malformed input. */
+/* Unpacks a slot, allocated on ctx. Returns ERROR_INVALID if the input is malformed. */
 int32_t
 slot_unpack (TALLOC_CTX *ctx, const uint8_t *packed, size_t bytes, struct Slot **slot);
 
-/* Bytes that record will take in a slot, to fill slots up to KV_VALUE_MAX_BYTES. */
+/* Returns the size of record in a slot, for filling slots up to KV_VALUE_MAX_BYTES. */
 size_t
 record_packed_bytes (const struct Record *record);
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -21,7 +21,7 @@
   N_KINDS = RECORD_HELD /* kinds are numbered from 1 */
 };
 
-/* One record of each kind. */
+/* Returns a slot with one record of each kind. */
 static struct Slot
 slot_of_all_kinds (struct Record records[N_KINDS])
 {
@@ -64,90 +64,90 @@
 }
 
 static void
-test_every_kind_comes_back (void)
+test_round_trip_of_every_kind (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Record records[N_KINDS];
-  struct Slot slot = slot_of_all_kinds (records), *back = NULL;
-  uint8_t *packed, *again;
-  size_t bytes, again_bytes, sum = 0;
+  struct Slot slot = slot_of_all_kinds (records), *unpacked = NULL;
+  uint8_t *packed, *repacked;
+  size_t bytes, repacked_bytes, sum = 0;
 
   CU_ASSERT_EQUAL_FATAL (slot_pack (ctx, &slot, &packed, &bytes), ERROR_NONE);
-  CU_ASSERT_EQUAL_FATAL (slot_unpack (ctx, packed, bytes, &back), ERROR_NONE);
-  CU_ASSERT_STRING_EQUAL (back->writer, "malda-1.7");
-  CU_ASSERT_EQUAL (back->batch_id, 3);
-  CU_ASSERT_EQUAL (back->replay_from, 2);
-  CU_ASSERT_EQUAL_FATAL (back->n_records, N_KINDS);
-  CU_ASSERT_EQUAL (back->records[0].program.created_unix_ms, -1);
-  CU_ASSERT_EQUAL (back->records[2].outcome.outcome.error, ERROR_BACKEND);
-  CU_ASSERT_EQUAL (back->records[3].end.reason, END_LOOPING);
-  CU_ASSERT_EQUAL_FATAL (slot_pack (ctx, back, &again, &again_bytes), ERROR_NONE);
-  CU_ASSERT_EQUAL_FATAL (again_bytes, bytes);
-  CU_ASSERT_EQUAL (memcmp (again, packed, bytes), 0);
+  CU_ASSERT_EQUAL_FATAL (slot_unpack (ctx, packed, bytes, &unpacked), ERROR_NONE);
+  CU_ASSERT_STRING_EQUAL (unpacked->writer, "malda-1.7");
+  CU_ASSERT_EQUAL (unpacked->batch_id, 3);
+  CU_ASSERT_EQUAL (unpacked->replay_from, 2);
+  CU_ASSERT_EQUAL_FATAL (unpacked->n_records, N_KINDS);
+  CU_ASSERT_EQUAL (unpacked->records[0].program.created_unix_ms, -1);
+  CU_ASSERT_EQUAL (unpacked->records[2].outcome.outcome.error, ERROR_BACKEND);
+  CU_ASSERT_EQUAL (unpacked->records[3].end.reason, END_LOOPING);
+  CU_ASSERT_EQUAL_FATAL (slot_pack (ctx, unpacked, &repacked, &repacked_bytes), ERROR_NONE);
+  CU_ASSERT_EQUAL_FATAL (repacked_bytes, bytes);
+  CU_ASSERT_EQUAL (memcmp (repacked, packed, bytes), 0);
   for (size_t i = 0; i < N_KINDS; i++)
     sum += record_packed_bytes (&records[i]);
   CU_ASSERT (bytes - sum <= SLOT_HEADER_MAX_BYTES);
   talloc_free (ctx);
 }
 
-/* A cut or damaged value reaches a replay: taken as good, it would mix up histories. Each
- * truncation must be refused; each changed byte must be refused or give a well-formed slot. */
+/* Guards against a replay that accepts a truncated or corrupt value and so mixes up histories. Each
+ * truncation must be rejected; each changed byte must be rejected or give a well-formed slot. */
 static void
-test_malformed_is_refused (void)
+test_malformed_slot_is_rejected (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct Record records[N_KINDS];
-  struct Slot slot = slot_of_all_kinds (records), *back = NULL;
-  static const uint8_t bomb[] = { 0xdd, 0xff, 0xff, 0xff, 0xff };
+  struct Slot slot = slot_of_all_kinds (records), *unpacked = NULL;
+  static const uint8_t huge_array[] = { 0xdd, 0xff, 0xff, 0xff, 0xff };
   uint8_t *packed;
   size_t bytes;
 
   CU_ASSERT_EQUAL_FATAL (slot_pack (ctx, &slot, &packed, &bytes), ERROR_NONE);
   for (size_t n = 0; n < bytes; n++)
-    CU_ASSERT_EQUAL (slot_unpack (ctx, packed, n, &back), ERROR_INVALID);
+    CU_ASSERT_EQUAL (slot_unpack (ctx, packed, n, &unpacked), ERROR_INVALID);
   srand (7);
   for (size_t n = 0; n < bytes; n++)
     {
-      uint8_t was = packed[n];
+      uint8_t original = packed[n];
 
       packed[n] = (uint8_t)rand ();
-      if (slot_unpack (ctx, packed, bytes, &back) == ERROR_NONE)
-        CU_ASSERT (record_packed_bytes (&back->records[0]) > 0);
-      packed[n] = was;
+      if (slot_unpack (ctx, packed, bytes, &unpacked) == ERROR_NONE)
+        CU_ASSERT (record_packed_bytes (&unpacked->records[0]) > 0);
+      packed[n] = original;
     }
-  CU_ASSERT_EQUAL (slot_unpack (ctx, bomb, sizeof bomb, &back), ERROR_INVALID);
+  CU_ASSERT_EQUAL (slot_unpack (ctx, huge_array, sizeof huge_array, &unpacked), ERROR_INVALID);
   talloc_free (ctx);
 }
 
 static void
-test_map_group_comes_back (void)
+test_round_trip_of_partition_group (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PartitionEntry entries[2] = {
     { .epoch = 3, .home = "b.2", .n_journals = 2, .journals = { "a.1", "b.2" } },
   };
-  struct PartitionGroup group = { .n_entries = 2, .entries = entries }, *back = NULL;
+  struct PartitionGroup group = { .n_entries = 2, .entries = entries }, *unpacked = NULL;
   uint8_t *packed;
   size_t bytes;
 
   CU_ASSERT_EQUAL_FATAL (partition_group_pack (ctx, &group, &packed, &bytes), ERROR_NONE);
-  CU_ASSERT_EQUAL_FATAL (partition_group_unpack (ctx, packed, bytes, &back), ERROR_NONE);
-  CU_ASSERT_EQUAL (back->n_entries, 2);
-  CU_ASSERT_EQUAL (back->entries[0].epoch, 3);
-  CU_ASSERT_STRING_EQUAL (back->entries[0].journals[1], "b.2");
-  CU_ASSERT_STRING_EQUAL (back->entries[1].home, "");
-  CU_ASSERT_EQUAL (partition_group_unpack (ctx, packed, bytes - 1, &back), ERROR_INVALID);
+  CU_ASSERT_EQUAL_FATAL (partition_group_unpack (ctx, packed, bytes, &unpacked), ERROR_NONE);
+  CU_ASSERT_EQUAL (unpacked->n_entries, 2);
+  CU_ASSERT_EQUAL (unpacked->entries[0].epoch, 3);
+  CU_ASSERT_STRING_EQUAL (unpacked->entries[0].journals[1], "b.2");
+  CU_ASSERT_STRING_EQUAL (unpacked->entries[1].home, "");
+  CU_ASSERT_EQUAL (partition_group_unpack (ctx, packed, bytes - 1, &unpacked), ERROR_INVALID);
   talloc_free (ctx);
 }
 
-/* A member leaves: only the keys that it had may move, and the order of names never matters. */
+/* When a member leaves, only its keys may move. The order of the names must not matter. */
 static void
-test_rendezvous_moves_only_the_leavers_keys (void)
+test_rendezvous_moves_only_removed_members_keys (void)
 {
-  static const char *const all[] = { "a", "b", "c" };
-  static const char *const swapped[] = { "c", "b", "a" };
-  static const char *const left[] = { "a", "b" };
-  int moved = 0;
+  static const char *const names[] = { "a", "b", "c" };
+  static const char *const reversed[] = { "c", "b", "a" };
+  static const char *const remaining[] = { "a", "b" };
+  int n_moved = 0;
 
   for (int i = 0; i < 300; i++)
     {
@@ -155,23 +155,24 @@
       const char *before;
 
       snprintf (key, sizeof key, "partition-%d", i);
-      before = all[rendezvous_pick (key, all, 3)];
-      CU_ASSERT_STRING_EQUAL (before, swapped[rendezvous_pick (key, swapped, 3)]);
+      before = names[rendezvous_pick (key, names, 3)];
+      CU_ASSERT_STRING_EQUAL (before, reversed[rendezvous_pick (key, reversed, 3)]);
       if (strcmp (before, "c") == 0)
-        moved++;
+        n_moved++;
       else
-        CU_ASSERT_STRING_EQUAL (before, left[rendezvous_pick (key, left, 2)]);
+        CU_ASSERT_STRING_EQUAL (before, remaining[rendezvous_pick (key, remaining, 2)]);
     }
-  CU_ASSERT (moved > 60 && moved < 140);
-  CU_ASSERT_EQUAL (rendezvous_pick ("k", all, 0), -1);
+  CU_ASSERT (n_moved > 60 && n_moved < 140);
+  CU_ASSERT_EQUAL (rendezvous_pick ("k", names, 0), -1);
   CU_ASSERT (partition_of ("p", 64) < 64);
 }
 
 const char test_suite_name[] = "record";
 const struct TestCase test_cases[] = {
-  { "every kind comes back", test_every_kind_comes_back },
-  { "malformed is refused", test_malformed_is_refused },
-  { "map group comes back", test_map_group_comes_back },
-  { "rendezvous moves only the leaver's keys", test_rendezvous_moves_only_the_leavers_keys },
+  { "round trip of every record kind", test_round_trip_of_every_kind },
+  { "malformed slot is rejected", test_malformed_slot_is_rejected },
+  { "round trip of a partition group", test_round_trip_of_partition_group },
+  { "rendezvous moves only the removed member's keys",
+    test_rendezvous_moves_only_removed_members_keys },
   { NULL, NULL },
 };
