--- a/daemon/home.c
+++ b/daemon/home.c
@@ -30,12 +30,12 @@
 static void
 home_refuse_not_owner (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
-  struct PeerAnswer answer = { .id = request->id };
+  struct PeerAnswer reply = { .id = request->id };
 
-  answer.outcome.error = fault_set (&answer.fault, ERROR_NOT_OWNER, NULL,
-                                    "%s is not the program's home", home->core->settings->instance);
-  answer.outcome.ran = request->first_attempt ? RAN_NO : RAN_MAYBE;
-  home_reply (home, link, &answer);
+  reply.outcome.error = fault_set (&reply.fault, ERROR_NOT_OWNER, NULL,
+                                   "%s is not the program's home", home->core->settings->instance);
+  reply.outcome.ran = request->first_attempt ? RAN_NO : RAN_MAYBE;
+  home_reply (home, link, &reply);
 }
 
 /* A partition that is being left finishes what it has: what is in flight may be joined, looked at
@@ -119,12 +119,12 @@
 }
 
 static void
-home_on_tell (void *data)
+home_on_map_hint_due (void *data)
 {
   struct Home *home = data;
   struct PeerMessage hint = { .kind = PEER_MAP_CHANGED };
 
-  TALLOC_FREE (home->tell_timer);
+  TALLOC_FREE (home->map_hint_timer);
   fleet_broadcast (home->core->fleet, &hint);
 }
 
@@ -132,11 +132,11 @@
  * moment later, so that one hint does for all partitions of a move and the map itself has changed.
  */
 static void
-home_tell_peers (struct Home *home)
+home_announce_map_change (struct Home *home)
 {
-  if (home->tell_timer == NULL)
-    home->tell_timer =
-        timer_subscribe (home, home->core->timers, MAP_HINT_MS, 0, home_on_tell, home);
+  if (home->map_hint_timer == NULL)
+    home->map_hint_timer =
+        timer_subscribe (home, home->core->timers, MAP_HINT_MS, 0, home_on_map_hint_due, home);
 }
 
 void
@@ -152,7 +152,7 @@
   struct Home *home = data;
 
   log_event (LOG_LEVEL_INFO, "partition_gained", NULL, NULL, "partition %u", partition);
-  home_tell_peers (home);
+  home_announce_map_change (home);
   fleet_publish (home->core->fleet);
 }
 
@@ -162,7 +162,7 @@
   struct Home *home = data;
 
   log_event (LOG_LEVEL_INFO, "partition_lost", NULL, NULL, "partition %u", partition);
-  home_tell_peers (home);
+  home_announce_map_change (home);
   fleet_publish (home->core->fleet);
 }
 
@@ -218,23 +218,23 @@
 {
   struct Home *home;
   int64_t now_unix_ms;
-  char (*late)[PROGRAM_ID_MAX_BYTES + 1];
-  size_t n_late;
+  char (*expired)[PROGRAM_ID_MAX_BYTES + 1];
+  size_t n_expired;
   uint32_t n_programs;
 };
 
 /* An ended program that holds nothing is kept for resends of its calls, and then forgotten: else
  * memory and checkpoints would grow for ever. After a take-over the time begins anew. */
 static void
-home_note_ended (struct Home *home, const struct LedgerProgramView *view)
+home_track_ended (struct Home *home, const struct LedgerProgramView *view)
 {
-  struct HomeEnded *ended;
+  struct HomeEndedProgram *ended;
   int64_t now_ms = timer_now_ms (home->core->timers);
 
   HASH_FIND (by_program, home->ended, view->program, strlen (view->program), ended);
   if (ended != NULL || view->n_held_backends > 0)
     return;
-  ended = talloc_zero (home->era, struct HomeEnded);
+  ended = talloc_zero (home->incarnation_ctx, struct HomeEndedProgram);
   if (ended == NULL)
     return;
   snprintf (ended->program, sizeof ended->program, "%s", view->program);
@@ -243,9 +243,9 @@
 }
 
 static void
-home_forget_ended (struct Home *home)
+home_expire_ended (struct Home *home)
 {
-  struct HomeEnded *ended, *next;
+  struct HomeEndedProgram *ended, *next;
   int64_t now_ms = timer_now_ms (home->core->timers);
 
   HASH_ITER (by_program, home->ended, ended, next)
@@ -259,21 +259,21 @@
 }
 
 static void
-home_note_late (void *data, const struct LedgerProgramView *view)
+home_sweep_program (void *data, const struct LedgerProgramView *view)
 {
   struct DeadlineSweep *sweep = data;
 
   if (view->ended)
     {
-      home_note_ended (sweep->home, view);
+      home_track_ended (sweep->home, view);
       return;
     }
   sweep->n_programs++;
   if (view->deadline_unix_ms == 0 || view->deadline_unix_ms > sweep->now_unix_ms)
     return;
-  sweep->late =
-      talloc_realloc_size (sweep->home, sweep->late, (sweep->n_late + 1) * sizeof sweep->late[0]);
-  snprintf (sweep->late[sweep->n_late++], sizeof sweep->late[0], "%s", view->program);
+  sweep->expired = talloc_realloc_size (sweep->home, sweep->expired,
+                                        (sweep->n_expired + 1) * sizeof sweep->expired[0]);
+  snprintf (sweep->expired[sweep->n_expired++], sizeof sweep->expired[0], "%s", view->program);
 }
 
 static void
@@ -284,12 +284,12 @@
 
   if (home->ledger == NULL)
     return;
-  ledger_each_program (home->ledger, home_note_late, &sweep);
+  ledger_each_program (home->ledger, home_sweep_program, &sweep);
   home->n_programs = sweep.n_programs;
-  for (size_t i = 0; i < sweep.n_late; i++)
-    home_end_program (home, sweep.late[i], END_DEADLINE);
-  talloc_free (sweep.late);
-  home_forget_ended (home);
+  for (size_t i = 0; i < sweep.n_expired; i++)
+    home_end_program (home, sweep.expired[i], END_DEADLINE);
+  talloc_free (sweep.expired);
+  home_expire_ended (home);
 }
 
 /* The tables' own memory is the hash library's, not talloc's; what they hold goes with the era. */
@@ -299,7 +299,7 @@
   HASH_CLEAR (by_key, home->releases);
   home_history_clear (home);
   HASH_CLEAR (by_program, home->ended);
-  HASH_CLEAR (by_key, home->broken);
+  HASH_CLEAR (by_key, home->uncertain);
 }
 
 int32_t
@@ -311,12 +311,12 @@
 
   home_fail_all (home, ERROR_FENCED);
   home_clear_tables (home);
-  TALLOC_FREE (home->era);
-  home->era_number++;
+  TALLOC_FREE (home->incarnation_ctx);
+  home->n_starts++;
   home->homes = NULL;
-  home->era = talloc_new (home);
-  home->ledger = ledger_new (home->era);
-  home->placement = placement_new (home->era);
+  home->incarnation_ctx = talloc_new (home);
+  home->ledger = ledger_new (home->incarnation_ctx);
+  home->placement = placement_new (home->incarnation_ctx);
   journal.prefix = core->settings->prefix;
   journal.incarnation = incarnation;
   journal.flush_interval_ms =
@@ -325,7 +325,7 @@
   journal.retry_ms = core->settings->journal_retry_ms;
   journal.fenced = home_on_fenced;
   journal.data = home;
-  home->journal = journal_new (home->era, core->kv, core->timers, &journal);
+  home->journal = journal_new (home->incarnation_ctx, core->kv, core->timers, &journal);
   homes.prefix = core->settings->prefix;
   homes.incarnation = incarnation;
   homes.n_partitions = core->settings->n_partitions;
@@ -338,7 +338,8 @@
   homes.data = home;
   if (home->ledger == NULL || home->placement == NULL || home->journal == NULL)
     return ERROR_NO_MEMORY;
-  home->homes = homes_new (home->era, core->kv, core->timers, home->journal, home->ledger, &homes);
+  home->homes = homes_new (home->incarnation_ctx, core->kv, core->timers, home->journal,
+                           home->ledger, &homes);
   if (home->homes == NULL)
     return ERROR_NO_MEMORY;
   home_write_start (home);
@@ -366,7 +367,7 @@
 uint64_t
 home_era (const struct Home *home)
 {
-  return home->era_number;
+  return home->n_starts;
 }
 
 static int
--- a/daemon/home.h
+++ b/daemon/home.h
@@ -27,7 +27,7 @@
 bool
 home_on_chunk (struct Home *home, const struct PeerChunk *chunk);
 bool
-home_on_answer (struct Home *home, const struct PeerAnswer *answer);
+home_on_answer (struct Home *home, const struct PeerAnswer *reply);
 void
 home_on_link_closed (struct Home *home, uint64_t link);
 /* Some instance saw a backend server die while it ran a request with this digest. */
--- a/daemon/home_accept.c
+++ b/daemon/home_accept.c
@@ -7,12 +7,12 @@
 
 enum
 {
-  INTENT_PATIENCE_MS = 1500, /* an intent that is not durable by then is given up */
-  COME_BACK_PLATFORM_MS = 1000
+  INTENT_TIMEOUT_MS = 1500, /* an intent that is not durable by then is given up */
+  RETRY_AFTER_OUTAGE_MS = 1000
 };
 
 static void
-home_call_on_intent_late (void *data)
+home_call_on_intent_timeout (void *data)
 {
   struct HomeCall *call = data;
   struct Fault fault;
@@ -20,10 +20,10 @@
   TALLOC_FREE (call->timer);
   /* The intent may still become durable, but it will never be followed by a dispatch, here or
    * anywhere: a home that finds it without an outcome does not send it either. */
-  call->given_up = true;
+  call->cancelled = true;
   fault_set (&fault, ERROR_PLATFORM_DOWN, NULL,
              "the platform's key-value service does not take the journal");
-  home_call_refuse_all (call, &fault, home_call_come_back_ms (call, COME_BACK_PLATFORM_MS));
+  home_call_refuse_all (call, &fault, home_call_retry_after_ms (call, RETRY_AFTER_OUTAGE_MS));
 }
 
 static void
@@ -33,7 +33,7 @@
   struct Fault fault;
 
   TALLOC_FREE (call->timer);
-  if (error == ERROR_NONE && !call->given_up)
+  if (error == ERROR_NONE && !call->cancelled)
     {
       home_call_dispatch (call);
       return;
@@ -41,7 +41,7 @@
   fault_set (&fault, error != ERROR_NONE ? error : ERROR_PLATFORM_DOWN, NULL,
              "the call was given up before it was sent");
   home_call_abandon (call, error == ERROR_FENCED ? RAN_MAYBE : RAN_NO, &fault,
-                     home_call_come_back_ms (call, COME_BACK_PLATFORM_MS));
+                     home_call_retry_after_ms (call, RETRY_AFTER_OUTAGE_MS));
 }
 
 static void
@@ -59,17 +59,17 @@
       return;
     }
   call->state = HOME_CALL_WRITING_INTENT;
-  call->timer = timer_subscribe (call, home->core->timers, INTENT_PATIENCE_MS, 0,
-                                 home_call_on_intent_late, call);
+  call->timer = timer_subscribe (call, home->core->timers, INTENT_TIMEOUT_MS, 0,
+                                 home_call_on_intent_timeout, call);
   home_write (home, &decision->record, call->call.key.program, home_call_on_intent_written, call);
 }
 
 /* Why a call that the ledger accepts may not start now; ERROR_NONE when it may. */
 static int32_t
-home_call_bar (struct Home *home,
-               const struct Call *call,
-               const struct LedgerDecision *decision,
-               struct Fault *fault)
+home_call_check_start (struct Home *home,
+                       const struct Call *call,
+                       const struct LedgerDecision *decision,
+                       struct Fault *fault)
 {
   if (quarantine_holds (home->quarantine, call->digest))
     return fault_set (fault, ERROR_QUARANTINED, NULL,
@@ -91,12 +91,12 @@
 
   if (call == NULL)
     return;
-  if (home_call_bar (home, &request->call, decision, &fault) == ERROR_NONE)
+  if (home_call_check_start (home, &request->call, decision, &fault) == ERROR_NONE)
     home_call_start (call, decision);
   else
     home_call_abandon (call, RAN_NO, &fault,
                        fault.error == ERROR_PLATFORM_DOWN
-                           ? home_call_come_back_ms (call, COME_BACK_PLATFORM_MS)
+                           ? home_call_retry_after_ms (call, RETRY_AFTER_OUTAGE_MS)
                            : 0);
 }
 
@@ -110,39 +110,39 @@
   call_key_copy (&key, &request->call.key);
   call = home_call_find (home, &key);
   counter_add (COUNTER_CALLS_JOINED, 1);
-  if (call == NULL || call->given_up)
+  if (call == NULL || call->cancelled)
     {
       fault_set (&fault, ERROR_PLATFORM_DOWN, NULL, "an earlier try of the call is being settled");
-      home_refuse (home, link, request->id, request->first_attempt, &fault, COME_BACK_PLATFORM_MS,
+      home_refuse (home, link, request->id, request->first_attempt, &fault, RETRY_AFTER_OUTAGE_MS,
                    0);
       return;
     }
   home_call_add_waiter (call, link, request);
-  home_call_release (call, call->releasable_bytes);
+  home_call_forward (call, call->forwardable_bytes);
 }
 
 static void
-home_call_answer_stored (struct Home *home,
-                         uint64_t link,
-                         const struct PeerRequest *request,
-                         const struct Outcome *stored)
+home_call_reply_stored (struct Home *home,
+                        uint64_t link,
+                        const struct PeerRequest *request,
+                        const struct Outcome *stored)
 {
-  struct PeerAnswer answer = { .id = request->id };
+  struct PeerAnswer reply = { .id = request->id };
 
   counter_add (COUNTER_CALLS_STORED, 1);
-  answer.outcome = *stored;
-  answer.outcome.answer = NULL;
-  answer.outcome.answer_bytes = 0;
-  answer.event_stream = request->call.stream;
+  reply.outcome = *stored;
+  reply.outcome.answer = NULL;
+  reply.outcome.answer_bytes = 0;
+  reply.event_stream = request->call.stream;
   if (stored->error != ERROR_NONE)
-    fault_set (&answer.fault, stored->error, NULL, "the call was sent, and its answer was lost");
+    fault_set (&reply.fault, stored->error, NULL, "the call was sent, and its answer was lost");
   home_reply_bytes (home, link, request->id, stored->status, stored->answer, stored->answer_bytes);
-  home_reply (home, link, &answer);
+  home_reply (home, link, &reply);
 }
 
 /* The most that a call may reserve is its service's to say. */
 static bool
-home_call_fits (struct Home *home, const struct Call *call, struct Fault *fault)
+home_call_reservation_fits (struct Home *home, const struct Call *call, struct Fault *fault)
 {
   struct Profile profile;
 
@@ -165,7 +165,7 @@
 
   if (ledger_view_program (home->ledger, request->call.key.program, &view))
     snprintf (own.call.service, sizeof own.call.service, "%s", view.service);
-  if (!home_call_fits (home, &own.call, &fault))
+  if (!home_call_reservation_fits (home, &own.call, &fault))
     {
       home_refuse (home, link, own.id, own.first_attempt, &fault, 0, 0);
       return;
@@ -181,7 +181,7 @@
       home_call_join (home, link, &own);
       break;
     case LEDGER_STORED:
-      home_call_answer_stored (home, link, &own, decision.stored);
+      home_call_reply_stored (home, link, &own, decision.stored);
       break;
     case LEDGER_REFUSE:
       home_refuse (home, link, own.id, own.first_attempt, &decision.fault, 0,
--- a/daemon/home_call.c
+++ b/daemon/home_call.c
@@ -8,15 +8,15 @@
 
 enum
 {
-  COME_BACK_SPREAD_MS = 1000
+  RETRY_AFTER_SPREAD_MS = 1000
 };
 
 uint32_t
-home_call_come_back_ms (const struct HomeCall *call, uint32_t least_ms)
+home_call_retry_after_ms (const struct HomeCall *call, uint32_t min_ms)
 {
   /* Spread by the call's digest, so that callers refused together do not return together. */
-  return least_ms
-         + (uint32_t)(call->call.digest[0] << 8 | call->call.digest[1]) % COME_BACK_SPREAD_MS;
+  return min_ms
+         + (uint32_t)(call->call.digest[0] << 8 | call->call.digest[1]) % RETRY_AFTER_SPREAD_MS;
 }
 
 struct HomeCall *
@@ -39,7 +39,7 @@
 }
 
 void
-home_call_forget_dispatch (struct HomeCall *call)
+home_call_clear_dispatch (struct HomeCall *call)
 {
   if (call->dispatch_id == 0)
     return;
@@ -51,7 +51,7 @@
 static void
 home_call_free (struct HomeCall *call)
 {
-  home_call_forget_dispatch (call);
+  home_call_clear_dispatch (call);
   HASH_DELETE (by_key, call->home->calls, call);
   talloc_free (call);
 }
@@ -70,48 +70,48 @@
   call->waiters = waiter;
 }
 
-static struct HomeBroken *
-home_broken_find (struct Home *home, const struct CallKey *key)
+static struct HomeUncertain *
+home_uncertain_find (struct Home *home, const struct CallKey *key)
 {
-  struct HomeBroken *broken;
+  struct HomeUncertain *uncertain;
 
-  HASH_FIND (by_key, home->broken, key, sizeof *key, broken);
-  return broken;
+  HASH_FIND (by_key, home->uncertain, key, sizeof *key, uncertain);
+  return uncertain;
 }
 
 static void
-home_broken_remember (struct HomeCall *call)
+home_uncertain_remember (struct HomeCall *call)
 {
   struct Home *home = call->home;
-  struct HomeBroken *broken;
+  struct HomeUncertain *uncertain;
 
-  if (home_broken_find (home, &call->call.key) != NULL)
+  if (home_uncertain_find (home, &call->call.key) != NULL)
     return;
-  broken = talloc_zero (home->era, struct HomeBroken);
-  if (broken == NULL)
+  uncertain = talloc_zero (home->incarnation_ctx, struct HomeUncertain);
+  if (uncertain == NULL)
     return;
-  broken->key = call->call.key;
-  HASH_ADD (by_key, home->broken, key, sizeof broken->key, broken);
+  uncertain->key = call->call.key;
+  HASH_ADD (by_key, home->uncertain, key, sizeof uncertain->key, uncertain);
 }
 
 void
-home_broken_forget (struct Home *home, const char *program)
+home_uncertain_forget (struct Home *home, const char *program)
 {
-  struct HomeBroken *broken, *next;
+  struct HomeUncertain *uncertain, *next;
 
-  HASH_ITER (by_key, home->broken, broken, next)
+  HASH_ITER (by_key, home->uncertain, uncertain, next)
   {
-    if (strcmp (broken->key.program, program) != 0)
+    if (strcmp (uncertain->key.program, program) != 0)
       continue;
-    HASH_DELETE (by_key, home->broken, broken);
-    talloc_free (broken);
+    HASH_DELETE (by_key, home->uncertain, uncertain);
+    talloc_free (uncertain);
   }
 }
 
 struct HomeCall *
 home_call_new (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
-  struct HomeCall *call = talloc_zero (home->era, struct HomeCall);
+  struct HomeCall *call = talloc_zero (home->incarnation_ctx, struct HomeCall);
 
   if (call == NULL)
     return NULL;
@@ -119,16 +119,16 @@
   call->call = request->call;
   call_key_copy (&call->call.key, &request->call.key);
   call->call.body = talloc_memdup (call, request->call.body, request->call.body_bytes);
-  call->may_have_run = home_broken_find (home, &call->call.key) != NULL;
+  call->may_have_run = home_uncertain_find (home, &call->call.key) != NULL;
   home_call_add_waiter (call, link, request);
   HASH_ADD (by_key, home->calls, call.key, sizeof call->call.key, call);
   return call;
 }
 
 void
-home_call_answer_all (struct HomeCall *call, const struct PeerAnswer *answer)
+home_call_reply_all (struct HomeCall *call, const struct PeerAnswer *reply)
 {
-  struct PeerAnswer own = *answer;
+  struct PeerAnswer own = *reply;
 
   for (struct HomeWaiter *w = call->waiters; w != NULL; w = w->next)
     {
@@ -179,7 +179,7 @@
   if (call->failure.outcome.ran == RAN_NO)
     home_call_refuse_all (call, &call->failure.fault, call->failure.retry_after_ms);
   else
-    home_call_answer_all (call, &call->failure);
+    home_call_reply_all (call, &call->failure);
   home_call_free (call);
 }
 
@@ -193,7 +193,7 @@
   struct Record record;
   bool must_journal = false;
 
-  home_call_forget_dispatch (call);
+  home_call_clear_dispatch (call);
   TALLOC_FREE (call->timer);
   call->failure.fault = *fault;
   call->failure.outcome.error = fault->error;
@@ -201,7 +201,7 @@
   call->failure.outcome.ran = ran == RAN_NO && call->may_have_run ? RAN_MAYBE : ran;
   call->failure.retry_after_ms = retry_after_ms;
   if (call->failure.outcome.ran != RAN_NO)
-    home_broken_remember (call);
+    home_uncertain_remember (call);
   ledger_abandon_call (home->ledger, &call->call.key, &record, &must_journal);
   if (!must_journal)
     {
@@ -213,7 +213,7 @@
 }
 
 static void
-home_call_learn (struct HomeCall *call)
+home_call_record_outcome (struct HomeCall *call)
 {
   struct Home *home = call->home;
 
@@ -243,31 +243,31 @@
 {
   struct HomeCall *call = data;
   struct Home *home = call->home;
-  struct PeerAnswer answer = { 0 };
+  struct PeerAnswer reply = { 0 };
   bool lone = program_is_lone (call->call.key.program);
 
-  answer.outcome = call->outcome;
-  answer.outcome.answer = NULL;
-  answer.outcome.answer_bytes = 0;
-  answer.event_stream = call->call.stream;
+  reply.outcome = call->outcome;
+  reply.outcome.answer = NULL;
+  reply.outcome.answer_bytes = 0;
+  reply.event_stream = call->call.stream;
   if (error != ERROR_NONE)
     {
       /* Sealed while it was paused: whether the new home runs the call again is not known here. */
-      answer.outcome.ran = RAN_MAYBE;
-      answer.outcome.error = fault_set (&answer.fault, home_call_error (call, error), NULL,
-                                        "the outcome could not be journaled");
-      home_call_answer_all (call, &answer);
+      reply.outcome.ran = RAN_MAYBE;
+      reply.outcome.error = fault_set (&reply.fault, home_call_error (call, error), NULL,
+                                       "the outcome could not be journaled");
+      home_call_reply_all (call, &reply);
       home_call_free (call);
       return;
     }
-  home_call_learn (call);
+  home_call_record_outcome (call);
   home_history_remember (call);
   if (call->outcome.error != ERROR_NONE)
-    fault_set (&answer.fault, call->outcome.error, NULL, "backend server %s was lost in mid-call",
+    fault_set (&reply.fault, call->outcome.error, NULL, "backend server %s was lost in mid-call",
                call->outcome.backend);
   else
-    home_call_release (call, call->answer_bytes);
-  home_call_answer_all (call, &answer);
+    home_call_forward (call, call->response_bytes);
+  home_call_reply_all (call, &reply);
   if (lone)
     home_end_program (home, call->call.key.program, END_DONE);
   home_call_free (call);
@@ -282,12 +282,12 @@
   size_t part_bytes;
   int32_t error;
 
-  home_call_forget_dispatch (call);
+  home_call_clear_dispatch (call);
   TALLOC_FREE (call->timer);
   call->state = HOME_CALL_WRITING_OUTCOME;
   call->outcome = *outcome;
-  call->outcome.answer = outcome->error == ERROR_NONE ? call->answer : NULL;
-  call->outcome.answer_bytes = outcome->error == ERROR_NONE ? call->answer_bytes : 0;
+  call->outcome.answer = outcome->error == ERROR_NONE ? call->response : NULL;
+  call->outcome.answer_bytes = outcome->error == ERROR_NONE ? call->response_bytes : 0;
   part = home_history_part (call, &part_bytes);
   error =
       ledger_end_call (home->ledger, &call->call.key, &call->outcome, part, part_bytes, &record);
@@ -300,7 +300,7 @@
 /* A call that may run once only was sent, and what became of it is not known: it is settled as "may
  * have run" and never sent again. */
 void
-home_call_may_have_run (struct HomeCall *call)
+home_call_end_uncertain (struct HomeCall *call)
 {
   struct Outcome outcome = { .error = ERROR_MAY_HAVE_RUN, .ran = RAN_MAYBE };
 
@@ -374,7 +374,7 @@
       case HOME_CALL_DISPATCHED:
         cancel.cancel.id = call->dispatch_id;
         peer_net_send (home->core->net, call->owner_link, &cancel);
-        home_release_touch (home, program, call->backend);
+        home_release_record_held (home, program, call->backend);
         if (!call->call.idempotent)
           break; /* its outcome is still wanted */
         home_call_abandon (call, RAN_MAYBE, &fault, 0);
@@ -383,7 +383,7 @@
         home_call_abandon (call, RAN_MAYBE, &fault, 0);
         break;
       case HOME_CALL_WRITING_INTENT:
-        call->given_up = true;
+        call->cancelled = true;
         break;
       case HOME_CALL_WRITING_OUTCOME:
       case HOME_CALL_WRITING_NOT_SENT:
@@ -396,15 +396,15 @@
 home_fail_all (struct Home *home, int32_t error)
 {
   struct HomeCall *call, *next;
-  struct PeerAnswer answer = { 0 };
+  struct PeerAnswer reply = { 0 };
 
-  answer.outcome.error =
-      fault_set (&answer.fault, error, NULL, "this instance is no longer the program's home");
-  answer.outcome.ran = RAN_MAYBE;
+  reply.outcome.error =
+      fault_set (&reply.fault, error, NULL, "this instance is no longer the program's home");
+  reply.outcome.ran = RAN_MAYBE;
   HASH_ITER (by_key, home->calls, call, next)
   {
-    home_call_answer_all (call, &answer);
-    home_call_forget_dispatch (call);
+    home_call_reply_all (call, &reply);
+    home_call_clear_dispatch (call);
   }
   HASH_CLEAR (by_key, home->calls);
 }
--- a/daemon/home_dispatch.c
+++ b/daemon/home_dispatch.c
@@ -9,7 +9,7 @@
 enum
 {
   TIMEOUT_GRACE_MS = 2000, /* over the backend server's own time: the owner answers first */
-  COME_BACK_NO_SERVER_MS = 500
+  RETRY_AFTER_NO_SERVER_MS = 500
 };
 
 static int64_t
@@ -38,26 +38,25 @@
 /* Nothing of the answer was seen and sending again is safe: tries elsewhere, within the retry
  * budget. */
 static void
-home_call_retry (struct HomeCall *call, const struct PeerAnswer *answer)
+home_call_retry (struct HomeCall *call, const struct PeerAnswer *reply)
 {
   struct Home *home = call->home;
   struct Fault fault;
   uint32_t delay_ms = 0;
-  uint32_t retry_after_ms = answer->retry_after_ms;
+  uint32_t retry_after_ms = reply->retry_after_ms;
 
-  home_call_forget_dispatch (call);
+  home_call_clear_dispatch (call);
   TALLOC_FREE (call->timer);
-  call->answer_bytes = 0;
-  call->releasable_bytes = 0;
-  if (retry_budget_take (home->retries, &call->call, &answer->outcome, call->attempt,
+  call->response_bytes = 0;
+  call->forwardable_bytes = 0;
+  if (retry_budget_take (home->retries, &call->call, &reply->outcome, call->attempt,
                          home_call_time_left_ms (call), &delay_ms, &fault)
       != ERROR_NONE)
     {
       if (retry_after_ms == 0)
-        retry_after_ms = home_call_come_back_ms (call, COME_BACK_NO_SERVER_MS);
-      home_call_abandon (call, answer->outcome.ran,
-                         answer->fault.error != ERROR_NONE ? &answer->fault : &fault,
-                         retry_after_ms);
+        retry_after_ms = home_call_retry_after_ms (call, RETRY_AFTER_NO_SERVER_MS);
+      home_call_abandon (call, reply->outcome.ran,
+                         reply->fault.error != ERROR_NONE ? &reply->fault : &fault, retry_after_ms);
       return;
     }
   counter_add (COUNTER_CALLS_RETRIED, 1);
@@ -75,16 +74,16 @@
   TALLOC_FREE (call->timer);
   cancel.cancel.id = call->dispatch_id;
   peer_net_send (call->home->core->net, call->owner_link, &cancel);
-  home_release_touch (call->home, call->call.key.program, call->backend);
+  home_release_record_held (call->home, call->call.key.program, call->backend);
   if (!call->call.idempotent)
     {
-      home_call_may_have_run (call);
+      home_call_end_uncertain (call);
       return;
     }
   fault_set (&fault, ERROR_TIMEOUT, NULL, "backend server %s did not answer in time",
              call->backend);
   home_call_abandon (call, RAN_MAYBE, &fault,
-                     home_call_come_back_ms (call, COME_BACK_NO_SERVER_MS));
+                     home_call_retry_after_ms (call, RETRY_AFTER_NO_SERVER_MS));
 }
 
 static void
@@ -96,18 +95,18 @@
 }
 
 static void
-home_call_leave_out_tried (const struct HomeCall *call, struct PolicyServer *servers, size_t n)
+home_call_exclude_tried (const struct HomeCall *call, struct PolicyServer *servers, size_t n)
 {
-  size_t n_left = 0;
+  size_t n_usable = 0;
 
   for (size_t i = 0; i < n; i++)
     {
       for (uint32_t t = 0; t < call->n_tried; t++)
         if (strcmp (servers[i].name, call->tried[t]) == 0)
           servers[i].usable = false;
-      n_left += servers[i].usable;
+      n_usable += servers[i].usable;
     }
-  if (n_left > 0)
+  if (n_usable > 0)
     return;
   /* All were tried: a server that refused may have room by now. */
   for (size_t i = 0; i < n; i++)
@@ -170,14 +169,14 @@
   call->attempt++;
   fleet_profile (fleet, call->call.service, &profile);
   servers = fleet_servers (fleet, call, call->call.target_kind, call->call.target, &n_servers);
-  home_call_leave_out_tried (call, servers, n_servers);
+  home_call_exclude_tried (call, servers, n_servers);
   chosen = placement_choose (home->placement, &profile.weights, servers, n_servers, &call->call,
                              timer_now_ms (home->core->timers), &failed.fault);
   if (chosen < 0)
     {
       talloc_free (servers);
       home_call_abandon (call, RAN_NO, &failed.fault,
-                         home_call_come_back_ms (call, COME_BACK_NO_SERVER_MS));
+                         home_call_retry_after_ms (call, RETRY_AFTER_NO_SERVER_MS));
       return;
     }
   backend = fleet_backend (fleet, servers[chosen].name);
@@ -193,7 +192,7 @@
 }
 
 static void
-home_tell_death (struct Home *home, const struct HomeCall *call)
+home_announce_crash (struct Home *home, const struct HomeCall *call)
 {
   struct PeerMessage message = { .kind = PEER_QUARANTINE };
 
@@ -216,7 +215,7 @@
 
 /* A call that broke after it was sent, and may be sent again. */
 static void
-home_call_on_broken (struct HomeCall *call, const struct PeerAnswer *answer)
+home_call_on_failed (struct HomeCall *call, const struct PeerAnswer *reply)
 {
   struct Fault fault;
 
@@ -227,43 +226,42 @@
       home_call_abandon (call, RAN_YES, &fault, 0);
       return;
     }
-  if (!call->released_any)
+  if (!call->forwarded_any)
     {
-      home_call_retry (call, answer);
+      home_call_retry (call, reply);
       return;
     }
   /* Part of an answer is with the caller: another try would mix two. The caller sends the same
    * sequence number again and gets a whole one. */
-  home_call_abandon (call, RAN_MAYBE, &answer->fault, home_call_come_back_ms (call, 0));
+  home_call_abandon (call, RAN_MAYBE, &reply->fault, home_call_retry_after_ms (call, 0));
 }
 
 bool
-home_on_answer (struct Home *home, const struct PeerAnswer *answer)
+home_on_answer (struct Home *home, const struct PeerAnswer *reply)
 {
   struct HomeCall *call;
 
-  HASH_FIND (by_dispatch, home->dispatches, &answer->id, sizeof answer->id, call);
+  HASH_FIND (by_dispatch, home->dispatches, &reply->id, sizeof reply->id, call);
   if (call == NULL)
-    return home_release_on_answer (home, answer);
-  if (answer->server_died)
-    home_tell_death (home, call);
-  if (answer->outcome.ran != RAN_NO)
+    return home_release_on_answer (home, reply);
+  if (reply->server_died)
+    home_announce_crash (home, call);
+  if (reply->outcome.ran != RAN_NO)
     call->may_have_run = true;
-  if (answer->outcome.ran == RAN_NO)
+  if (reply->outcome.ran == RAN_NO)
     {
-      home_call_retry (call, answer);
+      home_call_retry (call, reply);
       return true;
     }
-  if (answer->outcome.error == ERROR_NONE
-      && (answer->outcome.status < 500 || !call->call.idempotent))
+  if (reply->outcome.error == ERROR_NONE && (reply->outcome.status < 500 || !call->call.idempotent))
     {
-      home_call_end (call, &answer->outcome);
+      home_call_end (call, &reply->outcome);
       return true;
     }
-  home_release_touch (home, call->call.key.program, call->backend);
+  home_release_record_held (home, call->call.key.program, call->backend);
   if (call->call.idempotent)
-    home_call_on_broken (call, answer);
+    home_call_on_failed (call, reply);
   else
-    home_call_may_have_run (call);
+    home_call_end_uncertain (call);
   return true;
 }
--- a/daemon/home_history.c
+++ b/daemon/home_history.c
@@ -34,7 +34,7 @@
 
 /* Where the messages begin that the turn before did not have. */
 static uint32_t
-history_new_from (struct Home *home, const struct Call *call)
+history_new_messages_at (struct Home *home, const struct Call *call)
 {
   const uint32_t head_bytes = (uint32_t)strlen (CHAT_BODY_HEAD);
   const struct HomePrefix *prefix = prefix_find (home, &call->key);
@@ -58,7 +58,7 @@
   *n_bytes = c->body_bytes;
   if (c->messages_end == 0)
     return c->body;
-  from = history_new_from (call->home, c);
+  from = history_new_messages_at (call->home, c);
   part =
       talloc_asprintf (call, "[%.*s]", (int)(c->messages_end - from), (const char *)c->body + from);
   if (part == NULL)
@@ -84,7 +84,7 @@
     }
   if (prefix == NULL)
     {
-      prefix = talloc_zero (home->era, struct HomePrefix);
+      prefix = talloc_zero (home->incarnation_ctx, struct HomePrefix);
       if (prefix == NULL)
         return;
       prefix_key (prefix->key, sizeof prefix->key, &c->key);
--- a/daemon/home_internal.h
+++ b/daemon/home_internal.h
@@ -39,7 +39,7 @@
   struct Call call; /* .body belongs to this object */
   enum HomeCallState state;
   bool may_have_run; /* some try was sent and broke: no later one can say "not run" */
-  bool given_up;     /* its waiters were told "not run": never to be dispatched */
+  bool cancelled;    /* its waiters were told "not run": never to be dispatched */
   struct HomeWaiter *waiters;
   struct Timer *timer;
   uint32_t attempt;
@@ -48,10 +48,10 @@
   char backend[NAME_MAX_BYTES + 1];
   uint64_t dispatch_id, owner_link;
   uint32_t status;
-  uint8_t *answer;
-  size_t answer_bytes, answer_size;
-  size_t releasable_bytes; /* what waiters may have before the outcome is durable */
-  bool released_any;
+  uint8_t *response;
+  size_t response_bytes, response_size;
+  size_t forwardable_bytes; /* what waiters may have before the outcome is durable */
+  bool forwarded_any;
   struct Outcome outcome;
   struct PeerAnswer failure; /* what waiters are told once RECORD_NOT_SENT is durable */
   UT_hash_handle by_key, by_dispatch;
@@ -66,21 +66,21 @@
   char backend[NAME_MAX_BYTES + 1];
   char key[PROGRAM_ID_MAX_BYTES + NAME_MAX_BYTES + 2]; /* program, '/', backend */
   uint64_t link;
-  int64_t asked_ms;
+  int64_t requested_ms;
   bool acknowledged, recorded;
   UT_hash_handle by_key;
 };
 
 /* A call that was given up after some try of it had been sent: a resend can not be told "not run".
  */
-struct HomeBroken
+struct HomeUncertain
 {
   struct CallKey key;
   UT_hash_handle by_key;
 };
 
 /* An ended program, to be forgotten some time after its end. */
-struct HomeEnded
+struct HomeEndedProgram
 {
   char program[PROGRAM_ID_MAX_BYTES + 1];
   int64_t since_ms;
@@ -96,20 +96,20 @@
   struct Placement *placement;
   struct Quarantine *quarantine;
   struct RetryBudget *retries;
-  TALLOC_CTX *era; /* all that belongs to the present incarnation */
-  uint64_t era_number;
+  TALLOC_CTX *incarnation_ctx; /* all that belongs to the present incarnation */
+  uint64_t n_starts;
   uint64_t next_id;
   struct HomeCall *calls;      /* by key */
   struct HomeCall *dispatches; /* by dispatch id */
   struct HomeRelease *releases;
-  struct HomePrefix *prefixes; /* by program and branch */
-  struct HomeEnded *ended;     /* by program */
-  struct HomeBroken *broken;   /* by key */
-  struct HomesMember *members; /* the last that were told, for a new era */
+  struct HomePrefix *prefixes;     /* by program and branch */
+  struct HomeEndedProgram *ended;  /* by program */
+  struct HomeUncertain *uncertain; /* by key */
+  struct HomesMember *members;     /* the last that were told, for a new era */
   size_t n_members;
   uint32_t n_programs;
-  struct Timer *tell_timer; /* a hint to the peers is due */
-  struct HomeWrite *writes; /* in the order of their appends */
+  struct Timer *map_hint_timer; /* a hint to the peers is due */
+  struct HomeWrite *writes;     /* in the order of their appends */
   int64_t unwritable_since_ms;
 };
 
@@ -147,7 +147,7 @@
 
 /* home_reply.c */
 void
-home_reply (struct Home *home, uint64_t link, const struct PeerAnswer *answer);
+home_reply (struct Home *home, uint64_t link, const struct PeerAnswer *reply);
 void
 home_reply_bytes (struct Home *home,
                   uint64_t link,
@@ -180,7 +180,7 @@
 /* home_stream.c */
 /* Sends each waiter what it may have and has not had, up to up_to_bytes of the answer. */
 void
-home_call_release (struct HomeCall *call, size_t up_to_bytes);
+home_call_forward (struct HomeCall *call, size_t up_to_bytes);
 
 /* home_call.c: a call in flight, from its first waiter to its outcome. */
 struct HomeCall *
@@ -194,13 +194,13 @@
 call_key_copy (struct CallKey *to, const struct CallKey *from);
 /* What an owner still sends for the present dispatch is nobody's any more. */
 void
-home_call_forget_dispatch (struct HomeCall *call);
+home_call_clear_dispatch (struct HomeCall *call);
 /* The call has ended: journals its outcome, then answers the waiters and frees it. */
 void
 home_call_end (struct HomeCall *call, const struct Outcome *outcome);
 /* The same for a call that may run once only and whose outcome is lost: it is never sent again. */
 void
-home_call_may_have_run (struct HomeCall *call);
+home_call_end_uncertain (struct HomeCall *call);
 /* The call ends without an outcome: it did not run (RAN_NO), or may be run again. Frees it. */
 void
 home_call_abandon (struct HomeCall *call,
@@ -208,20 +208,20 @@
                    const struct Fault *fault,
                    uint32_t retry_after_ms);
 void
-home_call_answer_all (struct HomeCall *call, const struct PeerAnswer *answer);
+home_call_reply_all (struct HomeCall *call, const struct PeerAnswer *reply);
 /* Tells all waiters that the call did not run. */
 void
 home_call_refuse_all (struct HomeCall *call, const struct Fault *fault, uint32_t retry_after_ms);
-/* When the call's caller is to come back: at least least_ms, spread over callers. */
+/* When the call's caller is to come back: at least min_ms, spread over callers. */
 uint32_t
-home_call_come_back_ms (const struct HomeCall *call, uint32_t least_ms);
+home_call_retry_after_ms (const struct HomeCall *call, uint32_t min_ms);
 void
 home_cancel_program (struct Home *home, const char *program);
 void
 home_fail_all (struct Home *home, int32_t error);
 /* A program's calls have no resends that matter any more. */
 void
-home_broken_forget (struct Home *home, const char *program);
+home_uncertain_forget (struct Home *home, const char *program);
 
 /* home_history.c: what a turn adds to its program's history. A chat's body repeats all earlier
  * turns; kept is what the turn before did not have, so that a history grows by its turns and not by
@@ -240,10 +240,10 @@
 void
 home_release_start (struct Home *home);
 bool
-home_release_on_answer (struct Home *home, const struct PeerAnswer *answer);
+home_release_on_answer (struct Home *home, const struct PeerAnswer *reply);
 void
 home_release_on_link_closed (struct Home *home, uint64_t link);
 /* A call was sent to backend and broke: the server may hold memory that no outcome tells of.
  * Journaled, so that it is released after the program's end wherever the program is homed then. */
 void
-home_release_touch (struct Home *home, const char *program, const char *backend);
+home_release_record_held (struct Home *home, const char *program, const char *backend);
--- a/daemon/home_program.c
+++ b/daemon/home_program.c
@@ -10,8 +10,8 @@
 
 enum
 {
-  GRANT_SHARE = 20, /* of a program's budget: what a take-over may charge for each branch */
-  COME_BACK_PLATFORM_MS = 1000
+  GRANT_DIVISOR = 20, /* of a program's budget: what a take-over may charge for each branch */
+  RETRY_AFTER_OUTAGE_MS = 1000
 };
 
 /* A request that is answered once its record is durable. */
@@ -61,7 +61,7 @@
 }
 
 static void
-home_refuse_unknown (struct Home *home, uint64_t link, const struct PeerRequest *request)
+home_refuse_unknown_program (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
   struct Fault fault;
 
@@ -73,7 +73,7 @@
 static struct HomePending *
 home_pending_new (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
-  struct HomePending *pending = talloc_zero (home->era, struct HomePending);
+  struct HomePending *pending = talloc_zero (home->incarnation_ctx, struct HomePending);
 
   pending->home = home;
   pending->link = link;
@@ -86,11 +86,11 @@
 static void
 home_pending_fail (struct HomePending *pending, int32_t error)
 {
-  struct PeerAnswer answer = { .id = pending->id };
+  struct PeerAnswer reply = { .id = pending->id };
 
-  answer.outcome.error = fault_set (&answer.fault, error, NULL, "the journal did not take it");
-  answer.outcome.ran = error == ERROR_PLATFORM_DOWN ? RAN_NO : RAN_MAYBE;
-  home_reply (pending->home, pending->link, &answer);
+  reply.outcome.error = fault_set (&reply.fault, error, NULL, "the journal did not take it");
+  reply.outcome.ran = error == ERROR_PLATFORM_DOWN ? RAN_NO : RAN_MAYBE;
+  home_reply (pending->home, pending->link, &reply);
   talloc_free (pending);
 }
 
@@ -118,74 +118,75 @@
 }
 
 static uint64_t
-json_number (const json_t *json, const char *name, uint64_t unset)
+json_number (const json_t *json, const char *name, uint64_t fallback)
 {
   const json_t *value = json_object_get (json, name);
 
-  return json_is_integer (value) ? (uint64_t)json_integer_value (value) : unset;
+  return json_is_integer (value) ? (uint64_t)json_integer_value (value) : fallback;
 }
 
 static uint64_t
-least (uint64_t a, uint64_t b)
+min_u64 (uint64_t a, uint64_t b)
 {
   return a < b ? a : b;
 }
 
 /* What a new program gets: the caller's wishes within its service's profile. */
 static void
-home_fill_program (struct Home *home,
-                   const struct Call *call,
-                   const json_t *json,
-                   struct Record *want)
+home_program_record (struct Home *home,
+                     const struct Call *call,
+                     const json_t *json,
+                     struct Record *record)
 {
   struct Profile profile;
   uint64_t deadline_ms;
   const char *parent = json_string_value (json_object_get (json, "parent"));
 
   fleet_profile (home->core->fleet, call->service, &profile);
-  memset (want, 0, sizeof *want);
-  want->kind = RECORD_PROGRAM;
-  want->partition = home_partition (home, call->key.program);
-  homes_owns (home->homes, want->partition, &want->epoch);
-  snprintf (want->program.program, sizeof want->program.program, "%s", call->key.program);
-  snprintf (want->program.service, sizeof want->program.service, "%s", call->service);
-  snprintf (want->program.parent, sizeof want->program.parent, "%s", parent != NULL ? parent : "");
-  want->program.budget_tokens =
-      least (json_number (json, "budget_tokens", profile.program_budget_tokens),
-             profile.program_budget_tokens);
-  want->program.turn_limit =
-      (uint32_t)least (json_number (json, "turn_limit", profile.turn_limit), profile.turn_limit);
-  want->program.created_unix_ms = core_unix_ms ();
+  memset (record, 0, sizeof *record);
+  record->kind = RECORD_PROGRAM;
+  record->partition = home_partition (home, call->key.program);
+  homes_owns (home->homes, record->partition, &record->epoch);
+  snprintf (record->program.program, sizeof record->program.program, "%s", call->key.program);
+  snprintf (record->program.service, sizeof record->program.service, "%s", call->service);
+  snprintf (record->program.parent, sizeof record->program.parent, "%s",
+            parent != NULL ? parent : "");
+  record->program.budget_tokens =
+      min_u64 (json_number (json, "budget_tokens", profile.program_budget_tokens),
+               profile.program_budget_tokens);
+  record->program.turn_limit =
+      (uint32_t)min_u64 (json_number (json, "turn_limit", profile.turn_limit), profile.turn_limit);
+  record->program.created_unix_ms = core_unix_ms ();
   deadline_ms = json_number (json, "deadline_ms", (uint64_t)profile.program_deadline_s * 1000);
   if (profile.program_deadline_s > 0)
-    deadline_ms = least (deadline_ms, (uint64_t)profile.program_deadline_s * 1000);
+    deadline_ms = min_u64 (deadline_ms, (uint64_t)profile.program_deadline_s * 1000);
   if (deadline_ms > 0)
-    want->program.deadline_unix_ms = want->program.created_unix_ms + (int64_t)deadline_ms;
-  want->program.grant_tokens =
-      least (profile.reserve_tokens_max, want->program.budget_tokens / GRANT_SHARE);
-  memcpy (want->program.create_digest, call->digest, DIGEST_BYTES);
+    record->program.deadline_unix_ms = record->program.created_unix_ms + (int64_t)deadline_ms;
+  record->program.grant_tokens =
+      min_u64 (profile.reserve_tokens_max, record->program.budget_tokens / GRANT_DIVISOR);
+  memcpy (record->program.create_digest, call->digest, DIGEST_BYTES);
 }
 
 /* Puts a program into the ledger, or refuses the request. One that exists is found in an outage
  * too: a resend then gets what is stored. */
 static bool
-home_new_program (struct Home *home,
-                  uint64_t link,
-                  const struct PeerRequest *request,
-                  const struct Record *want,
-                  bool *exists)
+home_add_to_ledger (struct Home *home,
+                    uint64_t link,
+                    const struct PeerRequest *request,
+                    const struct Record *record,
+                    bool *exists)
 {
   struct Fault fault;
   uint32_t retry_after_ms = 0;
 
-  if (ledger_create_program (home->ledger, want, exists, &fault) == ERROR_NONE)
+  if (ledger_create_program (home->ledger, record, exists, &fault) == ERROR_NONE)
     {
       if (*exists || journal_is_writable (home->journal))
         return true;
-      ledger_abandon_program (home->ledger, want->program.program);
+      ledger_abandon_program (home->ledger, record->program.program);
       fault_set (&fault, ERROR_PLATFORM_DOWN, NULL,
                  "the platform's key-value service does not take the journal");
-      retry_after_ms = COME_BACK_PLATFORM_MS;
+      retry_after_ms = RETRY_AFTER_OUTAGE_MS;
     }
   home_refuse (home, link, request->id, request->first_attempt, &fault, retry_after_ms, 0);
   return false;
@@ -196,19 +197,19 @@
 {
   json_t *json = json_loadb ((const char *)request->call.body, request->call.body_bytes, 0, NULL);
   struct HomePending *pending;
-  struct Record want;
+  struct Record record;
   bool exists = false;
 
-  home_fill_program (home, &request->call, json, &want);
+  home_program_record (home, &request->call, json, &record);
   json_decref (json);
-  if (!home_new_program (home, link, request, &want, &exists))
+  if (!home_add_to_ledger (home, link, request, &record, &exists))
     return;
   pending = home_pending_new (home, link, request);
   pending->exists = exists;
   if (exists)
     home_on_created (pending, ERROR_NONE);
   else
-    home_write (home, &want, want.program.program, home_on_created, pending);
+    home_write (home, &record, record.program.program, home_on_created, pending);
 }
 
 static void
@@ -225,16 +226,16 @@
 void
 home_on_lone (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
-  struct Record want;
+  struct Record record;
   bool exists = false;
 
-  home_fill_program (home, &request->call, NULL, &want);
-  memset (want.program.create_digest, 0, DIGEST_BYTES);
-  want.program.turn_limit = 1;
-  if (!home_new_program (home, link, request, &want, &exists))
+  home_program_record (home, &request->call, NULL, &record);
+  memset (record.program.create_digest, 0, DIGEST_BYTES);
+  record.program.turn_limit = 1;
+  if (!home_add_to_ledger (home, link, request, &record, &exists))
     return;
   if (!exists)
-    home_write (home, &want, want.program.program, home_on_lone_created,
+    home_write (home, &record, record.program.program, home_on_lone_created,
                 home_pending_new (home, link, request));
   home_on_call (home, link, request);
 }
@@ -247,12 +248,12 @@
   if (ledger_view_program (home->ledger, request->call.key.program, &view))
     home_reply_json_value (home, link, request->id, 200, program_json (&view));
   else
-    home_refuse_unknown (home, link, request);
+    home_refuse_unknown_program (home, link, request);
 }
 
 /* Text as JSON when it is some, else as a string. */
 static json_t *
-json_of_bytes (const uint8_t *bytes, size_t n_bytes)
+json_from_bytes (const uint8_t *bytes, size_t n_bytes)
 {
   json_t *json = json_loadb ((const char *)bytes, n_bytes, JSON_DECODE_ANY, NULL);
 
@@ -274,8 +275,8 @@
                             (int)outcome->status, "backend", outcome->backend, "charge_tokens",
                             (json_int_t)outcome->charge_tokens);
 
-  json_object_set_new (turn, "request", json_of_bytes (request, request_bytes));
-  json_object_set_new (turn, "answer", json_of_bytes (outcome->answer, outcome->answer_bytes));
+  json_object_set_new (turn, "request", json_from_bytes (request, request_bytes));
+  json_object_set_new (turn, "answer", json_from_bytes (outcome->answer, outcome->answer_bytes));
   json_array_append_new (turns, turn);
 }
 
@@ -287,7 +288,7 @@
 
   if (!ledger_view_program (home->ledger, request->call.key.program, &view))
     {
-      home_refuse_unknown (home, link, request);
+      home_refuse_unknown_program (home, link, request);
       return;
     }
   turns = json_array ();
@@ -301,15 +302,15 @@
 home_count_end (struct Home *home, const struct LedgerProgramView *view, enum EndReason reason)
 {
   struct PeerOutcomes *outcomes = &home->core->outcomes;
-  uint64_t took_ms = (uint64_t)(core_unix_ms () - view->created_unix_ms);
+  uint64_t duration_ms = (uint64_t)(core_unix_ms () - view->created_unix_ms);
 
   switch (reason)
     {
     case END_DONE:
       outcomes->done++;
-      outcomes->program_ms += took_ms;
+      outcomes->program_ms += duration_ms;
       counter_add (COUNTER_PROGRAMS_DONE, 1);
-      counter_add (COUNTER_PROGRAM_MS, took_ms);
+      counter_add (COUNTER_PROGRAM_MS, duration_ms);
       break;
     case END_OVER_BUDGET:
     case END_LOOPING:
@@ -352,21 +353,21 @@
   home_cancel_program (home, pending->program);
   placement_forget (home->placement, pending->program);
   home_history_forget (home, pending->program);
-  home_broken_forget (home, pending->program);
+  home_uncertain_forget (home, pending->program);
   talloc_free (pending);
 }
 
 void
 home_end_program (struct Home *home, const char *program, enum EndReason reason)
 {
-  struct PeerRequest nobody = { 0 };
+  struct PeerRequest request = { 0 };
   struct HomePending *pending;
   struct Record record;
 
   if (ledger_end_program (home->ledger, program, reason, &record) != ERROR_NONE)
     return;
-  snprintf (nobody.call.key.program, sizeof nobody.call.key.program, "%s", program);
-  pending = home_pending_new (home, PEER_LINK_NONE, &nobody);
+  snprintf (request.call.key.program, sizeof request.call.key.program, "%s", program);
+  pending = home_pending_new (home, PEER_LINK_NONE, &request);
   pending->reason = reason;
   home_write (home, &record, program, home_on_ended, pending);
 }
@@ -390,7 +391,7 @@
       home_on_view (home, link, request);
       break;
     default:
-      home_refuse_unknown (home, link, request);
+      home_refuse_unknown_program (home, link, request);
       break;
     }
 }
--- a/daemon/home_release.c
+++ b/daemon/home_release.c
@@ -8,7 +8,7 @@
 enum
 {
   SWEEP_MS = 300,
-  ASK_AGAIN_MS = 2500 /* an owner that has not answered by then is asked anew */
+  REQUEST_AGAIN_MS = 2500 /* an owner that has not answered by then is asked anew */
 };
 
 static void
@@ -18,20 +18,20 @@
 }
 
 static void
-touch_on_recorded (void *data, int32_t error)
+release_on_held_recorded (void *data, int32_t error)
 {
   (void)data;
   (void)error; /* a home that could not write it is no home any more; its taker asks everywhere */
 }
 
 void
-home_release_touch (struct Home *home, const char *program, const char *backend)
+home_release_record_held (struct Home *home, const char *program, const char *backend)
 {
   struct Record record = { .kind = RECORD_HELD };
 
   snprintf (record.released.program, sizeof record.released.program, "%s", program);
   snprintf (record.released.backend, sizeof record.released.backend, "%s", backend);
-  home_write (home, &record, program, touch_on_recorded, NULL);
+  home_write (home, &record, program, release_on_held_recorded, NULL);
 }
 
 static void
@@ -64,7 +64,7 @@
 }
 
 static struct HomeRelease *
-release_of (struct Home *home, const char *program, const char *backend)
+release_get (struct Home *home, const char *program, const char *backend)
 {
   struct HomeRelease *release;
   char key[sizeof release->key];
@@ -73,21 +73,21 @@
   HASH_FIND (by_key, home->releases, key, strlen (key), release);
   if (release != NULL)
     return release;
-  release = talloc_zero (home->era, struct HomeRelease);
+  release = talloc_zero (home->incarnation_ctx, struct HomeRelease);
   if (release == NULL)
     return NULL;
   release->home = home;
   memcpy (release->key, key, sizeof key);
   snprintf (release->program, sizeof release->program, "%s", program);
   snprintf (release->backend, sizeof release->backend, "%s", backend);
-  release->asked_ms = -ASK_AGAIN_MS;
+  release->requested_ms = -REQUEST_AGAIN_MS;
   HASH_ADD (by_key, home->releases, key, strlen (release->key), release);
   return release;
 }
 
 /* Asks the owner of the release's server, unless it was asked a moment ago. */
 static void
-release_ask (struct HomeRelease *release)
+release_request (struct HomeRelease *release)
 {
   struct Home *home = release->home;
   struct Core *core = home->core;
@@ -97,7 +97,7 @@
   const char *owner;
   uint64_t link;
 
-  if (release->acknowledged || now_ms - release->asked_ms < ASK_AGAIN_MS)
+  if (release->acknowledged || now_ms - release->requested_ms < REQUEST_AGAIN_MS)
     return;
   if (backend == NULL || backend->setting.kind != CALL_TARGET_ENGINE)
     {
@@ -109,7 +109,7 @@
   link = owner != NULL ? peer_net_link_to (core->net, owner) : PEER_LINK_NONE;
   if (link == PEER_LINK_NONE)
     return;
-  release->asked_ms = now_ms;
+  release->requested_ms = now_ms;
   release->link = link;
   release->id = home->next_id++;
   message.release.id = release->id;
@@ -121,7 +121,7 @@
 /* Every engine that is known may hold memory of a program whose former home died in mid-call. True
  * once each has acknowledged. */
 static bool
-release_ask_all (struct Home *home, const char *program)
+release_request_all (struct Home *home, const char *program)
 {
   const struct FleetBackend *backends;
   size_t n = fleet_backends (home->core->fleet, &backends);
@@ -133,11 +133,11 @@
 
       if (backends[i].setting.kind != CALL_TARGET_ENGINE || !backends[i].live)
         continue;
-      release = release_of (home, program, backends[i].setting.name);
+      release = release_get (home, program, backends[i].setting.name);
       if (release == NULL || !release->acknowledged)
         all = false;
       if (release != NULL)
-        release_ask (release);
+        release_request (release);
     }
   return all;
 }
@@ -146,14 +146,14 @@
 release_on_held (void *data, const char *program, const char *backend)
 {
   struct Home *home = data;
-  struct HomeRelease *release = release_of (home, program, backend);
+  struct HomeRelease *release = release_get (home, program, backend);
 
   if (release == NULL || release->recorded)
     return;
   if (strcmp (backend, LEDGER_ANY_BACKEND) == 0)
-    release->acknowledged = release_ask_all (home, program);
+    release->acknowledged = release_request_all (home, program);
   else
-    release_ask (release);
+    release_request (release);
   if (release->acknowledged)
     release_record (release);
 }
@@ -169,20 +169,21 @@
 void
 home_release_start (struct Home *home)
 {
-  timer_subscribe (home->era, home->core->timers, SWEEP_MS, SWEEP_MS, home_on_release_sweep, home);
+  timer_subscribe (home->incarnation_ctx, home->core->timers, SWEEP_MS, SWEEP_MS,
+                   home_on_release_sweep, home);
 }
 
 bool
-home_release_on_answer (struct Home *home, const struct PeerAnswer *answer)
+home_release_on_answer (struct Home *home, const struct PeerAnswer *reply)
 {
   struct HomeRelease *release, *next;
 
   HASH_ITER (by_key, home->releases, release, next)
   {
-    if (release->id != answer->id || release->link == PEER_LINK_NONE)
+    if (release->id != reply->id || release->link == PEER_LINK_NONE)
       continue;
     release->link = PEER_LINK_NONE;
-    release->acknowledged = answer->outcome.error == ERROR_NONE;
+    release->acknowledged = reply->outcome.error == ERROR_NONE;
     return true;
   }
   return false;
@@ -197,6 +198,6 @@
   if (release->link == link)
     {
       release->link = PEER_LINK_NONE;
-      release->asked_ms = -ASK_AGAIN_MS;
+      release->requested_ms = -REQUEST_AGAIN_MS;
     }
 }
--- a/daemon/home_reply.c
+++ b/daemon/home_reply.c
@@ -9,15 +9,15 @@
 {
   struct Home *home;
   uint64_t link;
-  struct PeerAnswer answer;
+  struct PeerAnswer reply;
 };
 
 void
-home_reply (struct Home *home, uint64_t link, const struct PeerAnswer *answer)
+home_reply (struct Home *home, uint64_t link, const struct PeerAnswer *reply)
 {
   struct PeerMessage message = { .kind = PEER_ANSWER };
 
-  message.answer = *answer;
+  message.answer = *reply;
   peer_net_send (home->core->net, link, &message);
 }
 
@@ -43,12 +43,12 @@
 void
 home_reply_json (struct Home *home, uint64_t link, uint64_t id, uint32_t status, const char *json)
 {
-  struct PeerAnswer answer = { .id = id };
+  struct PeerAnswer reply = { .id = id };
 
-  answer.outcome.ran = RAN_YES;
-  answer.outcome.status = status;
+  reply.outcome.ran = RAN_YES;
+  reply.outcome.status = status;
   home_reply_bytes (home, link, id, status, json, strlen (json));
-  home_reply (home, link, &answer);
+  home_reply (home, link, &reply);
 }
 
 static void
@@ -57,8 +57,8 @@
   struct PendingRefusal *refusal = data;
 
   if (error != ERROR_NONE)
-    refusal->answer.outcome.ran = RAN_MAYBE;
-  home_reply (refusal->home, refusal->link, &refusal->answer);
+    refusal->reply.outcome.ran = RAN_MAYBE;
+  home_reply (refusal->home, refusal->link, &refusal->reply);
   talloc_free (refusal);
 }
 
@@ -77,12 +77,12 @@
     return;
   refusal->home = home;
   refusal->link = link;
-  refusal->answer.id = id;
-  refusal->answer.fault = *fault;
-  refusal->answer.outcome.error = fault->error;
-  refusal->answer.outcome.ran = RAN_NO;
-  refusal->answer.retry_after_ms = retry_after_ms;
-  refusal->answer.expected_sequence = expected_sequence;
+  refusal->reply.id = id;
+  refusal->reply.fault = *fault;
+  refusal->reply.outcome.error = fault->error;
+  refusal->reply.outcome.ran = RAN_NO;
+  refusal->reply.retry_after_ms = retry_after_ms;
+  refusal->reply.expected_sequence = expected_sequence;
   home->core->outcomes.refused++;
   counter_add (COUNTER_CALLS_REFUSED, 1);
   /* A home that was paused and replaced does not know it yet. Its ledger is old: the very call may
--- a/daemon/home_stream.c
+++ b/daemon/home_stream.c
@@ -7,16 +7,16 @@
 
 /* Sends each waiter what it may have and has not had. */
 void
-home_call_release (struct HomeCall *call, size_t up_to_bytes)
+home_call_forward (struct HomeCall *call, size_t up_to_bytes)
 {
   for (struct HomeWaiter *w = call->waiters; w != NULL; w = w->next)
     {
       if (w->sent_bytes >= up_to_bytes)
         continue;
-      home_reply_bytes (call->home, w->link, w->id, call->status, call->answer + w->sent_bytes,
+      home_reply_bytes (call->home, w->link, w->id, call->status, call->response + w->sent_bytes,
                         up_to_bytes - w->sent_bytes);
       w->sent_bytes = up_to_bytes;
-      call->released_any = true;
+      call->forwarded_any = true;
     }
 }
 
@@ -36,15 +36,15 @@
 
 /* How much of the stream may be seen before its outcome is durable. */
 static size_t
-home_call_releasable (const struct HomeCall *call)
+home_call_forwardable (const struct HomeCall *call)
 {
-  const uint8_t *from = call->answer + call->releasable_bytes;
-  size_t n_bytes = call->answer_bytes - call->releasable_bytes;
+  const uint8_t *from = call->response + call->forwardable_bytes;
+  size_t n_bytes = call->response_bytes - call->forwardable_bytes;
   const uint8_t *marker = memmem (from, n_bytes, end_marker, sizeof end_marker - 1);
 
   if (marker != NULL)
-    return (size_t)(marker - call->answer);
-  return call->answer_bytes - marker_overlap (from, n_bytes);
+    return (size_t)(marker - call->response);
+  return call->response_bytes - marker_overlap (from, n_bytes);
 }
 
 bool
@@ -55,17 +55,17 @@
   HASH_FIND (by_dispatch, home->dispatches, &chunk->id, sizeof chunk->id, call);
   if (call == NULL)
     return false;
-  if (call->answer_bytes + chunk->n_bytes > call->answer_size)
+  if (call->response_bytes + chunk->n_bytes > call->response_size)
     {
-      call->answer_size = (call->answer_bytes + chunk->n_bytes) * 2;
-      call->answer = talloc_realloc (call, call->answer, uint8_t, call->answer_size);
+      call->response_size = (call->response_bytes + chunk->n_bytes) * 2;
+      call->response = talloc_realloc (call, call->response, uint8_t, call->response_size);
     }
-  memcpy (call->answer + call->answer_bytes, chunk->bytes, chunk->n_bytes);
-  call->answer_bytes += chunk->n_bytes;
+  memcpy (call->response + call->response_bytes, chunk->bytes, chunk->n_bytes);
+  call->response_bytes += chunk->n_bytes;
   call->status = chunk->status;
   if (!call->call.stream || chunk->status != 200)
     return true;
-  call->releasable_bytes = home_call_releasable (call);
-  home_call_release (call, call->releasable_bytes);
+  call->forwardable_bytes = home_call_forwardable (call);
+  home_call_forward (call, call->forwardable_bytes);
   return true;
 }
--- a/daemon/home_write.c
+++ b/daemon/home_write.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  SPOOL_TICK_MS = 50,
+  SPOOL_CHECK_MS = 50,
   /* The journal is left alone for so long before its records go to disks: a lost answer or a short
    * pause of the platform's service is not an outage. */
   SPOOL_AFTER_MS = 300
@@ -23,7 +23,7 @@
   HomeWritten done;
   void *data;
   bool spooled;    /* sent to the spool */
-  bool applied;    /* durable in one way or the other, and answered for */
+  bool finished;   /* durable in one way or the other, and answered for */
   uint64_t number; /* in the spool */
 };
 
@@ -35,11 +35,11 @@
 
 /* The record is durable, or never will be. */
 static void
-write_answer (struct HomeWrite *write, int32_t error)
+write_finish (struct HomeWrite *write, int32_t error)
 {
-  if (write->applied)
+  if (write->finished)
     return;
-  write->applied = true;
+  write->finished = true;
   if (error == ERROR_NONE)
     error = ledger_apply (write->home->ledger, &write->record);
   write->done (write->data, error);
@@ -59,14 +59,14 @@
       if (error == ERROR_NONE)
         spooler_drop (home->core->spooler, write->number);
     }
-  write_answer (write, error);
+  write_finish (write, error);
   talloc_free (write);
 }
 
 static void
 home_on_spooled (void *data, int32_t error)
 {
-  write_answer (data, error);
+  write_finish (data, error);
 }
 
 static void
@@ -88,7 +88,7 @@
 /* In an outage, what waits for the journal goes to two disks. An intent does not: a call that may
  * run once only is not begun without the journal. */
 static void
-home_on_spool_tick (void *data)
+home_on_spool_check (void *data)
 {
   struct Home *home = data;
   int64_t now_ms = timer_now_ms (home->core->timers);
@@ -105,7 +105,7 @@
     return;
   DL_FOREACH (home->writes, write)
   {
-    if (!write->spooled && !write->applied && write->record.kind != RECORD_INTENT)
+    if (!write->spooled && !write->finished && write->record.kind != RECORD_INTENT)
       write_spool (write);
   }
 }
@@ -115,8 +115,8 @@
 {
   home->writes = NULL;
   home->unwritable_since_ms = 0;
-  timer_subscribe (home->era, home->core->timers, SPOOL_TICK_MS, SPOOL_TICK_MS, home_on_spool_tick,
-                   home);
+  timer_subscribe (home->incarnation_ctx, home->core->timers, SPOOL_CHECK_MS, SPOOL_CHECK_MS,
+                   home_on_spool_check, home);
 }
 
 static int32_t
@@ -138,7 +138,7 @@
             HomeWritten done,
             void *data)
 {
-  struct HomeWrite *write = talloc_zero (home->era, struct HomeWrite);
+  struct HomeWrite *write = talloc_zero (home->incarnation_ctx, struct HomeWrite);
   int32_t error;
 
   if (write == NULL)
