--- a/daemon/home.c
+++ b/daemon/home.c
@@ -26,7 +26,8 @@
   return (int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 
-/* Not the home: nothing ran by this attempt, and whether an earlier one did is not known here. */
+/* Refuses a request for a program of another home. This attempt did not run; only the home knows
+ * whether an earlier one did. */
 static void
 home_refuse_not_owner (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
@@ -38,8 +39,9 @@
   home_reply (home, link, &reply);
 }
 
-/* A partition that is being left finishes what it has: what is in flight may be joined, looked at
- * and ended. Whatever is new waits at its entry for the next home. */
+/* Returns whether request may be served here. A partition that is being handed off still finishes
+ * its calls: those in flight may be joined, and its programs viewed and ended. New calls and
+ * programs wait at their entry for the next home. */
 static bool
 home_may_serve (struct Home *home, const struct PeerRequest *request, uint32_t partition)
 {
@@ -128,8 +130,9 @@
   fleet_broadcast (home->core->fleet, &hint);
 }
 
-/* The map's polls are a second apart, and whoever calls a program that has moved waits for them. A
- * moment later, so that one hint does for all partitions of a move and the map itself has changed.
+/* Reports a change of the partition map to all peers. Without it, callers of a program that has
+ * moved would wait for the next poll of the map, up to MAP_POLL_MS. The report is delayed by
+ * MAP_HINT_MS so that one message covers all partitions of a move and the map itself has changed.
  */
 static void
 home_announce_map_change (struct Home *home)
@@ -189,8 +192,9 @@
   struct Home *home = data;
 
   log_event (LOG_LEVEL_ERROR, "fenced", NULL,
-             "nothing: the instance rejoins by itself; look why it was silent if this recurs",
-             "%s was taken over while it was silent", home->core->incarnation);
+             "no action needed: the instance rejoins by itself; if this recurs, check why it was "
+             "silent",
+             "%s was silent, and another instance sealed its journal", home->core->incarnation);
   membership_rejoin (home->core->membership);
 }
 
@@ -218,13 +222,14 @@
 {
   struct Home *home;
   int64_t now_unix_ms;
-  char (*expired)[PROGRAM_ID_MAX_BYTES + 1];
+  char (*expired)[PROGRAM_ID_MAX_BYTES + 1]; /* programs whose deadline has passed */
   size_t n_expired;
-  uint32_t n_programs;
+  uint32_t n_programs; /* that have not ended */
 };
 
-/* An ended program that holds nothing is kept for resends of its calls, and then forgotten: else
- * memory and checkpoints would grow for ever. After a take-over the time begins anew. */
+/* Starts the retention time of an ended program that holds no memory at backend servers. It is
+ * kept for resends of its calls and then forgotten, since memory and checkpoints would otherwise
+ * grow without limit. A takeover restarts the retention time. */
 static void
 home_track_ended (struct Home *home, const struct LedgerProgramView *view)
 {
@@ -292,7 +297,7 @@
   home_expire_ended (home);
 }
 
-/* The tables' own memory is the hash library's, not talloc's; what they hold goes with the era. */
+/* Frees the hash tables, whose memory is not talloc's. Their entries belong to incarnation_ctx. */
 static void
 home_clear_tables (struct Home *home)
 {
--- a/daemon/home.h
+++ b/daemon/home.h
@@ -1,8 +1,8 @@
-/* Home of programs: the one place that orders a program's calls, charges its budget and talks to
- * the journal.
+/* Home of programs: the one instance that orders a program's calls, charges its budget and writes
+ * to the journal.
  *
- * Entries send PEER_REQUEST; chunks and one PEER_ANSWER go back over the same link. Calls go to the
- * owners of backend servers as PEER_DISPATCH. */
+ * Entries send PEER_REQUEST; the home responds with PEER_CHUNKs and one PEER_ANSWER over the same
+ * link. It sends calls to the owners of backend servers as PEER_DISPATCH. */
 #pragma once
 
 #include "core.h"
@@ -10,8 +10,8 @@
 struct Home *
 home_new (struct Core *core);
 
-/* A new incarnation was registered: starts journal, ledger and homes afresh under it. Whatever was
- * in flight under the former one is answered as fenced. */
+/* Handles the registration of a new incarnation: starts a new journal, ledger and homes under it.
+ * Calls in flight under the previous one fail with ERROR_FENCED. */
 int32_t
 home_start (struct Home *home, const char *incarnation);
 
@@ -20,42 +20,45 @@
 
 void
 home_on_request (struct Home *home, uint64_t link, const struct PeerRequest *request);
-/* From an entry: its caller is gone. The call goes on; its answer is kept. */
+/* Handles an entry's report that its caller has disconnected. The call continues, and its outcome
+ * is stored. */
 void
 home_on_cancel (struct Home *home, uint64_t link, uint64_t id);
-/* From an owner. False when the id is none of this home's. */
+/* Handle messages of an owner. Return false when the id does not belong to this home. */
 bool
 home_on_chunk (struct Home *home, const struct PeerChunk *chunk);
 bool
 home_on_answer (struct Home *home, const struct PeerAnswer *reply);
 void
 home_on_link_closed (struct Home *home, uint64_t link);
-/* Some instance saw a backend server die while it ran a request with this digest. */
+/* Handles the crash of a backend server, seen by any instance, while it ran a request with this
+ * digest. */
 void
 home_on_death (struct Home *home, const uint8_t digest[DIGEST_BYTES], const char *server);
 
-/* A peer says that the partition map has changed. */
+/* Handles a peer's report that the partition map has changed. */
 void
 home_on_map_hint (struct Home *home);
 
-/* Incarnation of the home of partition, or NULL. */
+/* Returns the incarnation of the home of partition, or NULL. */
 const char *
 home_lookup (const struct Home *home, uint32_t partition);
 void
 home_count (const struct Home *home, uint32_t *partitions, uint32_t *programs);
 
-/* Grows with each home_start: what was asked of an earlier one is void. */
+/* Returns the number of home_start calls. A request made under an earlier number is void. */
 uint64_t
 home_era (const struct Home *home);
 
-/* Planned stop: hands every partition over; done (data, 0) when none is left here. */
-/* The stop is called off. */
+/* Cancels a planned stop. */
 void
 home_serve_again (struct Home *home);
+/* Hands off every partition for a planned stop; calls done (data, 0) when this instance has none
+ * left. */
 void
 home_hand_off_all (struct Home *home, JournalDone done, void *data);
 
-/* Programs homed here, of one service unless it is "", and how many partitions they are of, as a
- * JSON object; belongs to ctx. */
+/* Returns a JSON object with the programs homed here, restricted to service unless that is "", and
+ * the number of partitions owned by this instance. The string belongs to ctx. */
 char *
 home_list_json (struct Home *home, TALLOC_CTX *ctx, const char *service);
--- a/daemon/home_internal.h
+++ b/daemon/home_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the home share. */
+/* Declarations shared by the files of the home. */
 #pragma once
 
 #include "home.h"
@@ -11,25 +11,25 @@
 
 enum
 {
-  CALL_TRIED_MAX = 8 /* backend servers that one call may be sent to */
+  CALL_TRIED_MAX = 8 /* backend servers that a call remembers as tried */
 };
 
 enum HomeCallState
 {
   HOME_CALL_WRITING_INTENT,
   HOME_CALL_DISPATCHED,
-  HOME_CALL_BACKING_OFF, /* waits for its next try */
+  HOME_CALL_BACKING_OFF, /* waits for its next attempt */
   HOME_CALL_WRITING_OUTCOME,
   HOME_CALL_WRITING_NOT_SENT
 };
 
-/* Somebody who waits for a call's answer: a request of an entry. */
+/* A request of an entry that waits for a call's response. */
 struct HomeWaiter
 {
   struct HomeWaiter *next;
   uint64_t link, id;
   bool first_attempt;
-  size_t sent_bytes; /* of the call's answer so far */
+  size_t sent_bytes; /* bytes of the call's response sent so far */
 };
 
 /* A call in flight. */
@@ -38,8 +38,8 @@
   struct Home *home;
   struct Call call; /* .body belongs to this object */
   enum HomeCallState state;
-  bool may_have_run; /* some try was sent and broke: no later one can say "not run" */
-  bool cancelled;    /* its waiters were told "not run": never to be dispatched */
+  bool may_have_run; /* an attempt failed after it was sent: the call can't be reported not run */
+  bool cancelled; /* must not be dispatched: its waiters received "not run", or its program ended */
   struct HomeWaiter *waiters;
   struct Timer *timer;
   uint32_t attempt;
@@ -49,15 +49,15 @@
   uint64_t dispatch_id, owner_link;
   uint32_t status;
   uint8_t *response;
-  size_t response_bytes, response_size;
-  size_t forwardable_bytes; /* what waiters may have before the outcome is durable */
+  size_t response_bytes, response_size; /* used and allocated */
+  size_t forwardable_bytes; /* part of response that may be sent before the outcome is durable */
   bool forwarded_any;
   struct Outcome outcome;
-  struct PeerAnswer failure; /* what waiters are told once RECORD_NOT_SENT is durable */
+  struct PeerAnswer failure; /* sent to the waiters once RECORD_NOT_SENT is durable */
   UT_hash_handle by_key, by_dispatch;
 };
 
-/* A release that an owner was asked for. */
+/* A request to an owner to release a program's memory at a backend server. */
 struct HomeRelease
 {
   struct Home *home;
@@ -71,15 +71,14 @@
   UT_hash_handle by_key;
 };
 
-/* A call that was given up after some try of it had been sent: a resend can not be told "not run".
- */
+/* An abandoned call of which an attempt was sent: a resend can't be reported as not run. */
 struct HomeUncertain
 {
   struct CallKey key;
   UT_hash_handle by_key;
 };
 
-/* An ended program, to be forgotten some time after its end. */
+/* An ended program, forgotten after its retention time. */
 struct HomeEndedProgram
 {
   char program[PROGRAM_ID_MAX_BYTES + 1];
@@ -96,8 +95,8 @@
   struct Placement *placement;
   struct Quarantine *quarantine;
   struct RetryBudget *retries;
-  TALLOC_CTX *incarnation_ctx; /* all that belongs to the present incarnation */
-  uint64_t n_starts;
+  TALLOC_CTX *incarnation_ctx; /* owns all objects of the current incarnation */
+  uint64_t n_starts;           /* home_start calls */
   uint64_t next_id;
   struct HomeCall *calls;      /* by key */
   struct HomeCall *dispatches; /* by dispatch id */
@@ -105,12 +104,12 @@
   struct HomePrefix *prefixes;     /* by program and branch */
   struct HomeEndedProgram *ended;  /* by program */
   struct HomeUncertain *uncertain; /* by key */
-  struct HomesMember *members;     /* the last that were told, for a new era */
+  struct HomesMember *members;     /* last set, also used by the next incarnation */
   size_t n_members;
   uint32_t n_programs;
-  struct Timer *map_hint_timer; /* a hint to the peers is due */
-  struct HomeWrite *writes;     /* in the order of their appends */
-  int64_t unwritable_since_ms;
+  struct Timer *map_hint_timer; /* pending PEER_MAP_CHANGED broadcast, or NULL */
+  struct HomeWrite *writes;     /* in append order */
+  int64_t unwritable_since_ms;  /* 0: the journal is writable */
 };
 
 /* home_write.c */
@@ -120,8 +119,8 @@
 home_write_start (struct Home *home);
 typedef void (*HomeWritten) (void *data, int32_t error);
 
-/* Journals record under the present epoch, applies it once durable (in an outage: on two disks),
- * then calls done. Pointers in record must stay valid until then. */
+/* Journals record under the current epoch, applies it once it is durable (in an outage: on two
+ * disks), then calls done. Pointers in record must stay valid until then. */
 void
 home_write (struct Home *home,
             const struct Record *record,
@@ -155,11 +154,11 @@
                   uint32_t status,
                   const void *bytes,
                   size_t n_bytes);
-/* A whole JSON answer. */
+/* Sends json as a complete response. */
 void
 home_reply_json (struct Home *home, uint64_t link, uint64_t id, uint32_t status, const char *json);
-/* Refuses a request that did not run here. "Not run" is said at once to a first attempt; to a
- * resend only after the journal has confirmed that this incarnation still owns what it says. */
+/* Refuses a request that did not run here. A first attempt is reported as not run at once; a resend
+ * only after the journal has confirmed that this incarnation still owns the partition. */
 void
 home_refuse (struct Home *home,
              uint64_t link,
@@ -169,39 +168,40 @@
              uint32_t retry_after_ms,
              uint64_t expected_sequence);
 
-/* home_accept.c: a request for a call meets the ledger. */
+/* home_accept.c: decides about requests for calls, by the ledger. */
 void
 home_on_call (struct Home *home, uint64_t link, const struct PeerRequest *request);
 
-/* home_dispatch.c: the call goes out, and comes back. */
+/* home_dispatch.c: sends calls to backend servers and handles their results. */
 void
 home_call_dispatch (struct HomeCall *call);
 
 /* home_stream.c */
-/* Sends each waiter what it may have and has not had, up to up_to_bytes of the answer. */
+/* Sends each waiter the part of the first up_to_bytes of the response that it has not received. */
 void
 home_call_forward (struct HomeCall *call, size_t up_to_bytes);
 
-/* home_call.c: a call in flight, from its first waiter to its outcome. */
+/* home_call.c: the state of a call in flight, from its first waiter to its outcome. */
 struct HomeCall *
 home_call_find (struct Home *home, const struct CallKey *key);
 struct HomeCall *
 home_call_new (struct Home *home, uint64_t link, const struct PeerRequest *request);
 void
 home_call_add_waiter (struct HomeCall *call, uint64_t link, const struct PeerRequest *request);
-/* Copies a key with all bytes behind its texts zeroed, as a hash key must be. */
+/* Copies a key and zeroes all bytes after its strings, since keys are hashed as raw bytes. */
 void
 call_key_copy (struct CallKey *to, const struct CallKey *from);
-/* What an owner still sends for the present dispatch is nobody's any more. */
+/* Detaches the call from its current dispatch; later messages of the owner for it are ignored. */
 void
 home_call_clear_dispatch (struct HomeCall *call);
-/* The call has ended: journals its outcome, then answers the waiters and frees it. */
+/* Journals the outcome of the call, then responds to its waiters and frees it. */
 void
 home_call_end (struct HomeCall *call, const struct Outcome *outcome);
-/* The same for a call that may run once only and whose outcome is lost: it is never sent again. */
+/* Ends a non-idempotent call that was sent and whose outcome is unknown as "may have run"; it is
+ * never sent again. */
 void
 home_call_end_uncertain (struct HomeCall *call);
-/* The call ends without an outcome: it did not run (RAN_NO), or may be run again. Frees it. */
+/* Ends the call without an outcome and frees it: it did not run (RAN_NO), or may be run again. */
 void
 home_call_abandon (struct HomeCall *call,
                    enum RanState ran,
@@ -209,26 +209,26 @@
                    uint32_t retry_after_ms);
 void
 home_call_reply_all (struct HomeCall *call, const struct PeerAnswer *reply);
-/* Tells all waiters that the call did not run. */
+/* Reports to all waiters that the call did not run. */
 void
 home_call_refuse_all (struct HomeCall *call, const struct Fault *fault, uint32_t retry_after_ms);
-/* When the call's caller is to come back: at least min_ms, spread over callers. */
+/* Returns the Retry-After time for the call's caller: at least min_ms, spread over callers. */
 uint32_t
 home_call_retry_after_ms (const struct HomeCall *call, uint32_t min_ms);
 void
 home_cancel_program (struct Home *home, const char *program);
 void
 home_fail_all (struct Home *home, int32_t error);
-/* A program's calls have no resends that matter any more. */
+/* Drops the entries of an ended program, of which no call is run any more. */
 void
 home_uncertain_forget (struct Home *home, const char *program);
 
-/* home_history.c: what a turn adds to its program's history. A chat's body repeats all earlier
- * turns; kept is what the turn before did not have, so that a history grows by its turns and not by
- * their sum. */
+/* home_history.c: the part of a turn's body that is stored in its program's history. A chat's body
+ * repeats all earlier turns; only the messages that the previous turn did not have are stored, so
+ * that a history grows linearly with its turns. */
 const uint8_t *
 home_history_part (struct HomeCall *call, size_t *n_bytes);
-/* The turn is durable: the next one is compared with it. */
+/* Remembers a durable turn, for comparison with the next one. */
 void
 home_history_remember (struct HomeCall *call);
 void
@@ -243,7 +243,7 @@
 home_release_on_answer (struct Home *home, const struct PeerAnswer *reply);
 void
 home_release_on_link_closed (struct Home *home, uint64_t link);
-/* A call was sent to backend and broke: the server may hold memory that no outcome tells of.
- * Journaled, so that it is released after the program's end wherever the program is homed then. */
+/* Journals that backend may hold memory of program: a call sent to it failed, so that no outcome
+ * records it. Whichever instance is the program's home at its end then releases the memory. */
 void
 home_release_record_held (struct Home *home, const char *program, const char *backend);
