--- a/daemon/home_accept.c
+++ b/daemon/home_accept.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  INTENT_TIMEOUT_MS = 1500, /* an intent that is not durable by then is given up */
+  INTENT_TIMEOUT_MS = 1500, /* a call whose intent is not durable by then is refused */
   RETRY_AFTER_OUTAGE_MS = 1000
 };
 
@@ -18,11 +18,11 @@
   struct Fault fault;
 
   TALLOC_FREE (call->timer);
-  /* The intent may still become durable, but it will never be followed by a dispatch, here or
-   * anywhere: a home that finds it without an outcome does not send it either. */
+  /* The intent may still become durable, but no home dispatches the call afterwards: a later home
+   * that replays an intent without an outcome does not send it either. */
   call->cancelled = true;
   fault_set (&fault, ERROR_PLATFORM_DOWN, NULL,
-             "the platform's key-value service does not take the journal");
+             "the platform's key-value service does not accept journal writes");
   home_call_refuse_all (call, &fault, home_call_retry_after_ms (call, RETRY_AFTER_OUTAGE_MS));
 }
 
@@ -39,7 +39,7 @@
       return;
     }
   fault_set (&fault, error != ERROR_NONE ? error : ERROR_PLATFORM_DOWN, NULL,
-             "the call was given up before it was sent");
+             "the call was abandoned before it was sent");
   home_call_abandon (call, error == ERROR_FENCED ? RAN_MAYBE : RAN_NO, &fault,
                      home_call_retry_after_ms (call, RETRY_AFTER_OUTAGE_MS));
 }
@@ -64,7 +64,7 @@
   home_write (home, &decision->record, call->call.key.program, home_call_on_intent_written, call);
 }
 
-/* Why a call that the ledger accepts may not start now; ERROR_NONE when it may. */
+/* Returns ERROR_NONE when a call that the ledger accepts may start now, else the reason. */
 static int32_t
 home_call_check_start (struct Home *home,
                        const struct Call *call,
@@ -76,7 +76,7 @@
                       "two backend servers died while they ran this request");
   if (decision->verdict == LEDGER_JOURNAL_FIRST && !journal_is_writable (home->journal))
     return fault_set (fault, ERROR_PLATFORM_DOWN, NULL,
-                      "the platform's key-value service does not take the journal");
+                      "the platform's key-value service does not accept journal writes");
   return ERROR_NONE;
 }
 
@@ -112,7 +112,8 @@
   counter_add (COUNTER_CALLS_JOINED, 1);
   if (call == NULL || call->cancelled)
     {
-      fault_set (&fault, ERROR_PLATFORM_DOWN, NULL, "an earlier try of the call is being settled");
+      fault_set (&fault, ERROR_PLATFORM_DOWN, NULL,
+                 "an earlier attempt of the call is being resolved");
       home_refuse (home, link, request->id, request->first_attempt, &fault, RETRY_AFTER_OUTAGE_MS,
                    0);
       return;
@@ -135,12 +136,12 @@
   reply.outcome.answer_bytes = 0;
   reply.event_stream = request->call.stream;
   if (stored->error != ERROR_NONE)
-    fault_set (&reply.fault, stored->error, NULL, "the call was sent, and its answer was lost");
+    fault_set (&reply.fault, stored->error, NULL, "the call was sent, but its response was lost");
   home_reply_bytes (home, link, request->id, stored->status, stored->answer, stored->answer_bytes);
   home_reply (home, link, &reply);
 }
 
-/* The most that a call may reserve is its service's to say. */
+/* Returns whether the tokens that a call reserves are within the limit of its service's profile. */
 static bool
 home_call_reservation_fits (struct Home *home, const struct Call *call, struct Fault *fault)
 {
@@ -149,8 +150,8 @@
   fleet_profile (home->core->fleet, call->service, &profile);
   if ((uint64_t)call->prompt_tokens + call->max_tokens <= profile.reserve_tokens_max)
     return true;
-  fault_set (fault, ERROR_BUDGET, "ask for fewer tokens, or raise reserve_max in the profile",
-             "the call wants %u tokens, its profile allows %u",
+  fault_set (fault, ERROR_BUDGET, "request fewer tokens, or raise reserve_max in the profile",
+             "the call reserves %u tokens; its profile allows %u",
              call->prompt_tokens + call->max_tokens, profile.reserve_tokens_max);
   return false;
 }
--- a/daemon/home_call.c
+++ b/daemon/home_call.c
@@ -28,7 +28,6 @@
   return call;
 }
 
-/* CallKey with all bytes after the texts' ends zeroed, as a hash key must be. */
 void
 call_key_copy (struct CallKey *to, const struct CallKey *from)
 {
@@ -138,7 +137,6 @@
   call->waiters = NULL;
 }
 
-/* Tells all waiters that the call did not run. */
 void
 home_call_refuse_all (struct HomeCall *call, const struct Fault *fault, uint32_t retry_after_ms)
 {
@@ -147,10 +145,10 @@
   call->waiters = NULL;
 }
 
-/* What an error of the journal or the ledger means to the caller. A home that was paused and
- * replaced forgets the partition's programs as soon as it sees the new map, while their calls are
- * still with backend servers: their ends then meet "not found", which a caller would take for the
- * last word. The program has another home, and its entry finds it. */
+/* Maps an error of the journal or the ledger to the one reported to the caller. A home that was
+ * paused and replaced drops the partition's programs as soon as it reads the new map, while their
+ * calls are still at backend servers. The ledger then responds "not found" to the end of such a
+ * call, which a caller would treat as final. ERROR_NOT_OWNER makes the entry find the new home. */
 static int32_t
 home_call_error (const struct HomeCall *call, int32_t error)
 {
@@ -163,7 +161,6 @@
   return ERROR_NOT_OWNER;
 }
 
-/* The call ends without an outcome: it did not run, or may be run again. */
 static void
 home_call_finish_abandoned (void *data, int32_t error)
 {
@@ -174,7 +171,7 @@
       call->failure.outcome.ran = RAN_MAYBE;
       call->failure.outcome.error =
           fault_set (&call->failure.fault, home_call_error (call, error), NULL,
-                     "the journal could not take that it was not sent");
+                     "the journal could not record that the call was not sent");
     }
   if (call->failure.outcome.ran == RAN_NO)
     home_call_refuse_all (call, &call->failure.fault, call->failure.retry_after_ms);
@@ -197,7 +194,7 @@
   TALLOC_FREE (call->timer);
   call->failure.fault = *fault;
   call->failure.outcome.error = fault->error;
-  /* A last try that found no server speaks for itself alone. */
+  /* When the last attempt did not run, an earlier one may have. */
   call->failure.outcome.ran = ran == RAN_NO && call->may_have_run ? RAN_MAYBE : ran;
   call->failure.retry_after_ms = retry_after_ms;
   if (call->failure.outcome.ran != RAN_NO)
@@ -237,7 +234,7 @@
   return strncmp (program, "lone-", strlen ("lone-")) == 0;
 }
 
-/* The outcome is durable: now, and not before, the end of the answer may be seen. */
+/* Sends the end of the response, which is withheld until the outcome is durable. */
 static void
 home_call_on_outcome_written (void *data, int32_t error)
 {
@@ -252,7 +249,7 @@
   reply.event_stream = call->call.stream;
   if (error != ERROR_NONE)
     {
-      /* Sealed while it was paused: whether the new home runs the call again is not known here. */
+      /* The journal was sealed during a pause: whether the new home runs the call is unknown. */
       reply.outcome.ran = RAN_MAYBE;
       reply.outcome.error = fault_set (&reply.fault, home_call_error (call, error), NULL,
                                        "the outcome could not be journaled");
@@ -263,8 +260,8 @@
   home_call_record_outcome (call);
   home_history_remember (call);
   if (call->outcome.error != ERROR_NONE)
-    fault_set (&reply.fault, call->outcome.error, NULL, "backend server %s was lost in mid-call",
-               call->outcome.backend);
+    fault_set (&reply.fault, call->outcome.error, NULL,
+               "no complete response from backend server %s", call->outcome.backend);
   else
     home_call_forward (call, call->response_bytes);
   home_call_reply_all (call, &reply);
@@ -297,8 +294,6 @@
     home_call_on_outcome_written (call, error);
 }
 
-/* A call that may run once only was sent, and what became of it is not known: it is settled as "may
- * have run" and never sent again. */
 void
 home_call_end_uncertain (struct HomeCall *call)
 {
@@ -344,7 +339,7 @@
   struct PeerAnswer lost = { 0 };
 
   lost.outcome.error = fault_set (&lost.fault, ERROR_UNKNOWN_EFFECT, NULL,
-                                  "the instance that sent the call was lost");
+                                  "the connection to the backend server's owner was lost");
   lost.outcome.ran = RAN_MAYBE;
   HASH_ITER (by_key, home->calls, call, next)
   {
@@ -376,7 +371,7 @@
         peer_net_send (home->core->net, call->owner_link, &cancel);
         home_release_record_held (home, program, call->backend);
         if (!call->call.idempotent)
-          break; /* its outcome is still wanted */
+          break; /* its outcome is still to be journaled */
         home_call_abandon (call, RAN_MAYBE, &fault, 0);
         break;
       case HOME_CALL_BACKING_OFF:
--- a/daemon/home_dispatch.c
+++ b/daemon/home_dispatch.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  TIMEOUT_GRACE_MS = 2000, /* over the backend server's own time: the owner answers first */
+  TIMEOUT_GRACE_MS = 2000, /* added to call_timeout, so that the owner's timeout comes first */
   RETRY_AFTER_NO_SERVER_MS = 500
 };
 
@@ -35,8 +35,8 @@
   home_call_dispatch (call);
 }
 
-/* Nothing of the answer was seen and sending again is safe: tries elsewhere, within the retry
- * budget. */
+/* Retries a call of which no response bytes were forwarded and which is safe to send again, at
+ * another backend server if there is one, within the retry budget. */
 static void
 home_call_retry (struct HomeCall *call, const struct PeerAnswer *reply)
 {
@@ -80,7 +80,7 @@
       home_call_end_uncertain (call);
       return;
     }
-  fault_set (&fault, ERROR_TIMEOUT, NULL, "backend server %s did not answer in time",
+  fault_set (&fault, ERROR_TIMEOUT, NULL, "backend server %s did not respond in time",
              call->backend);
   home_call_abandon (call, RAN_MAYBE, &fault,
                      home_call_retry_after_ms (call, RETRY_AFTER_NO_SERVER_MS));
@@ -108,7 +108,7 @@
     }
   if (n_usable > 0)
     return;
-  /* All were tried: a server that refused may have room by now. */
+  /* All were tried: a server that refused the call may have capacity by now. */
   for (size_t i = 0; i < n; i++)
     {
       const struct FleetBackend *backend = fleet_backend (call->home->core->fleet, servers[i].name);
@@ -117,7 +117,8 @@
     }
 }
 
-/* Sends the call to the owner of backend. False when its owner can not be reached: nothing left. */
+/* Sends the call to the owner of backend. Returns false, with nothing sent, when the owner is
+ * unreachable. */
 static bool
 home_call_send (struct HomeCall *call,
                 const struct FleetBackend *backend,
@@ -186,7 +187,7 @@
                       placement_cached_hint (home->placement, &call->call, backend->setting.name)))
     return;
   failed.outcome.error = fault_set (&failed.fault, ERROR_UNREACHABLE, NULL,
-                                    "the owner of %s can not be reached", backend->setting.name);
+                                    "the owner of %s is unreachable", backend->setting.name);
   failed.outcome.ran = RAN_NO;
   home_call_retry (call, &failed);
 }
@@ -210,10 +211,10 @@
     return;
   counter_add (COUNTER_QUARANTINED, 1);
   log_event (LOG_LEVEL_ERROR, "request_quarantined", NULL, error_remedy (ERROR_QUARANTINED),
-             "a request stopped a second backend server, %s", server);
+             "a second backend server crashed while it ran the same request: %s", server);
 }
 
-/* A call that broke after it was sent, and may be sent again. */
+/* Handles the failure of an idempotent call after it was sent. */
 static void
 home_call_on_failed (struct HomeCall *call, const struct PeerAnswer *reply)
 {
@@ -231,8 +232,8 @@
       home_call_retry (call, reply);
       return;
     }
-  /* Part of an answer is with the caller: another try would mix two. The caller sends the same
-   * sequence number again and gets a whole one. */
+  /* The caller has received part of a response, and another attempt would mix two. It sends the
+   * same sequence number again and gets a complete one. */
   home_call_abandon (call, RAN_MAYBE, &reply->fault, home_call_retry_after_ms (call, 0));
 }
 
