--- a/daemon/home_history.c
+++ b/daemon/home_history.c
@@ -5,7 +5,7 @@
 
 #include <xxhash.h>
 
-/* The messages with which the last turn of a branch began. */
+/* The message prefix of the body of a branch's last turn. */
 struct HomePrefix
 {
   char key[PROGRAM_ID_MAX_BYTES + NAME_MAX_BYTES + 2]; /* program, '/', branch */
@@ -32,14 +32,14 @@
   return prefix;
 }
 
-/* Where the messages begin that the turn before did not have. */
+/* Returns the offset in the body of the first message that the previous turn did not have. */
 static uint32_t
 history_new_messages_at (struct Home *home, const struct Call *call)
 {
   const uint32_t head_bytes = (uint32_t)strlen (CHAT_BODY_HEAD);
   const struct HomePrefix *prefix = prefix_find (home, &call->key);
 
-  /* Another home may have had turns in between: only the very turn before counts. */
+  /* Another home may have run turns in between: compares with the directly preceding one only. */
   if (prefix == NULL || prefix->sequence + 1 != call->key.sequence
       || prefix->messages_end >= call->messages_end || call->body[prefix->messages_end] != ',')
     return head_bytes;
@@ -77,7 +77,7 @@
   prefix = prefix_find (home, &c->key);
   if (c->messages_end == 0)
     {
-      /* A service's turn has no messages; the next chat goes on behind it. */
+      /* A call to a service has no messages; the next chat is still compared with the last chat. */
       if (prefix != NULL && prefix->sequence + 1 == c->key.sequence)
         prefix->sequence = c->key.sequence;
       return;
--- a/daemon/home_program.c
+++ b/daemon/home_program.c
@@ -10,11 +10,11 @@
 
 enum
 {
-  GRANT_DIVISOR = 20, /* of a program's budget: what a take-over may charge for each branch */
+  GRANT_DIVISOR = 20, /* divides the budget for grant_tokens, a takeover's charge per branch */
   RETRY_AFTER_OUTAGE_MS = 1000
 };
 
-/* A request that is answered once its record is durable. */
+/* A request whose response is sent once its record is durable. */
 struct HomePending
 {
   struct Home *home;
@@ -88,7 +88,8 @@
 {
   struct PeerAnswer reply = { .id = pending->id };
 
-  reply.outcome.error = fault_set (&reply.fault, error, NULL, "the journal did not take it");
+  reply.outcome.error =
+      fault_set (&reply.fault, error, NULL, "the journal did not accept the record");
   reply.outcome.ran = error == ERROR_PLATFORM_DOWN ? RAN_NO : RAN_MAYBE;
   home_reply (pending->home, pending->link, &reply);
   talloc_free (pending);
@@ -131,7 +132,7 @@
   return a < b ? a : b;
 }
 
-/* What a new program gets: the caller's wishes within its service's profile. */
+/* Fills in the record of a new program: the caller's settings, capped by its service's profile. */
 static void
 home_program_record (struct Home *home,
                      const struct Call *call,
@@ -167,8 +168,8 @@
   memcpy (record->program.create_digest, call->digest, DIGEST_BYTES);
 }
 
-/* Puts a program into the ledger, or refuses the request. One that exists is found in an outage
- * too: a resend then gets what is stored. */
+/* Adds a program to the ledger, or refuses the request. A program that exists already is accepted
+ * during an outage, too, so that a resend gets the stored response. */
 static bool
 home_add_to_ledger (struct Home *home,
                     uint64_t link,
@@ -185,7 +186,7 @@
         return true;
       ledger_abandon_program (home->ledger, record->program.program);
       fault_set (&fault, ERROR_PLATFORM_DOWN, NULL,
-                 "the platform's key-value service does not take the journal");
+                 "the platform's key-value service does not accept journal writes");
       retry_after_ms = RETRY_AFTER_OUTAGE_MS;
     }
   home_refuse (home, link, request->id, request->first_attempt, &fault, retry_after_ms, 0);
@@ -222,7 +223,8 @@
   talloc_free (pending);
 }
 
-/* The call's records stand behind its program's in the journal, so both may be written at once. */
+/* The call starts before its program's record is durable: its own records follow that one in the
+ * journal. */
 void
 home_on_lone (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
@@ -251,7 +253,7 @@
     home_refuse_unknown_program (home, link, request);
 }
 
-/* Text as JSON when it is some, else as a string. */
+/* Parses bytes as JSON; returns them as a JSON string when they are not valid JSON. */
 static json_t *
 json_from_bytes (const uint8_t *bytes, size_t n_bytes)
 {
@@ -387,7 +389,7 @@
       pending->reason = reason;
       home_write (home, &record, request->call.key.program, home_on_ended, pending);
       break;
-    case ERROR_ENDED: /* a resend: the state is the answer */
+    case ERROR_ENDED: /* a resend: respond with the program's state */
       home_on_view (home, link, request);
       break;
     default:
--- a/daemon/home_stream.c
+++ b/daemon/home_stream.c
@@ -2,10 +2,9 @@
 
 #include <string.h>
 
-/* An event stream is not complete before this; it is held back until the outcome is durable. */
+/* The last event of a complete stream; it is withheld until the outcome is durable. */
 static const char end_marker[] = "data: [DONE]";
 
-/* Sends each waiter what it may have and has not had. */
 void
 home_call_forward (struct HomeCall *call, size_t up_to_bytes)
 {
@@ -20,7 +19,7 @@
     }
 }
 
-/* Bytes at the end of text that could be the start of the end marker. */
+/* Returns the number of bytes at the end of text that may be the start of the end marker. */
 static size_t
 marker_overlap (const uint8_t *text, size_t n_bytes)
 {
@@ -34,7 +33,7 @@
   return 0;
 }
 
-/* How much of the stream may be seen before its outcome is durable. */
+/* Returns the number of bytes of the stream that may be sent before its outcome is durable. */
 static size_t
 home_call_forwardable (const struct HomeCall *call)
 {
