--- a/daemon/home_release.c
+++ b/daemon/home_release.c
@@ -8,7 +8,7 @@
 enum
 {
   SWEEP_MS = 300,
-  REQUEST_AGAIN_MS = 2500 /* an owner that has not answered by then is asked anew */
+  REQUEST_AGAIN_MS = 2500 /* a release without a response is requested again after this */
 };
 
 static void
@@ -21,7 +21,7 @@
 release_on_held_recorded (void *data, int32_t error)
 {
   (void)data;
-  (void)error; /* a home that could not write it is no home any more; its taker asks everywhere */
+  (void)error; /* on failure another instance takes over and sends releases to all engines */
 }
 
 void
@@ -51,7 +51,8 @@
   release_free (release);
 }
 
-/* The server holds nothing any more: remembered, so that no later home asks again. */
+/* Journals that the server holds no memory of the program, so that no later home requests the
+ * release again. */
 static void
 release_record (struct HomeRelease *release)
 {
@@ -85,7 +86,7 @@
   return release;
 }
 
-/* Asks the owner of the release's server, unless it was asked a moment ago. */
+/* Sends a release request to the owner of the server, at most once per REQUEST_AGAIN_MS. */
 static void
 release_request (struct HomeRelease *release)
 {
@@ -101,7 +102,7 @@
     return;
   if (backend == NULL || backend->setting.kind != CALL_TARGET_ENGINE)
     {
-      /* No list names it any more, and what it held went with it; or it holds no cache. */
+      /* The server was removed together with its memory, or its kind has no cache. */
       release->acknowledged = true;
       return;
     }
@@ -118,8 +119,8 @@
   peer_net_send (core->net, link, &message);
 }
 
-/* Every engine that is known may hold memory of a program whose former home died in mid-call. True
- * once each has acknowledged. */
+/* Requests the release at every live engine, since each may hold memory of a program whose previous
+ * home failed during a call. Returns true once all have acknowledged. */
 static bool
 release_request_all (struct Home *home, const char *program)
 {
--- a/daemon/home_reply.c
+++ b/daemon/home_reply.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* A refusal that waits for the journal's word. */
+/* A refusal that waits for journal_confirm. */
 struct PendingRefusal
 {
   struct Home *home;
@@ -85,9 +85,9 @@
   refusal->reply.expected_sequence = expected_sequence;
   home->core->outcomes.refused++;
   counter_add (COUNTER_CALLS_REFUSED, 1);
-  /* A home that was paused and replaced does not know it yet. Its ledger is old: the very call may
-   * have run at the new home, and only a slot written now proves that there is none. When the
-   * journal can not tell, neither can this: "may have run". */
+  /* A home that was paused and replaced has not noticed it yet. Its ledger is stale: the same call
+   * may have run at the new home, and only a slot written now proves that there is none. Without
+   * that proof the call is reported as "may have run". */
   if (first_attempt)
     refusal_on_confirmed (refusal, ERROR_NONE);
   else if (home->journal == NULL || !journal_is_writable (home->journal))
--- a/daemon/home_write.c
+++ b/daemon/home_write.c
@@ -9,12 +9,12 @@
 enum
 {
   SPOOL_CHECK_MS = 50,
-  /* The journal is left alone for so long before its records go to disks: a lost answer or a short
-   * pause of the platform's service is not an outage. */
+  /* Time for which the journal must be unwritable before its records are sent to disks: a lost
+   * response or a short pause of the platform's service is not an outage. */
   SPOOL_AFTER_MS = 300
 };
 
-/* A record on its way to the journal, and in an outage to the spool. */
+/* A record that is being written to the journal, and in an outage to the spool. */
 struct HomeWrite
 {
   struct HomeWrite *prev, *next;
@@ -23,7 +23,7 @@
   HomeWritten done;
   void *data;
   bool spooled;    /* sent to the spool */
-  bool finished;   /* durable in one way or the other, and answered for */
+  bool finished;   /* done was called */
   uint64_t number; /* in the spool */
 };
 
@@ -33,7 +33,7 @@
   return partition_of (program, home->core->settings->n_partitions);
 }
 
-/* The record is durable, or never will be. */
+/* Applies the record if it is durable, that is without error, and calls done once. */
 static void
 write_finish (struct HomeWrite *write, int32_t error)
 {
@@ -54,7 +54,7 @@
   DL_DELETE (home->writes, write);
   if (write->spooled)
     {
-      /* The disks may answer later: by then this write is gone. */
+      /* The disks may respond after this write has been freed. */
       spooler_forget (home->core->spooler, write->number);
       if (error == ERROR_NONE)
         spooler_drop (home->core->spooler, write->number);
@@ -85,8 +85,8 @@
   talloc_free (packed);
 }
 
-/* In an outage, what waits for the journal goes to two disks. An intent does not: a call that may
- * run once only is not begun without the journal. */
+/* In an outage, sends the records that wait for the journal to two disks. Intents are left out: a
+ * non-idempotent call is not started without the journal. */
 static void
 home_on_spool_check (void *data)
 {
