--- a/daemon/home_write.c
+++ b/daemon/home_write.c
@@ -8,13 +8,13 @@
 
 enum
 {
-  SPOOL_TICK_MS = 50,
-  /* The journal is left alone for so long before its records go to disks: a lost answer or a short
-   * pause of the platform's service is not an outage. */
+  SPOOL_CHECK_MS = 50,
+  /* Time for which the journal must be unwritable before its records are sent to disks: a lost
+   * response or a short pause of the platform's service is not an outage. */
   SPOOL_AFTER_MS = 300
 };
 
-/* A record on its way to the journal, and in an outage to the spool. */
+/* A record that is being written to the journal, and in an outage to the spool. */
 struct HomeWrite
 {
   struct HomeWrite *prev, *next;
@@ -23,7 +23,7 @@
   HomeWritten done;
   void *data;
   bool spooled;    /* sent to the spool */
-  bool applied;    /* durable in one way or the other, and answered for */
+  bool finished;   /* done was called */
   uint64_t number; /* in the spool */
 };
 
@@ -33,13 +33,13 @@
   return partition_of (program, home->core->settings->n_partitions);
 }
 
-/* The record is durable, or never will be. */
+/* Applies the record if it is durable, that is without error, and calls done once. */
 static void
-write_answer (struct HomeWrite *write, int32_t error)
+write_finish (struct HomeWrite *write, int32_t error)
 {
-  if (write->applied)
+  if (write->finished)
     return;
-  write->applied = true;
+  write->finished = true;
   if (error == ERROR_NONE)
     error = ledger_apply (write->home->ledger, &write->record);
   write->done (write->data, error);
@@ -54,19 +54,19 @@
   DL_DELETE (home->writes, write);
   if (write->spooled)
     {
-      /* The disks may answer later: by then this write is gone. */
+      /* The disks may respond after this write has been freed. */
       spooler_forget (home->core->spooler, write->number);
       if (error == ERROR_NONE)
         spooler_drop (home->core->spooler, write->number);
     }
-  write_answer (write, error);
+  write_finish (write, error);
   talloc_free (write);
 }
 
 static void
 home_on_spooled (void *data, int32_t error)
 {
-  write_answer (data, error);
+  write_finish (data, error);
 }
 
 static void
@@ -85,10 +85,10 @@
   talloc_free (packed);
 }
 
-/* In an outage, what waits for the journal goes to two disks. An intent does not: a call that may
- * run once only is not begun without the journal. */
+/* In an outage, sends the records that wait for the journal to two disks. Intents are left out: a
+ * non-idempotent call is not started without the journal. */
 static void
-home_on_spool_tick (void *data)
+home_on_spool_check (void *data)
 {
   struct Home *home = data;
   int64_t now_ms = timer_now_ms (home->core->timers);
@@ -105,7 +105,7 @@
     return;
   DL_FOREACH (home->writes, write)
   {
-    if (!write->spooled && !write->applied && write->record.kind != RECORD_INTENT)
+    if (!write->spooled && !write->finished && write->record.kind != RECORD_INTENT)
       write_spool (write);
   }
 }
@@ -115,8 +115,8 @@
 {
   home->writes = NULL;
   home->unwritable_since_ms = 0;
-  timer_subscribe (home->era, home->core->timers, SPOOL_TICK_MS, SPOOL_TICK_MS, home_on_spool_tick,
-                   home);
+  timer_subscribe (home->incarnation_ctx, home->core->timers, SPOOL_CHECK_MS, SPOOL_CHECK_MS,
+                   home_on_spool_check, home);
 }
 
 static int32_t
@@ -138,7 +138,7 @@
             HomeWritten done,
             void *data)
 {
-  struct HomeWrite *write = talloc_zero (home->era, struct HomeWrite);
+  struct HomeWrite *write = talloc_zero (home->incarnation_ctx, struct HomeWrite);
   int32_t error;
 
   if (write == NULL)
