--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -161,7 +161,8 @@
   struct Core *core = call->entry->core;
   uint32_t partition = partition_of (call->request.call.key.program, core->settings->n_partitions);
   const char *home = home_lookup (core->home, partition);
-  const struct FleetMember *member = home != NULL ? fleet_member_of (core->fleet, home) : NULL;
+  const struct FleetMember *member =
+      home != NULL ? fleet_member_by_incarnation (core->fleet, home) : NULL;
 
   return member != NULL ? peer_net_link_to (core->net, member->instance) : PEER_LINK_NONE;
 }
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -14,25 +14,26 @@
 enum
 {
   HEARTBEAT_MS = 500,
-  /* Silence after which a member is suspected and its link dropped: calls that wait on a paused
-   * instance are then settled. It starts no take-over; only the platform's lease does. */
-  SILENCE_MS = 2500,
-  CONNECT_KEEP_MS = 2000,
-  REFUSALS_FOR_GONE = 2,
-  LOST_SHOWN_MS = 60 * 60 * 1000
+  /* Time without a heartbeat after which a member is suspected and its link dropped, so that calls
+   * that wait for a paused instance are settled. It starts no takeover: only the lapse of the
+   * platform's lease and refused connections do. */
+  HEARTBEAT_TIMEOUT_MS = 2500,
+  ADDRESS_CACHE_MS = 2000,
+  REFUSALS_FOR_EXITED = 2,
+  LOST_STATUS_MS = 60 * 60 * 1000
 };
 
-/* An instance whose key is gone and whose link is kept while it is heard. */
-struct FleetGone
+/* An instance whose registration was removed and whose link is kept while it sends heartbeats. */
+struct FleetFormerMember
 {
-  struct FleetGone *next;
+  struct FleetFormerMember *next;
   char instance[NAME_MAX_BYTES + 1];
   int64_t received_ms;
 };
 
 struct Fleet
 {
-  struct FleetGone *gone;
+  struct FleetFormerMember *former;
   struct Core *core;
   struct FleetMember *members;
   size_t n_members;
@@ -57,7 +58,7 @@
 }
 
 const struct FleetMember *
-fleet_member_of (const struct Fleet *fleet, const char *incarnation)
+fleet_member_by_incarnation (const struct Fleet *fleet, const char *incarnation)
 {
   for (size_t i = 0; i < fleet->n_members; i++)
     if (strcmp (fleet->members[i].incarnation, incarnation) == 0)
@@ -66,7 +67,7 @@
 }
 
 static struct FleetMember *
-fleet_member_named (struct Fleet *fleet, const char *instance)
+fleet_member_by_instance (struct Fleet *fleet, const char *instance)
 {
   for (size_t i = 0; i < fleet->n_members; i++)
     if (strcmp (fleet->members[i].instance, instance) == 0)
@@ -74,30 +75,30 @@
   return NULL;
 }
 
-/* Keeps what is only known from heartbeats when a member stays the same incarnation. */
+/* Keeps the state received by heartbeats while a member has the same incarnation. */
 static void
-fleet_carry_over (struct Fleet *fleet, struct FleetMember *member)
+fleet_copy_heartbeat_state (struct Fleet *fleet, struct FleetMember *member)
 {
-  const struct FleetMember *former = fleet_member_of (fleet, member->incarnation);
+  const struct FleetMember *former = fleet_member_by_incarnation (fleet, member->incarnation);
 
   member->received_ms = timer_now_ms (fleet->core->timers);
   if (former == NULL)
     return;
   member->suspected = former->suspected;
-  member->gone = former->gone;
+  member->exited = former->exited;
   member->received_ms = former->received_ms;
   member->heartbeat = former->heartbeat;
 }
 
 static void
-fleet_tell_homes (struct Fleet *fleet)
+fleet_update_homes (struct Fleet *fleet)
 {
   struct HomesMember *members = talloc_zero_array (fleet, struct HomesMember, fleet->n_members);
   size_t n = 0;
 
   for (size_t i = 0; members != NULL && i < fleet->n_members; i++)
     {
-      if (fleet->members[i].gone)
+      if (fleet->members[i].exited)
         continue;
       members[n].incarnation = fleet->members[i].incarnation;
       members[n].instance = fleet->members[i].instance;
@@ -107,10 +108,10 @@
   talloc_free (members);
 }
 
-static struct FleetGone **
-fleet_gone_at (struct Fleet *fleet, const char *instance)
+static struct FleetFormerMember **
+fleet_former_at (struct Fleet *fleet, const char *instance)
 {
-  struct FleetGone **at = &fleet->gone;
+  struct FleetFormerMember **at = &fleet->former;
 
   while (*at != NULL && strcmp ((*at)->instance, instance) != 0)
     at = &(*at)->next;
@@ -118,83 +119,83 @@
 }
 
 static void
-fleet_gone_remove (struct FleetGone **at)
+fleet_former_remove (struct FleetFormerMember **at)
 {
-  struct FleetGone *gone = *at;
+  struct FleetFormerMember *former = *at;
 
-  *at = gone->next;
-  talloc_free (gone);
+  *at = former->next;
+  talloc_free (former);
 }
 
-/* A leaving instance still answers over its link. A paused one, whose lease lapsed before its
- * silence was noticed, never will: callers' requests and calls that wait on it would wait for their
- * own limits. Its silence tells the two apart, as it does with members. */
+/* A leaving instance still responds over its link. One that was paused and whose lease lapsed
+ * before it was suspected never does, and the requests and calls that wait for it would wait until
+ * their own timeouts. Missing heartbeats distinguish the two, as with members. */
 static void
-fleet_gone_add (struct Fleet *fleet, const struct FleetMember *former)
+fleet_former_add (struct Fleet *fleet, const struct FleetMember *member)
 {
-  struct FleetGone *gone = talloc_zero (fleet, struct FleetGone);
+  struct FleetFormerMember *former = talloc_zero (fleet, struct FleetFormerMember);
 
-  if (gone == NULL)
+  if (former == NULL)
     return;
-  snprintf (gone->instance, sizeof gone->instance, "%s", former->instance);
-  gone->received_ms = former->received_ms;
-  gone->next = fleet->gone;
-  fleet->gone = gone;
+  snprintf (former->instance, sizeof former->instance, "%s", member->instance);
+  former->received_ms = member->received_ms;
+  former->next = fleet->former;
+  fleet->former = former;
 }
 
 static void
-fleet_drop_silent_gone (struct Fleet *fleet, int64_t now_ms)
+fleet_drop_silent_former (struct Fleet *fleet, int64_t now_ms)
 {
-  struct FleetGone **at = &fleet->gone;
+  struct FleetFormerMember **at = &fleet->former;
 
   while (*at != NULL)
-    if (now_ms - (*at)->received_ms >= SILENCE_MS)
+    if (now_ms - (*at)->received_ms >= HEARTBEAT_TIMEOUT_MS)
       {
         peer_net_drop (fleet->core->net, (*at)->instance);
         peer_net_forget (fleet->core->net, (*at)->instance);
-        fleet_gone_remove (at);
+        fleet_former_remove (at);
       }
     else
       at = &(*at)->next;
 }
 
 static void
-fleet_drop_lost (struct Fleet *fleet, size_t i)
+fleet_remove_lost (struct Fleet *fleet, size_t i)
 {
   fleet->n_lost--;
   memmove (&fleet->lost[i], &fleet->lost[i + 1], (fleet->n_lost - i) * sizeof fleet->lost[0]);
 }
 
-/* Operators must see an instance that died: it is no member any more, and without this its line
- * would just be missing. */
+/* Keeps a removed member's link, and records the member as lost unless it was draining: operators
+ * must see a failed instance, which would otherwise just be missing from the status. */
 static void
-fleet_forget_member (struct Fleet *fleet, const struct FleetMember *member)
+fleet_on_member_removed (struct Fleet *fleet, const struct FleetMember *member)
 {
   struct FleetLost *lost;
 
-  fleet_gone_add (fleet, member);
+  fleet_former_add (fleet, member);
   if (member->draining)
     return;
   if (fleet->n_lost == FLEET_LOST_MAX)
-    fleet_drop_lost (fleet, 0);
+    fleet_remove_lost (fleet, 0);
   lost = &fleet->lost[fleet->n_lost++];
   snprintf (lost->instance, sizeof lost->instance, "%s", member->instance);
   lost->lost_ms = timer_now_ms (fleet->core->timers);
   log_event (LOG_LEVEL_WARNING, "member_lost", NULL,
-             "replace the instance if it does not come back", "%s is no member any more",
+             "replace the instance if it does not come back", "%s is no longer a member",
              member->instance);
 }
 
-/* What has come back, or was lost long ago, needs nobody. */
+/* Removes the lost members that have rejoined or were lost more than LOST_STATUS_MS ago. */
 static void
-fleet_tidy_lost (struct Fleet *fleet)
+fleet_prune_lost (struct Fleet *fleet)
 {
   int64_t now_ms = timer_now_ms (fleet->core->timers);
 
   for (size_t i = fleet->n_lost; i-- > 0;)
-    if (now_ms - fleet->lost[i].lost_ms > LOST_SHOWN_MS
-        || fleet_member_named (fleet, fleet->lost[i].instance) != NULL)
-      fleet_drop_lost (fleet, i);
+    if (now_ms - fleet->lost[i].lost_ms > LOST_STATUS_MS
+        || fleet_member_by_instance (fleet, fleet->lost[i].instance) != NULL)
+      fleet_remove_lost (fleet, i);
 }
 
 size_t
@@ -207,8 +208,8 @@
 void
 fleet_set_members (struct Fleet *fleet, const struct FleetMember *members, size_t n_members)
 {
-  struct FleetMember *former = fleet->members;
-  size_t n_former = fleet->n_members;
+  struct FleetMember *old_members = fleet->members;
+  size_t n_old_members = fleet->n_members;
   struct FleetMember *copy = talloc_array (fleet, struct FleetMember, n_members);
 
   if (copy == NULL)
@@ -216,28 +217,28 @@
   if (n_members > 0)
     memcpy (copy, members, n_members * sizeof *members);
   for (size_t i = 0; i < n_members; i++)
-    fleet_carry_over (fleet, &copy[i]);
+    fleet_copy_heartbeat_state (fleet, &copy[i]);
   fleet->members = copy;
   fleet->n_members = n_members;
-  for (size_t i = 0; i < n_former; i++)
-    if (fleet_member_named (fleet, former[i].instance) == NULL)
-      fleet_forget_member (fleet, &former[i]);
+  for (size_t i = 0; i < n_old_members; i++)
+    if (fleet_member_by_instance (fleet, old_members[i].instance) == NULL)
+      fleet_on_member_removed (fleet, &old_members[i]);
   for (size_t i = 0; i < n_members; i++)
     {
-      struct FleetGone **gone = fleet_gone_at (fleet, copy[i].instance);
+      struct FleetFormerMember **former = fleet_former_at (fleet, copy[i].instance);
 
-      if (*gone != NULL)
-        fleet_gone_remove (gone);
+      if (*former != NULL)
+        fleet_former_remove (former);
       peer_net_know (fleet->core->net, copy[i].instance, copy[i].peer_address);
     }
-  talloc_free (former);
-  fleet_tidy_lost (fleet);
-  fleet_tell_homes (fleet);
+  talloc_free (old_members);
+  fleet_prune_lost (fleet);
+  fleet_update_homes (fleet);
   fleet_publish (fleet);
 }
 
 static struct FleetBackend *
-fleet_backend_named (const struct Fleet *fleet, const char *name)
+fleet_backend_by_name (const struct Fleet *fleet, const char *name)
 {
   for (size_t i = 0; i < fleet->n_backends; i++)
     if (strcmp (fleet->backends[i].setting.name, name) == 0)
@@ -248,15 +249,15 @@
 const struct FleetBackend *
 fleet_backend (const struct Fleet *fleet, const char *name)
 {
-  return fleet_backend_named (fleet, name);
+  return fleet_backend_by_name (fleet, name);
 }
 
 static void
-fleet_take_digests (struct Fleet *fleet, const struct PeerHeartbeat *heartbeat)
+fleet_store_digests (struct Fleet *fleet, const struct PeerHeartbeat *heartbeat)
 {
   for (size_t i = 0; i < heartbeat->n_digests; i++)
     {
-      struct FleetBackend *backend = fleet_backend_named (fleet, heartbeat->digests[i].name);
+      struct FleetBackend *backend = fleet_backend_by_name (fleet, heartbeat->digests[i].name);
 
       if (backend == NULL)
         continue;
@@ -268,15 +269,15 @@
 void
 fleet_on_heartbeat (struct Fleet *fleet, const struct PeerHeartbeat *heartbeat)
 {
-  struct FleetMember *member = fleet_member_named (fleet, heartbeat->instance);
+  struct FleetMember *member = fleet_member_by_instance (fleet, heartbeat->instance);
   bool was_suspected;
 
   if (member == NULL)
     {
-      struct FleetGone *gone = *fleet_gone_at (fleet, heartbeat->instance);
+      struct FleetFormerMember *former = *fleet_former_at (fleet, heartbeat->instance);
 
-      if (gone != NULL)
-        gone->received_ms = timer_now_ms (fleet->core->timers);
+      if (former != NULL)
+        former->received_ms = timer_now_ms (fleet->core->timers);
       return;
     }
   was_suspected = member->suspected;
@@ -285,28 +286,28 @@
   member->heartbeat = *heartbeat;
   member->heartbeat.digests = NULL;
   member->heartbeat.n_digests = 0;
-  fleet_take_digests (fleet, heartbeat);
+  fleet_store_digests (fleet, heartbeat);
   if (was_suspected)
     fleet_publish (fleet);
 }
 
-/* A process that ended has its connections refused, at once, by its machine; one that is cut off,
- * paused or slow has not. So its programs are taken over without waiting for the lease. Were it
- * wrong, the seal would fence the instance like any other that was suspected too early, and it
- * would rejoin. */
+/* Connections to an exited process are refused at once by its operating system; those to one that
+ * is disconnected, paused or slow are not. The programs of a member that refuses connections are
+ * therefore taken over without waiting for its lease. If it is running after all, the seal fences
+ * it like any other that is suspected too early, and it rejoins. */
 void
 fleet_on_refused (struct Fleet *fleet, const char *instance, uint32_t n)
 {
-  struct FleetMember *member = fleet_member_named (fleet, instance);
-  bool gone = n >= REFUSALS_FOR_GONE;
+  struct FleetMember *member = fleet_member_by_instance (fleet, instance);
+  bool exited = n >= REFUSALS_FOR_EXITED;
 
-  if (member == NULL || member->gone == gone)
+  if (member == NULL || member->exited == exited)
     return;
-  member->gone = gone;
-  member->suspected = gone;
-  log_event (gone ? LOG_LEVEL_WARNING : LOG_LEVEL_NOTICE, gone ? "member_gone" : "member_back",
-             NULL, gone ? "replace the instance if it does not come back" : NULL, "%s", instance);
-  fleet_tell_homes (fleet);
+  member->exited = exited;
+  member->suspected = exited;
+  log_event (exited ? LOG_LEVEL_WARNING : LOG_LEVEL_NOTICE, exited ? "member_gone" : "member_back",
+             NULL, exited ? "replace the instance if it does not come back" : NULL, "%s", instance);
+  fleet_update_homes (fleet);
   fleet_publish (fleet);
 }
 
@@ -341,7 +342,7 @@
     }
 }
 
-/* A paused instance keeps its connections open, so its silence is all there is to see. */
+/* A paused instance keeps its connections open: only its missing heartbeats show the pause. */
 static void
 fleet_suspect_silent (struct Fleet *fleet)
 {
@@ -352,16 +353,17 @@
     {
       struct FleetMember *member = &fleet->members[i];
 
-      if (member->suspected || now_ms - member->received_ms < SILENCE_MS
+      if (member->suspected || now_ms - member->received_ms < HEARTBEAT_TIMEOUT_MS
           || strcmp (member->instance, fleet->core->settings->instance) == 0)
         continue;
       member->suspected = true;
       changed = true;
-      log_event (LOG_LEVEL_WARNING, "member_suspected", NULL, "see whether the instance is up",
-                 "%s was silent for %d ms", member->instance, SILENCE_MS);
+      log_event (LOG_LEVEL_WARNING, "member_suspected", NULL,
+                 "check whether the instance is running", "%s was silent for %d ms",
+                 member->instance, HEARTBEAT_TIMEOUT_MS);
       peer_net_drop (fleet->core->net, member->instance);
     }
-  fleet_drop_silent_gone (fleet, now_ms);
+  fleet_drop_silent_former (fleet, now_ms);
   if (changed)
     fleet_publish (fleet);
 }
@@ -374,10 +376,10 @@
   TALLOC_CTX *ctx = talloc_new (fleet);
 
   fleet_own_heartbeat (fleet, ctx, &message.heartbeat);
-  fleet_take_digests (fleet, &message.heartbeat);
+  fleet_store_digests (fleet, &message.heartbeat);
   fleet_broadcast (fleet, &message);
   fleet_suspect_silent (fleet);
-  fleet_tidy_lost (fleet);
+  fleet_prune_lost (fleet);
   gauge_set (GAUGE_PARTITIONS_OWNED, message.heartbeat.partitions);
   gauge_set (GAUGE_PROGRAMS, message.heartbeat.programs);
   gauge_set (GAUGE_DRAINING, message.heartbeat.draining);
@@ -387,9 +389,9 @@
 }
 
 static void
-fleet_add_backend (struct Fleet *fleet, const struct BackendSetting *setting, bool live)
+fleet_put_backend (struct Fleet *fleet, const struct BackendSetting *setting, bool live)
 {
-  struct FleetBackend *backend = fleet_backend_named (fleet, setting->name);
+  struct FleetBackend *backend = fleet_backend_by_name (fleet, setting->name);
 
   if (backend == NULL)
     {
@@ -410,37 +412,39 @@
 {
   const struct Settings *settings = fleet->core->settings;
 
-  /* What is not listed any more gets nothing new, but stays known: memory may have to be released
-   * there, and answers may still come. */
+  /* A server that is no longer listed gets no new calls but stays in the array: memory may have to
+   * be released on it, and responses may still arrive. */
   for (size_t i = 0; i < fleet->n_backends; i++)
     fleet->backends[i].live = false;
   for (size_t i = 0; i < settings->n_backends; i++)
-    fleet_add_backend (fleet, &settings->backends[i], true);
+    fleet_put_backend (fleet, &settings->backends[i], true);
   for (size_t i = 0; i < n_listed; i++)
-    fleet_add_backend (fleet, &listed[i], !leaving[i]);
+    fleet_put_backend (fleet, &listed[i], !leaving[i]);
   owner_on_backends_changed (fleet->core->owner);
 }
 
-/* Members that may own backend servers, same availability zone first. */
+/* Draining and suspected members own no backend servers. Members in the server's availability zone
+ * are preferred. */
 const char *
 fleet_owner (const struct Fleet *fleet, const struct FleetBackend *backend)
 {
   const struct FleetMember *best = NULL;
-  bool best_near = false;
+  bool best_same_zone = false;
   uint64_t best_score = 0;
 
   for (size_t i = 0; i < fleet->n_members; i++)
     {
       const struct FleetMember *member = &fleet->members[i];
-      bool near = strcmp (member->zone, backend->setting.zone) == 0;
+      bool same_zone = strcmp (member->zone, backend->setting.zone) == 0;
       uint64_t score = rendezvous_score (backend->setting.name, member->instance);
 
       if (member->draining || member->suspected)
         continue;
-      if (best != NULL && (best_near > near || (best_near == near && best_score >= score)))
+      if (best != NULL
+          && (best_same_zone > same_zone || (best_same_zone == same_zone && best_score >= score)))
         continue;
       best = member;
-      best_near = near;
+      best_same_zone = same_zone;
       best_score = score;
     }
   return best != NULL ? best->instance : NULL;
@@ -543,7 +547,7 @@
   snapshot->members = talloc_zero_array (snapshot, struct SnapshotMember, fleet->n_members);
   snapshot->n_partitions = fleet->core->settings->n_partitions;
   snapshot->homes = talloc_array (snapshot, int32_t, snapshot->n_partitions);
-  snapshot->keep_ms = CONNECT_KEEP_MS;
+  snapshot->keep_ms = ADDRESS_CACHE_MS;
   for (size_t i = 0; i < fleet->n_members; i++)
     {
       const struct FleetMember *from = &fleet->members[i];
@@ -569,7 +573,7 @@
     return NULL;
   fleet->core = core;
   for (size_t i = 0; i < core->settings->n_backends; i++)
-    fleet_add_backend (fleet, &core->settings->backends[i], true);
+    fleet_put_backend (fleet, &core->settings->backends[i], true);
   if (timer_subscribe (fleet, core->timers, HEARTBEAT_MS, HEARTBEAT_MS, fleet_on_tick, fleet)
       == NULL)
     TALLOC_FREE (fleet);
--- a/daemon/fleet.h
+++ b/daemon/fleet.h
@@ -1,4 +1,4 @@
-/* The fleet as this instance sees it: members, their loads, backend servers and who owns each. */
+/* The fleet as this instance sees it: members, their loads, backend servers and their owners. */
 #pragma once
 
 #include "core.h"
@@ -7,7 +7,7 @@
 {
   struct BackendSetting setting;
   bool live;                  /* listed and not leaving */
-  struct PolicyServer digest; /* its owner's last, or this instance's own */
+  struct PolicyServer digest; /* the last from its owner, or this instance's own */
   int64_t digest_ms;
 };
 
@@ -19,13 +19,13 @@
   char caller_address[ADDRESS_MAX_BYTES + 1];
   char peer_address[ADDRESS_MAX_BYTES + 1];
   bool draining;
-  bool suspected; /* silent over its link: a hint for routing only */
-  bool gone;      /* its machine refuses connections: its process has ended */
+  bool suspected; /* no recent heartbeats: used for routing only */
+  bool exited;    /* refuses connections: its process has exited */
   int64_t received_ms;
-  struct PeerHeartbeat heartbeat; /* the last one; digests are not kept */
+  struct PeerHeartbeat heartbeat; /* the last one, without its digests */
 };
 
-/* A member that went without having been drained: dead, or cut off from the platform. */
+/* A member that left without a drain: it failed, or lost its connection to the platform. */
 struct FleetLost
 {
   char instance[NAME_MAX_BYTES + 1];
@@ -40,31 +40,32 @@
 struct Fleet *
 fleet_new (struct Core *core);
 
-/* The members, as a successful read of the platform's service shows them. */
+/* Replaces the members by the result of a successful read of the platform's service. */
 void
 fleet_set_members (struct Fleet *fleet, const struct FleetMember *members, size_t n_members);
 size_t
 fleet_members (const struct Fleet *fleet, const struct FleetMember **members);
-/* Those lost in the last hour that have not come back. */
+/* Returns the members lost within the last hour that have not rejoined. */
 size_t
 fleet_lost (const struct Fleet *fleet, const struct FleetLost **lost);
 const struct FleetMember *
-fleet_member_of (const struct Fleet *fleet, const char *incarnation);
+fleet_member_by_incarnation (const struct Fleet *fleet, const char *incarnation);
 
 void
 fleet_on_heartbeat (struct Fleet *fleet, const struct PeerHeartbeat *heartbeat);
-/* n attempts in a row to reach instance were refused; 0: it is back. */
+/* Records that n consecutive connections to instance were refused; 0: it is reachable again. */
 void
 fleet_on_refused (struct Fleet *fleet, const char *instance, uint32_t n);
-/* This instance's own, as it goes to the others; digests belong to ctx. */
+/* Fills in this instance's heartbeat, as sent to the others, with digests allocated in ctx. */
 void
 fleet_own_heartbeat (struct Fleet *fleet, TALLOC_CTX *ctx, struct PeerHeartbeat *heartbeat);
 
-/* Tells all connected members. */
+/* Sends message to all connected members. */
 void
 fleet_broadcast (struct Fleet *fleet, const struct PeerMessage *message);
 
-/* The platform's lagging list: replaces all that settings do not list. */
+/* Replaces all backend servers but those of the settings by the platform's list, which lags behind
+ * the servers' actual state. */
 void
 fleet_set_backends (struct Fleet *fleet,
                     const struct BackendSetting *listed,
@@ -75,13 +76,14 @@
 size_t
 fleet_backends (const struct Fleet *fleet, const struct FleetBackend **backends);
 
-/* Whether this instance owns backend; and the name of the instance that does, or NULL. */
+/* Returns whether this instance owns backend. */
 bool
 fleet_owns (const struct Fleet *fleet, const struct FleetBackend *backend);
+/* Returns the name of the instance that owns backend, or NULL. */
 const char *
 fleet_owner (const struct Fleet *fleet, const struct FleetBackend *backend);
 
-/* Backend servers that serve target, as placement wants them; belongs to ctx. */
+/* Returns the backend servers that serve target, as input for placement, allocated in ctx. */
 struct PolicyServer *
 fleet_servers (const struct Fleet *fleet,
                TALLOC_CTX *ctx,
@@ -89,7 +91,7 @@
                const char *target,
                size_t *n_servers);
 
-/* The profile that service runs under; the built-in one when none is set. */
+/* Copies the profile of service, or the built-in one when none is set, to *profile. */
 void
 fleet_profile (const struct Fleet *fleet, const char *service, struct Profile *profile);
 void
