--- a/daemon/core.h
+++ b/daemon/core.h
@@ -1,4 +1,4 @@
-/* What the modules of the core thread share. All of it is used by that thread alone. */
+/* State shared by the modules of the core thread. Only that thread uses it. */
 #pragma once
 
 #include <buckthornhead/backend_pool.h>
@@ -14,7 +14,8 @@
 #include <buckthornhead/settings.h>
 #include <buckthornhead/timer.h>
 
-/* Ids of requests are told apart by their module, since answers come back over one link. */
+/* Responses to all modules arrive over the same link. Each module therefore numbers its requests
+ * from its own base, and the range of the id selects the module that gets the response. */
 #define ENTRY_ID_BASE (1ULL << 63)
 #define OPERATOR_ID_BASE (1ULL << 62)
 #define SPOOLER_ID_BASE (1ULL << 61)
@@ -41,7 +42,7 @@
   struct Spooler *spooler;
   char incarnation[INCARNATION_MAX_BYTES + 1];
   bool platform_up;
-  bool draining; /* by the operators' order or by a signal */
+  bool draining; /* requested by an operator or a signal */
   int64_t draining_since_ms;
   struct PeerOutcomes outcomes;
 };
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -30,8 +30,8 @@
   CONFIG_POLL_MS = 1000,
   MEMBERS_POLL_MS = 1000,
   INSTANCES_POLL_MS = 1000,
-  CONFIG_ENTRIES_AT_ONCE = 64,
-  LINGER_US = 200 * 1000
+  CONFIG_ENTRIES_MAX = 64,
+  RESPONSE_FLUSH_US = 200 * 1000
 };
 
 struct Daemon
@@ -41,11 +41,12 @@
   bool stopped;
 };
 
-/* A misuse of memory ends the process at once; the log says so before it does. */
+/* talloc calls this when it detects memory misuse, such as a double free: logs the reason and
+ * aborts. */
 static void
 daemon_on_talloc_abort (const char *reason)
 {
-  log_event (LOG_LEVEL_ERROR, "memory_misused", NULL, "report this with the core file", "%s",
+  log_event (LOG_LEVEL_ERROR, "memory_misused", NULL, "report this and attach the core file", "%s",
              reason);
   abort ();
 }
@@ -69,9 +70,9 @@
     case MAIL_CALLER_GONE:
       exchange = ((struct GoneMail *)mail)->exchange;
       if (exchange->kind == EXCHANGE_CALLER)
-        entry_on_gone (core->entry, exchange);
+        entry_on_disconnect (core->entry, exchange);
       else
-        operator_on_gone (core->operators, exchange);
+        operator_on_disconnect (core->operators, exchange);
       break;
     case MAIL_BACKEND_CHUNK:
     case MAIL_BACKEND_END:
@@ -83,19 +84,19 @@
   talloc_free (mail);
 }
 
-/* A peer has a later configuration: asks it for the changes between, over the link that its
- * heartbeat came by. An instance that starts in an outage of the platform knows no member yet to
- * dial. */
+/* Requests the missing changes from a peer whose configuration is newer, over the link on which its
+ * heartbeat arrived: an instance that starts during a platform outage has no member to connect to
+ * yet. */
 static void
-daemon_compare_config (struct Core *core, uint64_t link, const struct PeerHeartbeat *heartbeat)
+daemon_request_config (struct Core *core, uint64_t link, const struct PeerHeartbeat *heartbeat)
 {
-  struct PeerMessage want = { .kind = PEER_CONFIG_WANT };
+  struct PeerMessage request = { .kind = PEER_CONFIG_WANT };
   uint64_t own = config_log_revision (core->config);
 
   if (heartbeat->config_revision <= own)
     return;
-  want.config_want.from = own + 1;
-  peer_net_send (core->net, link, &want);
+  request.config_want.from = own + 1;
+  peer_net_send (core->net, link, &request);
 }
 
 static void
@@ -104,7 +105,7 @@
   TALLOC_CTX *ctx = talloc_new (core);
   uint64_t last = config_log_revision (core->config);
 
-  for (uint64_t n = from; n <= last && n < from + CONFIG_ENTRIES_AT_ONCE; n++)
+  for (uint64_t n = from; n <= last && n < from + CONFIG_ENTRIES_MAX; n++)
     {
       struct PeerMessage entry = { .kind = PEER_CONFIG_ENTRY };
 
@@ -112,7 +113,8 @@
           config_log_entry (core->config, ctx, n, &entry.config_entry.n_bytes);
       if (entry.config_entry.bytes != NULL)
         peer_net_send (core->net, link, &entry);
-      /* It stood for the whole configuration, and so would each that follows. */
+      /* This entry is no longer kept, so the whole configuration was sent instead. Each further
+       * such entry would send it again. */
       if (!config_log_keeps (core->config, n))
         break;
     }
@@ -158,7 +160,7 @@
       break;
     case PEER_HEARTBEAT:
       fleet_on_heartbeat (core->fleet, &message->heartbeat);
-      daemon_compare_config (core, link, &message->heartbeat);
+      daemon_request_config (core, link, &message->heartbeat);
       break;
     case PEER_REQUEST:
       home_on_request (core->home, link, &message->request);
@@ -196,7 +198,7 @@
       home_on_map_hint (core->home);
       break;
     case PEER_GATEWAY:
-      /* Gateways and archives talk among themselves. */
+      /* Exchanged only among gateways and archives. */
       break;
     case PEER_SPOOL_PUT:
     case PEER_SPOOL_DROP:
@@ -226,7 +228,7 @@
 }
 
 static bool
-config_drains (const struct ConfigState *state, const char *instance)
+config_has_draining (const struct ConfigState *state, const char *instance)
 {
   for (size_t i = 0; i < state->n_draining; i++)
     if (strcmp (state->draining[i], instance) == 0)
@@ -246,7 +248,7 @@
   log_event (LOG_LEVEL_NOTICE, "config_in_force", NULL, NULL, "revision %llu",
              (unsigned long long)state->revision);
   if (daemon->drain != NULL)
-    drain_set (daemon->drain, config_drains (state, core->settings->instance));
+    drain_set_enabled (daemon->drain, config_has_draining (state, core->settings->instance));
 }
 
 static void
@@ -281,7 +283,7 @@
   spooler_start_writer (core->spooler, incarnation);
   if (home_start (core->home, incarnation) != ERROR_NONE)
     log_event (LOG_LEVEL_ERROR, "home_failed", NULL, "give the instance more memory",
-               "the home could not be started");
+               "starting the home module failed");
 }
 
 static void
@@ -338,7 +340,7 @@
   drain_stop (daemon->drain, daemon_on_drained, daemon);
 }
 
-/* The adapters, from the bottom up. */
+/* Opens the adapters, each after those that it depends on. */
 static int32_t
 daemon_open_adapters (struct Daemon *daemon, struct Fault *fault)
 {
@@ -373,7 +375,7 @@
 }
 
 static void
-daemon_make_modules (struct Daemon *daemon)
+daemon_create_modules (struct Daemon *daemon)
 {
   struct Core *core = daemon->core;
   const struct Settings *settings = core->settings;
@@ -394,7 +396,7 @@
 }
 
 static void
-daemon_follow_backends (struct Daemon *daemon)
+daemon_watch_backends (struct Daemon *daemon)
 {
   struct Core *core = daemon->core;
   struct BackendListOptions options = { 0 };
@@ -407,7 +409,7 @@
   options.data = daemon;
   if (port == NULL || backend_list_new (core, port, core->timers, &options) == NULL)
     log_event (LOG_LEVEL_ERROR, "backend_list_failed", NULL, "give the instance more memory",
-               "the platform's list is not followed");
+               "cannot watch the platform's list of backend servers");
 }
 
 static void
@@ -431,18 +433,19 @@
   options.data = daemon;
   core->membership = membership_new (core, core->kv, core->timers, &options);
   if (settings->instances_url[0] != '\0')
-    daemon_follow_backends (daemon);
+    daemon_watch_backends (daemon);
 }
 
 static void
-daemon_loop (struct Daemon *daemon)
+daemon_run_loop (struct Daemon *daemon)
 {
   struct Core *core = daemon->core;
 
   tevent_add_signal (core->events, core, SIGTERM, 0, daemon_on_signal, daemon);
   tevent_add_signal (core->events, core, SIGINT, 0, daemon_on_signal, daemon);
   signal (SIGPIPE, SIG_IGN);
-  log_event (LOG_LEVEL_NOTICE, "started", NULL, NULL, "callers %s, operators %s, peers %s",
+  log_event (LOG_LEVEL_NOTICE, "started", NULL, NULL,
+             "listening for callers on %s, operators on %s, peers on %s",
              core->settings->caller_listen, core->settings->operator_listen,
              core->settings->peer_listen);
   while (!daemon->stopped)
@@ -450,17 +453,17 @@
       break;
 }
 
-/* An operator's change, or a request that came as the last one ended, may still be with the core:
- * each gets its answer before the listeners close. */
+/* Rejects new requests and waits until each open exchange has its response: an operator's change,
+ * or a request that arrived as the last one ended, may still be in progress. */
 static void
-daemon_end_exchanges (struct Daemon *daemon)
+daemon_finish_exchanges (struct Daemon *daemon)
 {
   caller_http_refuse (daemon->core->http);
   while (exchange_n_open () > 0)
     if (tevent_loop_once (daemon->core->events) != 0)
       break;
-  /* The HTTP threads write out what was answered last. */
-  usleep (LINGER_US);
+  /* Gives the HTTP threads time to write the last responses. */
+  usleep (RESPONSE_FLUSH_US);
 }
 
 int32_t
@@ -478,14 +481,14 @@
   error = daemon_open_adapters (&daemon, &fault);
   if (error != ERROR_NONE)
     goto out;
-  daemon_make_modules (&daemon);
+  daemon_create_modules (&daemon);
   daemon_join (&daemon);
   error =
       caller_http_open (daemon.core, settings, daemon.core->mailbox, &daemon.core->http, &fault);
   if (error != ERROR_NONE)
     goto out;
-  daemon_loop (&daemon);
-  daemon_end_exchanges (&daemon);
+  daemon_run_loop (&daemon);
+  daemon_finish_exchanges (&daemon);
   caller_http_close (daemon.core->http);
   log_event (LOG_LEVEL_NOTICE, "stopped", NULL, NULL, "%s", settings->instance);
 
--- a/daemon/drain.c
+++ b/daemon/drain.c
@@ -8,32 +8,33 @@
 
 enum
 {
-  STEP_MS = 100,
-  /* Longer than the longest time that a caller may keep an answer to "which address?". */
-  KEEP_SERVING_MS = 3000,
-  /* Quiet for so long: a request that was on its way when the last one ended has come. */
-  QUIET_MS = 500
+  POLL_MS = 100,
+  /* Exceeds the longest time for which a caller may cache an address from /v1/connect. */
+  SERVE_MIN_MS = 3000,
+  /* Idle time before the stop, in which a request arrives that was in transit when the last one
+   * ended. */
+  IDLE_MS = 500
 };
 
 struct Drain
 {
   struct Core *core;
   bool handing_off;
-  uint64_t era;           /* of the home that was asked to hand off */
-  int64_t quiet_since_ms; /* 0: not quiet */
+  uint64_t era;          /* of the home that was requested to hand off its programs */
+  int64_t idle_since_ms; /* 0: not idle */
   void (*stopped) (void *data);
   void *data;
 };
 
 static bool
-drain_is_quiet (struct Drain *drain)
+drain_is_idle (struct Drain *drain)
 {
   struct Core *core = drain->core;
   uint32_t partitions, programs, waiting, in_flight;
 
   home_count (core->home, &partitions, &programs);
   owner_count (core->owner, &waiting, &in_flight);
-  return partitions == 0 && waiting == 0 && in_flight == 0 && entry_count (core->entry) == 0;
+  return partitions == 0 && waiting == 0 && in_flight == 0 && entry_n_calls (core->entry) == 0;
 }
 
 static void
@@ -43,7 +44,8 @@
 
   (void)error;
   drain->handing_off = false;
-  log_event (LOG_LEVEL_NOTICE, "drain_handed_off", NULL, NULL, "no program is homed here any more");
+  log_event (LOG_LEVEL_NOTICE, "drain_handed_off", NULL, NULL,
+             "no program has its home here any more");
 }
 
 static void
@@ -52,8 +54,8 @@
   uint32_t partitions, programs;
 
   home_count (drain->core->home, &partitions, &programs);
-  /* An instance that was fenced while it drained has a new incarnation, which knows nothing of the
-   * stop: without this it would be given partitions, and the stop would never end. */
+  /* An instance that is fenced during a drain gets a new incarnation, which is not registered as
+   * draining. Without this it would be assigned partitions, and the drain would never complete. */
   if (drain->era != home_era (drain->core->home))
     {
       drain->era = home_era (drain->core->home);
@@ -67,7 +69,7 @@
 }
 
 static void
-drain_on_step (void *data)
+drain_on_poll (void *data)
 {
   struct Drain *drain = data;
   struct Core *core = drain->core;
@@ -76,22 +78,22 @@
   if (!core->draining)
     return;
   drain_hand_off (drain);
-  if (!drain_is_quiet (drain))
+  if (!drain_is_idle (drain))
     {
-      drain->quiet_since_ms = 0;
+      drain->idle_since_ms = 0;
       return;
     }
-  if (drain->quiet_since_ms == 0)
-    drain->quiet_since_ms = now_ms;
-  if (drain->stopped == NULL || now_ms - core->draining_since_ms < KEEP_SERVING_MS
-      || now_ms - drain->quiet_since_ms < QUIET_MS)
+  if (drain->idle_since_ms == 0)
+    drain->idle_since_ms = now_ms;
+  if (drain->stopped == NULL || now_ms - core->draining_since_ms < SERVE_MIN_MS
+      || now_ms - drain->idle_since_ms < IDLE_MS)
     return;
   core->draining = false;
   drain->stopped (drain->data);
 }
 
 void
-drain_set (struct Drain *drain, bool on)
+drain_set_enabled (struct Drain *drain, bool on)
 {
   struct Core *core = drain->core;
 
@@ -99,7 +101,7 @@
     return;
   core->draining = on;
   core->draining_since_ms = timer_now_ms (core->timers);
-  drain->quiet_since_ms = 0;
+  drain->idle_since_ms = 0;
   log_event (LOG_LEVEL_NOTICE, on ? "drain_started" : "drain_ended", NULL, NULL, "%s",
              core->settings->instance);
   if (!on)
@@ -113,7 +115,7 @@
 void
 drain_stop (struct Drain *drain, void (*stopped) (void *data), void *data)
 {
-  drain_set (drain, true);
+  drain_set_enabled (drain, true);
   drain->stopped = stopped;
   drain->data = data;
 }
@@ -126,6 +128,6 @@
   if (drain == NULL)
     return NULL;
   drain->core = core;
-  timer_subscribe (drain, core->timers, STEP_MS, STEP_MS, drain_on_step, drain);
+  timer_subscribe (drain, core->timers, POLL_MS, POLL_MS, drain_on_poll, drain);
   return drain;
 }
--- a/daemon/drain.h
+++ b/daemon/drain.h
@@ -1,5 +1,5 @@
-/* Planned stop: leaves the callers' answers first, hands the programs over, goes on serving until
- * nobody can still hold this instance's address, and only then ends. */
+/* Planned stop: removes this instance from the addresses that callers are given, hands its programs
+ * over, keeps serving until no caller can still have its address cached, and only then stops. */
 #pragma once
 
 #include "core.h"
@@ -9,9 +9,9 @@
 struct Drain *
 drain_new (struct Core *core);
 
-/* By the operators' order: drains, or serves again. */
+/* Starts or ends a drain that an operator requested. Does nothing after drain_stop. */
 void
-drain_set (struct Drain *drain, bool on);
-/* By a signal: drains, then calls stopped (data) once nothing is under way here. */
+drain_set_enabled (struct Drain *drain, bool on);
+/* Starts a drain and calls stopped (data) once nothing is in progress here. */
 void
 drain_stop (struct Drain *drain, void (*stopped) (void *data), void *data);
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -15,9 +15,9 @@
 
 enum
 {
-  PATIENCE_MS = 8000, /* covers a take-over: lease, seal, replay */
-  TRY_AGAIN_MS = 40,
-  COME_BACK_MS = 1000
+  RETRY_WINDOW_MS = 8000, /* covers a takeover: lease expiry, seal, replay */
+  RETRY_DELAY_MS = 40,
+  RETRY_AFTER_MS = 1000
 };
 
 struct EntryCall
@@ -26,15 +26,16 @@
   struct Exchange *exchange;
   struct PeerRequest request;
   uint64_t id, link;
-  int64_t give_up_ms;
+  int64_t retry_until_ms;
   struct Timer *timer;
-  bool sent;              /* some try left this instance: it may have run */
-  bool begun;             /* the caller has the answer's head */
-  struct PeerAnswer last; /* why the last try failed */
-  /* A stream: what the caller has, so that a second answer can go on behind it. */
-  size_t delivered_bytes, seen_bytes;
-  XXH64_state_t *delivered, *seen;
-  /* Any other answer, until its end is there. */
+  bool sent;                      /* the request left this instance: it may have run */
+  bool head_sent;                 /* the caller has the response's head */
+  struct PeerAnswer last_failure; /* why the last send failed */
+  /* Streams: length and hash of what the caller has received, and of the response to the last send.
+   * A repeated response continues where the first one stopped if the two match. */
+  size_t delivered_bytes, response_bytes;
+  XXH64_state_t *delivered_hash, *response_hash;
+  /* Other responses: buffered until complete. */
   uint8_t *body;
   size_t body_bytes;
   uint32_t status;
@@ -49,13 +50,13 @@
 };
 
 static void
-entry_try (struct EntryCall *call);
+entry_send (struct EntryCall *call);
 
 static int
 entry_call_destroy (struct EntryCall *call)
 {
-  XXH64_freeState (call->delivered);
-  XXH64_freeState (call->seen);
+  XXH64_freeState (call->delivered_hash);
+  XXH64_freeState (call->response_hash);
   return 0;
 }
 
@@ -89,7 +90,7 @@
                      (unsigned long long)answer->outcome.charge_tokens);
 }
 
-/* The last word to the caller when there is no answer of a backend server. */
+/* Ends a request with an error instead of the response of a backend server. */
 static void
 entry_fail (struct EntryCall *call, const struct PeerAnswer *answer)
 {
@@ -97,9 +98,9 @@
   char *json = error_json (NULL, &answer->fault, answer->outcome.ran, answer->retry_after_ms,
                            answer->expected_sequence);
 
-  if (call->begun)
+  if (call->head_sent)
     {
-      /* The head is gone: the stream says so itself, and has no "[DONE]". */
+      /* The head was sent already, so the error is an event of the stream, without "[DONE]". */
       exchange_chunk (exchange, "event: error\ndata: ", strlen ("event: error\ndata: "));
       exchange_chunk (exchange, json, strlen (json));
       exchange_chunk (exchange, "\n\n", 2);
@@ -114,20 +115,21 @@
   entry_finish (call);
 }
 
-/* Nothing further is tried: says what is known of the last try. */
+/* Stops retrying and reports the error of the last send. */
 static void
-entry_give_up (struct EntryCall *call)
+entry_abandon (struct EntryCall *call)
 {
-  struct PeerAnswer answer = call->last;
+  struct PeerAnswer answer = call->last_failure;
 
   if (answer.fault.error == ERROR_NONE)
     fault_set (&answer.fault, ERROR_UNREACHABLE, "send the same call again",
-               "the program's home can not be reached");
+               "the program's home cannot be reached");
   answer.outcome.error = answer.fault.error;
-  /* A first attempt that never left did not run; of an earlier one nothing is known here. */
+  /* A first attempt that was not sent did not run. Whether a caller's earlier attempt ran is
+   * unknown here. */
   answer.outcome.ran = call->sent || !call->exchange->request.first_attempt ? RAN_MAYBE : RAN_NO;
   if (answer.retry_after_ms == 0)
-    answer.retry_after_ms = COME_BACK_MS + (uint32_t)(call->id % COME_BACK_MS);
+    answer.retry_after_ms = RETRY_AFTER_MS + (uint32_t)(call->id % RETRY_AFTER_MS);
   entry_fail (call, &answer);
 }
 
@@ -137,22 +139,22 @@
   struct EntryCall *call = data;
 
   TALLOC_FREE (call->timer);
-  entry_try (call);
+  entry_send (call);
 }
 
 static void
-entry_try_later (struct EntryCall *call)
+entry_retry_later (struct EntryCall *call)
 {
   struct TimerService *timers = call->entry->core->timers;
 
   call->link = PEER_LINK_NONE;
   TALLOC_FREE (call->timer);
-  if (timer_now_ms (timers) >= call->give_up_ms)
+  if (timer_now_ms (timers) >= call->retry_until_ms)
     {
-      entry_give_up (call);
+      entry_abandon (call);
       return;
     }
-  call->timer = timer_subscribe (call, timers, TRY_AGAIN_MS, 0, entry_on_retry, call);
+  call->timer = timer_subscribe (call, timers, RETRY_DELAY_MS, 0, entry_on_retry, call);
 }
 
 static uint64_t
@@ -168,22 +170,22 @@
 }
 
 static void
-entry_try (struct EntryCall *call)
+entry_send (struct EntryCall *call)
 {
   struct PeerMessage message = { .kind = PEER_REQUEST };
   uint64_t link = entry_link_to_home (call);
 
-  call->seen_bytes = 0;
+  call->response_bytes = 0;
   call->body_bytes = 0;
-  if (call->seen != NULL)
-    XXH64_reset (call->seen, 0);
+  if (call->response_hash != NULL)
+    XXH64_reset (call->response_hash, 0);
   message.request = call->request;
   message.request.id = call->id;
   message.request.first_attempt = call->request.first_attempt && !call->sent;
   if (link == PEER_LINK_NONE
       || peer_net_send (call->entry->core->net, link, &message) != ERROR_NONE)
     {
-      entry_try_later (call);
+      entry_retry_later (call);
       return;
     }
   if (link != PEER_LINK_SELF)
@@ -203,7 +205,7 @@
       char *json;
 
       fault_set (&fault, ERROR_NO_MEMORY, NULL, "out of memory");
-      json = error_json (NULL, &fault, RAN_NO, COME_BACK_MS, 0);
+      json = error_json (NULL, &fault, RAN_NO, RETRY_AFTER_MS, 0);
       exchange_answer (exchange, 500, json, strlen (json));
       talloc_free (json);
       return;
@@ -212,21 +214,21 @@
   call->exchange = exchange;
   call->request = exchange->request;
   call->id = entry->next_id++;
-  call->give_up_ms = timer_now_ms (entry->core->timers) + PATIENCE_MS;
+  call->retry_until_ms = timer_now_ms (entry->core->timers) + RETRY_WINDOW_MS;
   if (exchange->request.call.stream)
     {
-      call->delivered = XXH64_createState ();
-      call->seen = XXH64_createState ();
-      XXH64_reset (call->delivered, 0);
+      call->delivered_hash = XXH64_createState ();
+      call->response_hash = XXH64_createState ();
+      XXH64_reset (call->delivered_hash, 0);
       talloc_set_destructor (call, entry_call_destroy);
     }
   exchange->core = call;
   HASH_ADD (by_id, entry->calls, id, sizeof call->id, call);
-  entry_try (call);
+  entry_send (call);
 }
 
 void
-entry_on_gone (struct Entry *entry, struct Exchange *exchange)
+entry_on_disconnect (struct Entry *entry, struct Exchange *exchange)
 {
   struct EntryCall *call = exchange->core;
   struct PeerMessage cancel = { .kind = PEER_CANCEL };
@@ -241,18 +243,18 @@
 }
 
 static struct EntryCall *
-entry_call_find (struct Entry *entry, uint64_t link, uint64_t id)
+entry_find_call (struct Entry *entry, uint64_t link, uint64_t id)
 {
   struct EntryCall *call;
 
   HASH_FIND (by_id, entry->calls, &id, sizeof id, call);
-  /* A late answer to an earlier try comes over another link, and belongs to nobody. */
+  /* A late response to an earlier send arrives over another link and is ignored. */
   return call != NULL && call->link == link ? call : NULL;
 }
 
-/* The second answer of a stream differs from what the caller already has. */
+/* Ends a stream whose second response differs from what the caller already has. */
 static void
-entry_stream_differs (struct EntryCall *call)
+entry_fail_stream (struct EntryCall *call)
 {
   struct PeerAnswer answer = { 0 };
   struct PeerMessage cancel = { .kind = PEER_CANCEL };
@@ -262,52 +264,52 @@
   answer.outcome.ran = RAN_MAYBE;
   answer.retry_after_ms = 1;
   fault_set (&answer.fault, ERROR_BACKEND, "send the same call again to get its whole answer",
-             "the stream was cut, and what came after it is another answer");
+             "the stream was interrupted, and the repeated response differs from its start");
   entry_fail (call, &answer);
 }
 
 static void
-entry_stream (struct EntryCall *call, const uint8_t *bytes, size_t n_bytes)
+entry_continue_stream (struct EntryCall *call, const uint8_t *bytes, size_t n_bytes)
 {
-  if (call->seen_bytes < call->delivered_bytes)
+  if (call->response_bytes < call->delivered_bytes)
     {
-      size_t n = call->delivered_bytes - call->seen_bytes;
+      size_t n = call->delivered_bytes - call->response_bytes;
 
       if (n > n_bytes)
         n = n_bytes;
-      XXH64_update (call->seen, bytes, n);
-      call->seen_bytes += n;
+      XXH64_update (call->response_hash, bytes, n);
+      call->response_bytes += n;
       bytes += n;
       n_bytes -= n;
-      if (call->seen_bytes == call->delivered_bytes
-          && XXH64_digest (call->seen) != XXH64_digest (call->delivered))
+      if (call->response_bytes == call->delivered_bytes
+          && XXH64_digest (call->response_hash) != XXH64_digest (call->delivered_hash))
         {
-          entry_stream_differs (call);
+          entry_fail_stream (call);
           return;
         }
     }
   if (n_bytes == 0)
     return;
-  if (!call->begun)
+  if (!call->head_sent)
     exchange_begin (call->exchange, call->status, true);
-  call->begun = true;
+  call->head_sent = true;
   exchange_chunk (call->exchange, bytes, n_bytes);
-  XXH64_update (call->delivered, bytes, n_bytes);
+  XXH64_update (call->delivered_hash, bytes, n_bytes);
   call->delivered_bytes += n_bytes;
-  call->seen_bytes += n_bytes;
+  call->response_bytes += n_bytes;
 }
 
 bool
 entry_on_chunk (struct Entry *entry, uint64_t link, const struct PeerChunk *chunk)
 {
-  struct EntryCall *call = entry_call_find (entry, link, chunk->id);
+  struct EntryCall *call = entry_find_call (entry, link, chunk->id);
 
   if (call == NULL)
     return false;
   call->status = chunk->status;
-  if (call->delivered != NULL && chunk->status == 200)
+  if (call->delivered_hash != NULL && chunk->status == 200)
     {
-      entry_stream (call, chunk->bytes, chunk->n_bytes);
+      entry_continue_stream (call, chunk->bytes, chunk->n_bytes);
       return true;
     }
   call->body = talloc_realloc (call, call->body, uint8_t, call->body_bytes + chunk->n_bytes);
@@ -316,9 +318,9 @@
   return true;
 }
 
-/* The home has moved, or is about to: another instance has the answer. */
+/* The home has moved or is about to move: another instance can serve the request. */
 static bool
-entry_error_is_passing (int32_t error)
+entry_error_is_transient (int32_t error)
 {
   return error == ERROR_NOT_OWNER || error == ERROR_FENCED || error == ERROR_DRAINING;
 }
@@ -326,7 +328,7 @@
 static void
 entry_succeed (struct EntryCall *call, const struct PeerAnswer *answer)
 {
-  if (!call->begun)
+  if (!call->head_sent)
     {
       entry_add_headers (call, answer);
       exchange_chunk (call->exchange, call->body, call->body_bytes);
@@ -339,31 +341,31 @@
 bool
 entry_on_answer (struct Entry *entry, uint64_t link, const struct PeerAnswer *answer)
 {
-  struct EntryCall *call = entry_call_find (entry, link, answer->id);
+  struct EntryCall *call = entry_find_call (entry, link, answer->id);
 
   if (call == NULL)
     return false;
   if (answer->outcome.error == ERROR_NONE)
     {
-      /* A second answer that is shorter than what the caller has, or no stream at all, ends before
-       * the two were compared: without this the stream would just stop. */
-      if (call->begun && (call->seen_bytes < call->delivered_bytes || call->body_bytes > 0))
-        entry_stream_differs (call);
+      /* A second response that is shorter than what the caller has, or no stream, ends before the
+       * two were compared. Without this the stream would end without an error. */
+      if (call->head_sent && (call->response_bytes < call->delivered_bytes || call->body_bytes > 0))
+        entry_fail_stream (call);
       else
         entry_succeed (call, answer);
       return true;
     }
-  if (!entry_error_is_passing (answer->outcome.error))
+  if (!entry_error_is_transient (answer->outcome.error))
     {
       entry_fail (call, answer);
       return true;
     }
-  /* Said of a first attempt, "not run" means that this try left no trace: the next one is the
-   * first again. */
+  /* For a first attempt, RAN_NO means that this send had no effect: the next one counts as the
+   * first attempt again. */
   if (answer->outcome.ran == RAN_NO)
     call->sent = false;
-  call->last = *answer;
-  entry_try_later (call);
+  call->last_failure = *answer;
+  entry_retry_later (call);
   return true;
 }
 
@@ -376,13 +378,13 @@
   {
     if (call->link != link)
       continue;
-    memset (&call->last, 0, sizeof call->last);
-    entry_try_later (call);
+    memset (&call->last_failure, 0, sizeof call->last_failure);
+    entry_retry_later (call);
   }
 }
 
 uint32_t
-entry_count (const struct Entry *entry)
+entry_n_calls (const struct Entry *entry)
 {
   return HASH_CNT (by_id, entry->calls);
 }
--- a/daemon/entry.h
+++ b/daemon/entry.h
@@ -1,9 +1,10 @@
-/* Entry: takes callers' requests to the homes of their programs and the answers back.
+/* Entry: forwards callers' requests to the homes of their programs and returns the responses.
  *
- * A request whose home moves, dies or is not there yet is sent again from here for a while: the
- * home knows each call by program, branch and sequence number, so that sending it again never runs
- * it twice. A stream that was cut goes on where it stopped when the new answer begins with the same
- * bytes. After that time the caller hears at once what is known, and when to come back. */
+ * A request whose home moves, fails or is not assigned yet is sent again for a limited time. The
+ * home identifies each call by program, branch and sequence number, so a repeated request never
+ * runs twice. An interrupted stream continues where it stopped if the new response begins with the
+ * same bytes. After that time the caller gets an error with the known state of its call and a
+ * Retry-After. */
 #pragma once
 
 #include "core.h"
@@ -14,10 +15,11 @@
 /* Takes over the core's reference to exchange, whose request is complete. */
 void
 entry_on_exchange (struct Entry *entry, struct Exchange *exchange);
-/* The connection closed; lets go of the HTTP side's reference. */
+/* Handles a closed caller connection: cancels the call and releases the HTTP side's reference. */
 void
-entry_on_gone (struct Entry *entry, struct Exchange *exchange);
-/* False when the id is none of this entry's. */
+entry_on_disconnect (struct Entry *entry, struct Exchange *exchange);
+/* Handle a part and the end of a response. Return false when no request sent over link has its id.
+ */
 bool
 entry_on_chunk (struct Entry *entry, uint64_t link, const struct PeerChunk *chunk);
 bool
@@ -25,6 +27,6 @@
 void
 entry_on_link_closed (struct Entry *entry, uint64_t link);
 
-/* Requests under way. */
+/* Returns the number of requests in progress. */
 uint32_t
-entry_count (const struct Entry *entry);
+entry_n_calls (const struct Entry *entry);
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -353,12 +353,12 @@
 }
 
 void
-operator_on_gone (struct Operator *operators, struct Exchange *exchange)
+operator_on_disconnect (struct Operator *operators, struct Exchange *exchange)
 {
   /* Whatever is under way still ends the exchange; only the HTTP side's reference goes. An exchange
    * that went to the entry is ended there. */
   if (exchange->core != NULL)
-    entry_on_gone (operators->core->entry, exchange);
+    entry_on_disconnect (operators->core->entry, exchange);
   else
     exchange_release (exchange);
 }
--- a/daemon/operator.h
+++ b/daemon/operator.h
@@ -10,7 +10,7 @@
 void
 operator_on_exchange (struct Operator *operators, struct Exchange *exchange);
 void
-operator_on_gone (struct Operator *operators, struct Exchange *exchange);
+operator_on_disconnect (struct Operator *operators, struct Exchange *exchange);
 /* Part and end of another instance's list of programs. False when the id is not the operators'. */
 bool
 operator_on_chunk (struct Operator *operators, const struct PeerChunk *chunk);
--- a/include/buckthornhead/daemon.h
+++ b/include/buckthornhead/daemon.h
@@ -1,9 +1,9 @@
-/* The daemon: one instance, from its settings to its planned stop. */
+/* The daemon: runs one instance, from its settings to its planned stop. */
 #pragma once
 
 #include <buckthornhead/settings.h>
 
-/* Runs until a planned stop (SIGTERM, SIGINT) is complete. ERROR_NONE after one, else the error
- * that kept it from starting or made it stop; the log says more. */
+/* Runs until a planned stop (SIGTERM, SIGINT) is complete. Returns ERROR_NONE then, else the error
+ * that prevented the start; the log has the details. */
 int32_t
 daemon_run (const struct Settings *settings);
