--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -14,25 +14,25 @@
 
 enum
 {
-  GATHER_MS = 1000, /* an instance that has not listed its programs by then is left out */
-  /* Until the instances are asked again while a partition is on its way from one to another. */
-  GATHER_AGAIN_MS = 50,
+  GATHER_TIMEOUT_MS = 1000, /* time limit; instances that have not responded by then are left out */
+  /* Delay before the instances are queried again while a partition is being handed over. */
+  GATHER_RETRY_MS = 50,
   TEXT_MAX_BYTES = 256 * 1024
 };
 
-/* A list of programs that is being gathered from all instances. */
+/* A query for the programs of all instances. */
 struct Gather
 {
   struct Operator *operators;
   struct Exchange *exchange;
   json_t *programs;
-  uint32_t n_partitions; /* whose programs are listed */
+  uint32_t n_partitions; /* whose programs are in the list */
   uint32_t n_waiting;
-  int64_t until_ms;
+  int64_t deadline_ms;
   struct Timer *timer;
 };
 
-/* One instance's share of it. */
+/* One instance's response to it. */
 struct GatherPart
 {
   struct Gather *gather;
@@ -49,7 +49,7 @@
   struct GatherPart *parts;
 };
 
-/* A change on its way into the configuration's log. */
+/* A change that is being appended to the configuration log. */
 struct PendingChange
 {
   struct Operator *operators;
@@ -57,7 +57,7 @@
 };
 
 static void
-operator_answer_json (struct Exchange *exchange, uint32_t status, json_t *json)
+operator_respond_json (struct Exchange *exchange, uint32_t status, json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
 
@@ -67,12 +67,12 @@
 }
 
 static void
-operator_answer_fault (struct Exchange *exchange, const struct Fault *fault)
+operator_respond_fault (struct Exchange *exchange, const struct Fault *fault)
 {
   json_t *json = json_pack ("{s:{s:s,s:s,s:s}}", "error", "kind", error_name (fault->error),
                             "message", fault->message, "remedy", fault->remedy);
 
-  operator_answer_json (exchange, error_http_status (fault->error), json);
+  operator_respond_json (exchange, error_http_status (fault->error), json);
 }
 
 static void
@@ -84,22 +84,22 @@
   HASH_ITER (by_id, gather->operators->parts, part, next)
   if (part->gather == gather)
     HASH_DELETE (by_id, gather->operators->parts, part);
-  operator_answer_json (gather->exchange, 200,
-                        json_pack ("{s:o, s:i}", "programs", gather->programs, "partitions_missing",
-                                   gather->n_partitions < n_partitions
-                                       ? (int)(n_partitions - gather->n_partitions)
-                                       : 0));
+  operator_respond_json (
+      gather->exchange, 200,
+      json_pack ("{s:o, s:i}", "programs", gather->programs, "partitions_missing",
+                 gather->n_partitions < n_partitions ? (int)(n_partitions - gather->n_partitions)
+                                                     : 0));
   talloc_free (gather);
 }
 
 static void
-gather_on_time (void *data)
+gather_on_timeout (void *data)
 {
   gather_finish (data);
 }
 
 static void
-gather_ask (struct Gather *gather, const char *instance, const char *service)
+gather_query (struct Gather *gather, const char *instance, const char *service)
 {
   struct Operator *operators = gather->operators;
   struct PeerMessage message = { .kind = PEER_REQUEST };
@@ -124,7 +124,7 @@
 }
 
 static void
-gather_ask_all (struct Gather *gather)
+gather_query_all (struct Gather *gather)
 {
   struct Operator *operators = gather->operators;
   struct TimerService *timers = operators->core->timers;
@@ -132,30 +132,31 @@
   size_t n = fleet_members (operators->core->fleet, &members);
 
   for (size_t i = 0; i < n; i++)
-    gather_ask (gather, members[i].instance, gather->exchange->query_name);
+    gather_query (gather, members[i].instance, gather->exchange->query_name);
   if (gather->n_waiting == 0)
     gather_finish (gather);
   else
-    gather->timer = timer_subscribe (gather, timers, gather->until_ms - timer_now_ms (timers), 0,
-                                     gather_on_time, gather);
+    gather->timer = timer_subscribe (gather, timers, gather->deadline_ms - timer_now_ms (timers), 0,
+                                     gather_on_timeout, gather);
 }
 
 static void
-gather_on_again (void *data)
+gather_on_retry (void *data)
 {
-  gather_ask_all (data);
+  gather_query_all (data);
 }
 
-/* Guards against a list with gaps: while a partition is handed over, neither the instance that had
- * it nor the one that gets it lists its programs, and one just created seems not to exist. */
+/* Queries the instances again while programs of some partitions are missing: during a hand-off
+ * neither the old nor the new home of a partition lists them, and a program that was just created
+ * would seem not to exist. */
 static void
-gather_on_all (struct Gather *gather)
+gather_on_all_answers (struct Gather *gather)
 {
   struct Core *core = gather->operators->core;
   int64_t now_ms = timer_now_ms (core->timers);
 
   if (gather->n_partitions >= core->settings->n_partitions
-      || now_ms + GATHER_AGAIN_MS >= gather->until_ms)
+      || now_ms + GATHER_RETRY_MS >= gather->deadline_ms)
     {
       gather_finish (gather);
       return;
@@ -164,7 +165,7 @@
   json_array_clear (gather->programs);
   gather->n_partitions = 0;
   gather->timer =
-      timer_subscribe (gather, core->timers, GATHER_AGAIN_MS, 0, gather_on_again, gather);
+      timer_subscribe (gather, core->timers, GATHER_RETRY_MS, 0, gather_on_retry, gather);
 }
 
 static void
@@ -175,8 +176,8 @@
   gather->operators = operators;
   gather->exchange = exchange;
   gather->programs = json_array ();
-  gather->until_ms = timer_now_ms (operators->core->timers) + GATHER_MS;
-  gather_ask_all (gather);
+  gather->deadline_ms = timer_now_ms (operators->core->timers) + GATHER_TIMEOUT_MS;
+  gather_query_all (gather);
 }
 
 bool
@@ -210,11 +211,11 @@
   gather->n_partitions += (uint32_t)json_integer_value (json_object_get (body, "partitions"));
   json_decref (body);
   if (--gather->n_waiting == 0)
-    gather_on_all (gather);
+    gather_on_all_answers (gather);
   return true;
 }
 
-/* One program's state with its history: asked of its home in the same way as a caller's. */
+/* Requests a program's state and history from its home, in the same way as for a caller. */
 static void
 operator_show_program (struct Operator *operators, struct Exchange *exchange, const char *program)
 {
@@ -231,22 +232,22 @@
   struct Exchange *exchange = pending->exchange;
 
   if (error == ERROR_NONE)
-    operator_answer_json (exchange, 200, json_pack ("{s:I}", "revision", (json_int_t)revision));
+    operator_respond_json (exchange, 200, json_pack ("{s:I}", "revision", (json_int_t)revision));
   else
-    operator_answer_fault (exchange, fault);
+    operator_respond_fault (exchange, fault);
   talloc_free (pending);
 }
 
-/* Copies a text field. False when it is missing (and must not be) or too long. */
+/* Copies a text field. Returns false when it is too long, or required and missing. */
 static bool
-change_text (const json_t *json, const char *name, bool needed, char *text, size_t size)
+change_copy_text (const json_t *json, const char *name, bool required, char *text, size_t size)
 {
   const char *value = json_string_value (json_object_get (json, name));
 
   text[0] = '\0';
   if (value == NULL)
-    return !needed;
-  if (strlen (value) >= size || (needed && value[0] == '\0'))
+    return !required;
+  if (strlen (value) >= size || (required && value[0] == '\0'))
     return false;
   snprintf (text, size, "%s", value);
   return true;
@@ -267,11 +268,11 @@
     change->kind = CONFIG_CHANGE_DRAIN;
   else
     return fault_set (fault, ERROR_INVALID, "send \"profile\", \"service\" or \"drain\"",
-                      "\"kind\" is none of the three");
-  if (!change_text (json, "name", true, change->name, sizeof change->name)
-      || !change_text (json, "change_id", true, change->change_id, sizeof change->change_id)
-      || !change_text (json, "who", true, change->who, sizeof change->who)
-      || !change_text (json, "reason", false, change->reason, sizeof change->reason))
+                      "\"kind\" is not a known kind of change");
+  if (!change_copy_text (json, "name", true, change->name, sizeof change->name)
+      || !change_copy_text (json, "change_id", true, change->change_id, sizeof change->change_id)
+      || !change_copy_text (json, "who", true, change->who, sizeof change->who)
+      || !change_copy_text (json, "reason", false, change->reason, sizeof change->reason))
     return fault_set (fault, ERROR_INVALID,
                       "send name, change_id and who, each up to 64 characters",
                       "a field is missing or too long");
@@ -297,11 +298,11 @@
 
   if (!json_is_object (json))
     {
-      fault_set (&fault, ERROR_INVALID, "send one JSON object", "the body is no JSON object");
-      goto refuse;
+      fault_set (&fault, ERROR_INVALID, "send one JSON object", "the body is not a JSON object");
+      goto reject;
     }
   if (change_parse (json, &change, &fault) != ERROR_NONE)
-    goto refuse;
+    goto reject;
   pending = talloc_zero (operators, struct PendingChange);
   pending->operators = operators;
   pending->exchange = exchange;
@@ -309,13 +310,13 @@
   json_decref (json);
   if (error == ERROR_NONE)
     return;
-  fault_set (&fault, error, NULL, "the change could not be taken");
+  fault_set (&fault, error, NULL, "the change could not be applied");
   operator_on_change_done (pending, error, 0, &fault);
   return;
 
-refuse:
+reject:
   json_decref (json);
-  operator_answer_fault (exchange, &fault);
+  operator_respond_fault (exchange, &fault);
 }
 
 void
@@ -345,18 +346,18 @@
   json = post ? NULL : status_json (core, exchange->path, exchange->query_name);
   if (json != NULL)
     {
-      operator_answer_json (exchange, 200, json);
+      operator_respond_json (exchange, 200, json);
       return;
     }
-  fault_set (&fault, ERROR_NOT_FOUND, NULL, "nothing is known at %s", exchange->path);
-  operator_answer_fault (exchange, &fault);
+  fault_set (&fault, ERROR_NOT_FOUND, NULL, "nothing found at %s", exchange->path);
+  operator_respond_fault (exchange, &fault);
 }
 
 void
 operator_on_disconnect (struct Operator *operators, struct Exchange *exchange)
 {
-  /* Whatever is under way still ends the exchange; only the HTTP side's reference goes. An exchange
-   * that went to the entry is ended there. */
+  /* An operation in progress still ends the exchange, so only the HTTP side's reference is
+   * released. The entry ends an exchange that was passed to it. */
   if (exchange->core != NULL)
     entry_on_disconnect (operators->core->entry, exchange);
   else
--- a/daemon/operator.h
+++ b/daemon/operator.h
@@ -1,4 +1,4 @@
-/* The operators' view and the changes they make; the paths are in docs/INTERFACE.md. */
+/* Serves the operators' queries and changes; docs/INTERFACE.md lists the paths. */
 #pragma once
 
 #include "core.h"
@@ -11,7 +11,8 @@
 operator_on_exchange (struct Operator *operators, struct Exchange *exchange);
 void
 operator_on_disconnect (struct Operator *operators, struct Exchange *exchange);
-/* Part and end of another instance's list of programs. False when the id is not the operators'. */
+/* Handle a part and the end of another instance's list of programs. Return false when the id
+ * belongs to no open query. */
 bool
 operator_on_chunk (struct Operator *operators, const struct PeerChunk *chunk);
 bool
--- a/daemon/status.c
+++ b/daemon/status.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static json_t *
-number (uint64_t value)
+number_json (uint64_t value)
 {
   return json_integer ((json_int_t)value);
 }
@@ -19,15 +19,15 @@
                             "platform_up", heartbeat->platform_up, "suspected", member->suspected);
 
   json_object_set_new (json, "caller_address", json_string (member->caller_address));
-  json_object_set_new (json, "config_revision", number (heartbeat->config_revision));
-  json_object_set_new (json, "partitions", number (heartbeat->partitions));
-  json_object_set_new (json, "programs", number (heartbeat->programs));
-  json_object_set_new (json, "in_flight", number (heartbeat->in_flight));
-  json_object_set_new (json, "waiting", number (heartbeat->waiting));
+  json_object_set_new (json, "config_revision", number_json (heartbeat->config_revision));
+  json_object_set_new (json, "partitions", number_json (heartbeat->partitions));
+  json_object_set_new (json, "programs", number_json (heartbeat->programs));
+  json_object_set_new (json, "in_flight", number_json (heartbeat->in_flight));
+  json_object_set_new (json, "waiting", number_json (heartbeat->waiting));
   return json;
 }
 
-/* A member's last heartbeat; this instance's own is made now. */
+/* Copies the last heartbeat of a member, or this instance's current one, to *heartbeat. */
 static void
 member_heartbeat (struct Core *core,
                   TALLOC_CTX *ctx,
@@ -60,24 +60,25 @@
 {
   json_t *json = json_object ();
 
-  json_object_set_new (json, "created", number (sum->created));
-  json_object_set_new (json, "done", number (sum->done));
-  json_object_set_new (json, "cancelled", number (sum->cancelled));
-  json_object_set_new (json, "over_budget", number (sum->over_budget));
-  json_object_set_new (json, "late", number (sum->late));
-  json_object_set_new (json, "refused", number (sum->refused));
-  json_object_set_new (json, "may_have_run", number (sum->may_have_run));
+  json_object_set_new (json, "created", number_json (sum->created));
+  json_object_set_new (json, "done", number_json (sum->done));
+  json_object_set_new (json, "cancelled", number_json (sum->cancelled));
+  json_object_set_new (json, "over_budget", number_json (sum->over_budget));
+  json_object_set_new (json, "late", number_json (sum->late));
+  json_object_set_new (json, "refused", number_json (sum->refused));
+  json_object_set_new (json, "may_have_run", number_json (sum->may_have_run));
   json_object_set_new (json, "program_ms_mean",
-                       number (sum->done > 0 ? sum->program_ms / sum->done : 0));
-  json_object_set_new (json, "prefix_tokens", number (sum->prefix_tokens));
-  json_object_set_new (json, "cached_tokens", number (sum->cached_tokens));
+                       number_json (sum->done > 0 ? sum->program_ms / sum->done : 0));
+  json_object_set_new (json, "prefix_tokens", number_json (sum->prefix_tokens));
+  json_object_set_new (json, "cached_tokens", number_json (sum->cached_tokens));
   return json;
 }
 
 static void
-attention_add (json_t *attention, const char *who, const char *what, const char *remedy)
+attention_add (json_t *attention, const char *instance, const char *problem, const char *remedy)
 {
-  json_array_append_new (attention, json_pack ("{s:s+,s:s}", "what", who, what, "remedy", remedy));
+  json_array_append_new (attention,
+                         json_pack ("{s:s+,s:s}", "what", instance, problem, "remedy", remedy));
 }
 
 static void
@@ -87,13 +88,14 @@
                      uint64_t revision)
 {
   if (member->suspected)
-    attention_add (attention, member->instance, " is silent", "see whether the instance is up");
+    attention_add (attention, member->instance, " sends no heartbeats",
+                   "check whether the instance is running");
   else if (!heartbeat->platform_up)
-    attention_add (attention, member->instance, " can not reach the platform's service",
+    attention_add (attention, member->instance, " cannot reach the platform's service",
                    "see OPERATIONS: outage of the platform");
   else if (heartbeat->config_revision < revision)
     attention_add (attention, member->instance, " has an older configuration",
-                   "wait some seconds; if it stays, look at its log");
+                   "wait a few seconds; if this persists, check its log");
 }
 
 static void
@@ -103,11 +105,11 @@
   size_t n = fleet_lost (core->fleet, &lost);
 
   for (size_t i = 0; i < n; i++)
-    attention_add (attention, lost[i].instance, " is gone without having been drained",
+    attention_add (attention, lost[i].instance, " left without a drain",
                    "replace it; its programs were taken over");
   if (n_members == 0)
     attention_add (attention, core->settings->instance,
-                   " has not reached the platform's service since it started",
+                   " has not reached the platform's service since its start",
                    "see OPERATIONS: outage of the platform");
 }
 
@@ -138,8 +140,8 @@
   attention_of_fleet (core, attention, n);
   json_object_set_new (json, "instances", instances);
   json_object_set_new (json, "outcomes", outcomes_json (&sum));
-  json_object_set_new (json, "config_revision", number (revision));
-  json_object_set_new (json, "oldest_revision", number (oldest));
+  json_object_set_new (json, "config_revision", number_json (revision));
+  json_object_set_new (json, "oldest_revision", number_json (oldest));
   json_object_set_new (json, "attention", attention);
   talloc_free (ctx);
   return json;
