--- a/daemon/owner.c
+++ b/daemon/owner.c
@@ -18,7 +18,7 @@
 struct OwnerJob **
 owner_job_at (struct Owner *owner, uint64_t id)
 {
-  struct OwnerJob **at = &owner->jobs[id % CALL_BUCKETS];
+  struct OwnerJob **at = &owner->jobs[id % JOB_BUCKETS];
 
   while (*at != NULL && (*at)->id != id)
     at = &(*at)->next;
@@ -37,7 +37,7 @@
   job->server = server;
   job->kind = kind;
   job->id = owner->next_job++;
-  bucket = &owner->jobs[job->id % CALL_BUCKETS];
+  bucket = &owner->jobs[job->id % JOB_BUCKETS];
   job->next = *bucket;
   *bucket = job;
   return job;
@@ -72,7 +72,7 @@
 }
 
 void
-owner_answer (struct Owner *owner, uint64_t link, const struct PeerAnswer *answer)
+owner_respond (struct Owner *owner, uint64_t link, const struct PeerAnswer *answer)
 {
   struct PeerMessage message = { .kind = PEER_ANSWER };
 
@@ -80,9 +80,8 @@
   peer_net_send (owner->core->net, link, &message);
 }
 
-/* "Not run": the call never left this instance. */
 void
-owner_refuse (struct Owner *owner,
+owner_reject (struct Owner *owner,
               uint64_t link,
               uint64_t id,
               const struct Fault *fault,
@@ -94,18 +93,18 @@
   answer.outcome.error = fault->error;
   answer.outcome.ran = RAN_NO;
   answer.retry_after_ms = retry_after_ms;
-  owner_answer (owner, link, &answer);
+  owner_respond (owner, link, &answer);
 }
 
-/* A waiting call goes back to its home as not run. The queue has let go of it already. */
+/* Returns a waiting call, already removed from the queue, to its home as not run. */
 static void
-owner_return (struct Owner *owner, struct OwnerJob *job, int32_t error, const char *message)
+owner_return_call (struct Owner *owner, struct OwnerJob *job, int32_t error, const char *message)
 {
   struct Fault fault;
 
   fault_set (&fault, error, NULL, "%s", message);
   job->server->waiting--;
-  owner_refuse (owner, job->link, job->peer_id, &fault, 0);
+  owner_reject (owner, job->link, job->peer_id, &fault, 0);
   owner_job_free (job);
 }
 
@@ -129,7 +128,7 @@
   request.call.stream = call->stream;
   request.call.body = call->body;
   request.call.body_bytes = call->body_bytes;
-  /* A plain service may be silent for as long as its work takes: only its failures count. */
+  /* A service that is not an engine may send nothing while it works: only its failures count. */
   if (call->target_kind == CALL_TARGET_ENGINE)
     server_health_sent (job->server->health, timer_now_ms (owner->core->timers));
   job->sent = true;
@@ -141,15 +140,15 @@
     owner_on_backend_event (owner, &failed);
 }
 
-/* Sends what the server has room for. */
+/* Sends waiting calls while the server has capacity. */
 static void
-owner_pump (struct Owner *owner, struct OwnerServer *server)
+owner_send_waiting (struct Owner *owner, struct OwnerServer *server)
 {
   const struct FleetBackend *backend = fleet_backend (owner->core->fleet, server->name);
   int64_t now_ms = timer_now_ms (owner->core->timers);
   uint64_t id;
 
-  /* A leaving server gets no new work; what waits was returned when the list changed. */
+  /* A leaving server gets no new calls; waiting ones were returned when the list changed. */
   if (backend == NULL || !backend->live)
     return;
   while (dispatch_queue_pop (server->queue, now_ms, &id))
@@ -185,7 +184,7 @@
     {
       fault_set (&fault, ERROR_NOT_OWNER, NULL, "backend server %s is leaving or unknown here",
                  dispatch->backend);
-      owner_refuse (owner, link, dispatch->id, &fault, 0);
+      owner_reject (owner, link, dispatch->id, &fault, 0);
       return;
     }
   server = owner_server (owner, dispatch->backend);
@@ -193,7 +192,7 @@
   if (job == NULL)
     {
       fault_set (&fault, ERROR_NO_MEMORY, NULL, "out of memory");
-      owner_refuse (owner, link, dispatch->id, &fault, 0);
+      owner_reject (owner, link, dispatch->id, &fault, 0);
       return;
     }
   job->link = link;
@@ -213,15 +212,14 @@
                            &retry_after_ms, &fault)
       != ERROR_NONE)
     {
-      owner_refuse (owner, link, dispatch->id, &fault, retry_after_ms);
+      owner_reject (owner, link, dispatch->id, &fault, retry_after_ms);
       owner_job_free (job);
       return;
     }
   server->waiting++;
-  owner_pump (owner, server);
+  owner_send_waiting (owner, server);
 }
 
-/* Ends a call that was sent: the queue learns, the home hears. */
 void
 owner_finish_call (struct Owner *owner, struct OwnerJob *job, const struct PeerAnswer *answer)
 {
@@ -231,9 +229,9 @@
   server_health_ended (server->health, &answer->outcome, timer_now_ms (owner->core->timers));
   dispatch_queue_finished (server->queue, job->id, &answer->outcome,
                            timer_now_ms (owner->core->timers));
-  owner_answer (owner, job->link, answer);
+  owner_respond (owner, job->link, answer);
   owner_job_free (job);
-  owner_pump (owner, server);
+  owner_send_waiting (owner, server);
 }
 
 static void
@@ -275,9 +273,9 @@
   peer_net_send (owner->core->net, job->link, &message);
   if (job->first_token_seen)
     return;
-  /* Its prompt is read: the next long one may start. */
+  /* The prompt was processed: the next call with a long prompt may start. */
   job->first_token_seen = true;
-  owner_pump (owner, job->server);
+  owner_send_waiting (owner, job->server);
 }
 
 void
@@ -319,16 +317,16 @@
   if (job->sent)
     backend_pool_cancel (owner->core->pool, job->id);
   else if (dispatch_queue_remove (job->server->queue, job->id))
-    owner_return (owner, job, ERROR_CANCELLED, "cancelled while it waited");
+    owner_return_call (owner, job, ERROR_CANCELLED, "cancelled while waiting");
 }
 
-/* Calls fn for each job that came over link. fn may free the job. */
+/* Calls fn for each call that arrived over link and is not cancelled. fn may free the job. */
 static void
 owner_each_on_link (struct Owner *owner,
                     uint64_t link,
                     void (*fn) (struct Owner *owner, struct OwnerJob *job))
 {
-  for (size_t i = 0; i < CALL_BUCKETS; i++)
+  for (size_t i = 0; i < JOB_BUCKETS; i++)
     for (struct OwnerJob *job = owner->jobs[i], *next; job != NULL; job = next)
       {
         next = job->next;
@@ -340,7 +338,7 @@
 void
 owner_on_cancel (struct Owner *owner, uint64_t link, uint64_t id)
 {
-  for (size_t i = 0; i < CALL_BUCKETS; i++)
+  for (size_t i = 0; i < JOB_BUCKETS; i++)
     for (struct OwnerJob *job = owner->jobs[i]; job != NULL; job = job->next)
       if (job->link == link && job->peer_id == id && job->kind == OWNER_JOB_CALL)
         {
@@ -352,8 +350,8 @@
 static void
 owner_cancel_orphan (struct Owner *owner, struct OwnerJob *job)
 {
-  /* The home may be dead, or cut off and alive. A repeatable call is cancelled: whoever homes the
-   * program now runs it again. One that may run once only goes on if it was sent. */
+  /* The home may have failed, or be running but disconnected. A repeatable call is cancelled: the
+   * program's present home runs it again. One that may run only once continues if it was sent. */
   if (!job->sent || job->call.idempotent)
     owner_cancel_job (owner, job);
 }
@@ -367,7 +365,7 @@
 void
 owner_on_backends_changed (struct Owner *owner)
 {
-  for (size_t i = 0; i < CALL_BUCKETS; i++)
+  for (size_t i = 0; i < JOB_BUCKETS; i++)
     for (struct OwnerJob *job = owner->jobs[i], *next; job != NULL; job = next)
       {
         const struct FleetBackend *backend = fleet_backend (owner->core->fleet, job->server->name);
@@ -376,7 +374,7 @@
         if (job->kind != OWNER_JOB_CALL || job->sent || (backend != NULL && backend->live))
           continue;
         if (dispatch_queue_remove (job->server->queue, job->id))
-          owner_return (owner, job, ERROR_NOT_OWNER, "the backend server is leaving");
+          owner_return_call (owner, job, ERROR_NOT_OWNER, "the backend server is leaving");
       }
 }
 
@@ -395,9 +393,10 @@
           struct OwnerJob *job = *owner_job_at (owner, id);
 
           if (job != NULL)
-            owner_return (owner, job, ERROR_DEADLINE, "it can no longer finish in its time");
+            owner_return_call (owner, job, ERROR_DEADLINE,
+                               "it can no longer finish before its deadline");
         }
-      owner_pump (owner, server);
+      owner_send_waiting (owner, server);
     }
   owner_count (owner, &waiting, &in_flight);
   gauge_set (GAUGE_CALLS_WAITING, waiting);
@@ -405,7 +404,7 @@
   if (now_ms - owner->last_report_ms < REPORT_PERIOD_MS)
     return;
   owner->last_report_ms = now_ms;
-  owner_ask_reports (owner);
+  owner_request_reports (owner);
 }
 
 struct PolicyServer *
--- a/daemon/owner_internal.h
+++ b/daemon/owner_internal.h
@@ -1,4 +1,4 @@
-/* What the owner's files share: owner.c (calls), owner_watch.c (probes, load reports, releases). */
+/* Internals shared by owner.c (calls) and owner_watch.c (probes, load reports, releases). */
 #pragma once
 
 #include "owner.h"
@@ -7,7 +7,7 @@
 
 enum
 {
-  CALL_BUCKETS = 4096
+  JOB_BUCKETS = 4096
 };
 
 enum OwnerJobKind
@@ -15,27 +15,26 @@
   OWNER_JOB_CALL,
   OWNER_JOB_RELEASE,
   OWNER_JOB_REPORT,
-  OWNER_JOB_PROBE /* after a broken call: is the server still there? */
+  OWNER_JOB_PROBE /* after an interrupted call: checks whether the server is running */
 };
 
-/* A job of the backend pool, or a call that waits for its turn. */
+/* A job of the backend pool, or a call in a server's queue. */
 struct OwnerJob
 {
   struct OwnerJob *next; /* in its bucket */
   struct Owner *owner;
   struct OwnerServer *server;
   enum OwnerJobKind kind;
-  uint64_t id;      /* of the job, and in the queue */
-  uint64_t link;    /* where the home is */
+  uint64_t id;      /* of the job and of its queue entry */
+  uint64_t link;    /* to the home */
   uint64_t peer_id; /* the home's id of the dispatch or release */
   bool sent;        /* handed to the backend pool */
   bool first_token_seen;
   bool cancelled;
   uint32_t timeout_ms;
   struct Call call;
-  /* Of a broken call, while the probe runs. */
-  struct PeerAnswer pending;
-  uint64_t broken_job;
+  struct PeerAnswer pending; /* of an interrupted call, while the probe runs */
+  uint64_t interrupted_job;  /* of a probe: the id of the interrupted call */
 };
 
 struct OwnerServer
@@ -48,7 +47,7 @@
   uint32_t reported_running;
   uint64_t last_event;
   char engine_incarnation[NAME_MAX_BYTES + 1];
-  bool report_under_way;
+  bool report_pending;
 };
 
 struct Owner
@@ -56,7 +55,7 @@
   struct Core *core;
   uint64_t next_job;
   struct OwnerServer *servers;
-  struct OwnerJob *jobs[CALL_BUCKETS];
+  struct OwnerJob *jobs[JOB_BUCKETS];
   int64_t last_report_ms;
 };
 
@@ -67,26 +66,26 @@
 owner_job_new (struct Owner *owner, struct OwnerServer *server, enum OwnerJobKind kind);
 void
 owner_job_free (struct OwnerJob *job);
-/* The state kept of a backend server, made at the first asking; NULL when memory is out. */
+/* Returns the state of a backend server, created on first use, or NULL when out of memory. */
 struct OwnerServer *
 owner_server (struct Owner *owner, const char *name);
 void
-owner_answer (struct Owner *owner, uint64_t link, const struct PeerAnswer *answer);
-/* "Not run": the call never left this instance. */
+owner_respond (struct Owner *owner, uint64_t link, const struct PeerAnswer *answer);
+/* Rejects a call or release as not run: it never left this instance. */
 void
-owner_refuse (struct Owner *owner,
+owner_reject (struct Owner *owner,
               uint64_t link,
               uint64_t id,
               const struct Fault *fault,
               uint32_t retry_after_ms);
-/* Ends a call that was sent: the queue learns, the home hears. */
+/* Ends a call that was sent: updates the server's queue and health, and responds to the home. */
 void
 owner_finish_call (struct Owner *owner, struct OwnerJob *job, const struct PeerAnswer *answer);
 
 /* owner_watch.c */
-/* A call broke after it was sent: asks whether its server still lives, then finishes the call. */
+/* Probes the server of a call that was interrupted after it was sent, then finishes the call. */
 void
-owner_probe (struct Owner *owner, struct OwnerJob *broken, const struct PeerAnswer *answer);
+owner_probe (struct Owner *owner, struct OwnerJob *interrupted, const struct PeerAnswer *answer);
 void
 owner_on_probe_end (struct Owner *owner, struct OwnerJob *probe, const struct BackendEvent *event);
 void
@@ -95,6 +94,6 @@
                      const struct BackendEvent *event);
 void
 owner_on_release_end (struct Owner *owner, struct OwnerJob *job, const struct BackendEvent *event);
-/* Load reports of the engines owned here, and probes of suspected servers. */
+/* Requests load reports from the engines owned here, and probes suspected servers. */
 void
-owner_ask_reports (struct Owner *owner);
+owner_request_reports (struct Owner *owner);
--- a/daemon/owner_watch.c
+++ b/daemon/owner_watch.c
@@ -14,60 +14,62 @@
   PROBE_TIMEOUT_MS = 500
 };
 
-/* A call broke after it was sent. Whether the server died with it decides if the request counts
- * towards quarantine, so the server is asked before the home is told. */
+/* Whether the server crashed during the call decides whether the request counts towards quarantine,
+ * so the server is probed before the home gets the response. */
 void
-owner_probe (struct Owner *owner, struct OwnerJob *broken, const struct PeerAnswer *answer)
+owner_probe (struct Owner *owner, struct OwnerJob *interrupted, const struct PeerAnswer *answer)
 {
-  const struct FleetBackend *backend = fleet_backend (owner->core->fleet, broken->server->name);
+  const struct FleetBackend *backend =
+      fleet_backend (owner->core->fleet, interrupted->server->name);
   struct BackendRequest request = { .op = BACKEND_OP_REPORT };
   struct OwnerJob *probe =
-      backend != NULL ? owner_job_new (owner, broken->server, OWNER_JOB_PROBE) : NULL;
+      backend != NULL ? owner_job_new (owner, interrupted->server, OWNER_JOB_PROBE) : NULL;
 
   if (probe == NULL)
     {
-      owner_finish_call (owner, broken, answer);
+      owner_finish_call (owner, interrupted, answer);
       return;
     }
-  probe->broken_job = broken->id;
-  broken->pending = *answer;
+  probe->interrupted_job = interrupted->id;
+  interrupted->pending = *answer;
   request.address = backend->setting.address;
   request.timeout_ms = PROBE_TIMEOUT_MS;
   if (backend_pool_submit (owner->core->pool, probe->id, &request) == ERROR_NONE)
     return;
   owner_job_free (probe);
-  owner_finish_call (owner, broken, answer);
+  owner_finish_call (owner, interrupted, answer);
 }
 
+/* Stores the engine's incarnation. Returns whether it differs from the former one. */
 static bool
-owner_server_is_new (struct OwnerServer *server, const struct BackendLoad *load)
+owner_update_engine (struct OwnerServer *server, const struct BackendLoad *load)
 {
-  bool is_new = server->engine_incarnation[0] != '\0'
-                && strcmp (server->engine_incarnation, load->engine_incarnation) != 0;
+  bool restarted = server->engine_incarnation[0] != '\0'
+                   && strcmp (server->engine_incarnation, load->engine_incarnation) != 0;
 
   snprintf (server->engine_incarnation, sizeof server->engine_incarnation, "%s",
             load->engine_incarnation);
-  return is_new;
+  return restarted;
 }
 
 void
 owner_on_probe_end (struct Owner *owner, struct OwnerJob *probe, const struct BackendEvent *event)
 {
-  struct OwnerJob *broken = *owner_job_at (owner, probe->broken_job);
+  struct OwnerJob *interrupted = *owner_job_at (owner, probe->interrupted_job);
   struct OwnerServer *server = probe->server;
-  bool died = event->end.error == ERROR_UNREACHABLE;
+  bool crashed = event->end.error == ERROR_UNREACHABLE;
 
-  if (event->end.has_load && owner_server_is_new (server, &event->end.load))
-    died = true;
+  if (event->end.has_load && owner_update_engine (server, &event->end.load))
+    crashed = true;
   owner_job_free (probe);
-  if (broken == NULL)
+  if (interrupted == NULL)
     return;
-  broken->pending.server_died = died;
-  if (died)
-    log_event (LOG_LEVEL_WARNING, "backend_server_died", broken->call.key.program,
-               "look at the server; a request that stops two of them is quarantined",
-               "%s was lost while it ran a call", server->name);
-  owner_finish_call (owner, broken, &broken->pending);
+  interrupted->pending.server_died = crashed;
+  if (crashed)
+    log_event (LOG_LEVEL_WARNING, "backend_server_died", interrupted->call.key.program,
+               "check the server; a request that crashes two servers is quarantined",
+               "%s became unreachable or restarted while it ran a call", server->name);
+  owner_finish_call (owner, interrupted, &interrupted->pending);
 }
 
 void
@@ -76,21 +78,22 @@
                      const struct BackendEvent *event)
 {
   int64_t now_ms = timer_now_ms (owner->core->timers);
-  struct Outcome alive = { .error = ERROR_NONE };
+  struct Outcome available = { .error = ERROR_NONE };
 
-  server->report_under_way = false;
-  /* Any answer shows that a suspected server is back, also of a service that knows no reports. */
+  server->report_pending = false;
+  /* Any response shows that a suspected server is available again, also from a service that has no
+   * load reports. */
   if (event->end.status != 0 && server_health_suspected (server->health, now_ms))
     {
       server_health_sent (server->health, now_ms);
-      server_health_ended (server->health, &alive, now_ms);
+      server_health_ended (server->health, &available, now_ms);
     }
   if (!event->end.has_load)
     return;
   server->reported_running = event->end.load.running;
   server->last_event = event->end.load.last_event;
   dispatch_queue_report_cache (server->queue, event->end.load.cache_capacity_tokens);
-  owner_server_is_new (server, &event->end.load);
+  owner_update_engine (server, &event->end.load);
 }
 
 void
@@ -104,7 +107,7 @@
   if (event->end.error != ERROR_NONE)
     fault_set (&answer.fault, event->end.error, NULL, "%s did not acknowledge a release",
                job->server->name);
-  owner_answer (owner, job->link, &answer);
+  owner_respond (owner, job->link, &answer);
 }
 
 void
@@ -122,7 +125,7 @@
   if (job == NULL)
     {
       fault_set (&fault, ERROR_NOT_FOUND, NULL, "backend server %s is unknown here", backend_name);
-      owner_refuse (owner, link, id, &fault, 0);
+      owner_reject (owner, link, id, &fault, 0);
       return;
     }
   dispatch_queue_program_ended (server->queue, program);
@@ -133,28 +136,28 @@
   if (backend_pool_submit (owner->core->pool, job->id, &request) == ERROR_NONE)
     return;
   fault_set (&fault, ERROR_NO_MEMORY, NULL, "out of memory");
-  owner_refuse (owner, link, id, &fault, 0);
+  owner_reject (owner, link, id, &fault, 0);
   owner_job_free (job);
 }
 
 static void
-owner_ask_report (struct Owner *owner, const struct FleetBackend *backend)
+owner_request_report (struct Owner *owner, const struct FleetBackend *backend)
 {
   struct BackendRequest request = { .op = BACKEND_OP_REPORT, .timeout_ms = REPORT_TIMEOUT_MS };
   struct OwnerServer *server = owner_server (owner, backend->setting.name);
   struct OwnerJob *job;
 
-  if (server == NULL || server->report_under_way)
+  if (server == NULL || server->report_pending)
     return;
   job = owner_job_new (owner, server, OWNER_JOB_REPORT);
   if (job == NULL)
     return;
   request.address = backend->setting.address;
   request.report.after_event = server->last_event;
-  server->report_under_way = true;
+  server->report_pending = true;
   if (backend_pool_submit (owner->core->pool, job->id, &request) == ERROR_NONE)
     return;
-  server->report_under_way = false;
+  server->report_pending = false;
   owner_job_free (job);
 }
 
@@ -168,7 +171,7 @@
 }
 
 void
-owner_ask_reports (struct Owner *owner)
+owner_request_reports (struct Owner *owner)
 {
   const struct FleetBackend *backends;
   size_t n = fleet_backends (owner->core->fleet, &backends);
@@ -177,5 +180,5 @@
     if (backends[i].live && fleet_owns (owner->core->fleet, &backends[i])
         && (backends[i].setting.kind == CALL_TARGET_ENGINE
             || owner_probe_is_due (owner, &backends[i])))
-      owner_ask_report (owner, &backends[i]);
+      owner_request_report (owner, &backends[i]);
 }
