--- a/daemon/spooler.c
+++ b/daemon/spooler.c
@@ -14,18 +14,18 @@
 };
 
 static void
-spooler_answer (struct Spooler *spooler, uint64_t link, uint64_t id, int32_t error)
+spooler_respond (struct Spooler *spooler, uint64_t link, uint64_t id, int32_t error)
 {
   struct PeerMessage message = { .kind = PEER_ANSWER };
 
   message.answer.id = id;
   message.answer.outcome.error = error;
   if (error != ERROR_NONE)
-    fault_set (&message.answer.fault, error, NULL, "the spool did not take it");
+    fault_set (&message.answer.fault, error, NULL, "the spool rejected the request");
   peer_net_send (spooler->core->net, link, &message);
 }
 
-/* A put is answered after the next sync, which serves all that came meanwhile. */
+/* A put is acknowledged after the next sync, which covers all puts received until then. */
 static void
 holder_on_put (struct Spooler *spooler, uint64_t link, const struct PeerMessage *message)
 {
@@ -37,7 +37,7 @@
                        message->spool.bytes, message->spool.n_bytes);
   if (error != ERROR_NONE)
     {
-      spooler_answer (spooler, link, message->spool.id, error);
+      spooler_respond (spooler, link, message->spool.id, error);
       return;
     }
   ack = talloc_zero (spooler, struct SpoolerAck);
@@ -47,7 +47,7 @@
   spooler->acks = ack;
 }
 
-struct ReadAnswer
+struct SpoolReader
 {
   struct Spooler *spooler;
   uint64_t link, id;
@@ -56,7 +56,7 @@
 static void
 holder_send_record (void *data, uint64_t number, const uint8_t *record, size_t n_bytes)
 {
-  struct ReadAnswer *to = data;
+  struct SpoolReader *to = data;
   struct PeerMessage message = { .kind = PEER_SPOOL_RECORD };
 
   message.spool.id = to->id;
@@ -69,7 +69,7 @@
 static void
 holder_on_read (struct Spooler *spooler, uint64_t link, const struct PeerMessage *message)
 {
-  struct ReadAnswer to = { spooler, link, message->spool.id };
+  struct SpoolReader to = { spooler, link, message->spool.id };
   int32_t error = ERROR_NOT_FOUND;
 
   if (spooler->spool != NULL && message->spool.n_bytes == strlen (spool_id (spooler->spool))
@@ -77,7 +77,7 @@
     error = spool_seal (spooler->spool, message->spool.writer);
   if (error == ERROR_NONE)
     spool_each (spooler->spool, message->spool.writer, holder_send_record, &to);
-  spooler_answer (spooler, link, message->spool.id, error);
+  spooler_respond (spooler, link, message->spool.id, error);
 }
 
 void
@@ -115,7 +115,7 @@
   while ((ack = spooler->acks) != NULL)
     {
       spooler->acks = ack->next;
-      spooler_answer (spooler, ack->link, ack->id, error);
+      spooler_respond (spooler, ack->link, ack->id, error);
       talloc_free (ack);
     }
 }
@@ -126,7 +126,7 @@
   struct Spooler *spooler = data;
 
   spooler->registering = false;
-  /* "There already" is as good: the id is this disk's alone. */
+  /* A conflict means that the key exists already, which suffices: disk ids are unique. */
   if (result->error == ERROR_NONE || result->error == ERROR_CONFLICT)
     spooler->registered = true;
 }
--- a/daemon/spooler.h
+++ b/daemon/spooler.h
@@ -1,12 +1,13 @@
-/* Spooling: what lets repeatable calls go on to their ends while the platform's service is down.
+/* Spooling: lets repeatable calls complete while the platform's service is unavailable.
  *
- * A home sends each journal record that waits to two disk-bearing instances of different
- * availability zones; with both acknowledged it counts as durable, and stays queued for the
- * journal. Whoever takes over from a home seals its spool on all registered disks but at most one,
- * which meets each pair, and takes the records behind those of the journal.
+ * A home sends each journal record that cannot be written yet to two instances with a disk, in
+ * different availability zones. Once both have acknowledged it, it counts as durable; it stays
+ * queued for the journal. An instance that takes over from a home seals the home's spool on all
+ * registered disks but at most one, which include a disk of each pair, and appends the spooled
+ * records to those of the journal.
  *
- * Disks are registered at <prefix>disk/<disk id>, ids made with the spool: an emptied disk is
- * another one. */
+ * Disks are registered at <prefix>disk/<disk id>. The id is created with the spool, so an emptied
+ * disk counts as another one. */
 #pragma once
 
 #include "core.h"
@@ -18,15 +19,15 @@
 struct Spooler *
 spooler_new (struct Core *core, struct Spool *spool);
 
-/* True once this instance's disk stands in the registry. */
+/* Returns true once this instance's disk is registered. */
 bool
 spooler_has_disk (const struct Spooler *spooler);
 
-/* Writer: a new incarnation writes from number 1 on; what was under way is forgotten. */
+/* Starts the writer of a new incarnation with record number 1, and discards pending records. */
 void
 spooler_start_writer (struct Spooler *spooler, const char *incarnation);
-/* Keeps a packed record on two disks; done (data, ERROR_NONE) in the order of the calls. While no
- * two disks can be reached it waits. Its number goes to *number. */
+/* Stores a packed record on two disks and sets *number to the record's number. Calls
+ * done (data, ERROR_NONE) in the order of the puts; waits while no two disks can be reached. */
 int32_t
 spooler_put (struct Spooler *spooler,
              const uint8_t *record,
@@ -34,21 +35,22 @@
              JournalDone done,
              void *data,
              uint64_t *number);
-/* The asker of number is gone, or has its answer from the journal: its done is not called any more.
- */
+/* Cancels the put of record number, whose requester was freed or has its response from the journal:
+ * its done is not called any more. */
 void
 spooler_forget (struct Spooler *spooler, uint64_t number);
 
-/* The journal has every record up to number. */
+/* Deletes all records up to number from the disks: the journal has them. */
 void
 spooler_drop (struct Spooler *spooler, uint64_t number);
 
-/* Holder. */
+/* Handles a PEER_SPOOL message: a request to this instance's disk, or a record that it collects. */
 void
 spooler_on_message (struct Spooler *spooler, uint64_t link, const struct PeerMessage *message);
 
-/* Taker: seals and collects the spool of incarnation; records ascending, without repeats, valid
- * during done only. Tries until all registered disks but one have answered. */
+/* Seals and collects the spool of incarnation for a takeover. Retries until all registered disks
+ * but one have responded. done gets the records in ascending order, without duplicates, and valid
+ * only during the call. */
 int32_t
 spooler_collect (struct Spooler *spooler,
                  TALLOC_CTX *ctx,
@@ -56,7 +58,7 @@
                  HomesSpoolDone done,
                  void *data);
 
-/* Answers to the messages that this module sent. False when the id is not its own. */
+/* Handles a response to a message of this module. Returns false when the id is not its own. */
 bool
 spooler_on_answer (struct Spooler *spooler, uint64_t link, const struct PeerAnswer *answer);
 void
--- a/daemon/spooler_collect.c
+++ b/daemon/spooler_collect.c
@@ -10,17 +10,17 @@
 
 enum
 {
-  ASK_AGAIN_MS = 1000,
-  DISKS_MAY_MISS = 1 /* with two copies of each record, all disks but one meet each record */
+  RETRY_MS = 1000,
+  DISKS_MISSING_MAX = 1 /* each record has two copies, so all disks but one include a copy of it */
 };
 
-/* A registered disk that is asked. */
+/* A registered disk to read from. */
 struct CollectDisk
 {
   char id[NAME_MAX_BYTES + 1];
   char instance[NAME_MAX_BYTES + 1];
   uint64_t link, request;
-  bool asked, answered;
+  bool requested, responded;
 };
 
 struct SpoolerCollect
@@ -28,8 +28,8 @@
   struct SpoolerCollect *next;
   struct Spooler *spooler;
   char incarnation[INCARNATION_MAX_BYTES + 1];
-  bool reading, listed;
-  int64_t again_ms;
+  bool listing, listed;
+  int64_t next_request_ms;
   struct CollectDisk *disks;
   size_t n_disks;
   struct HomesSpooled *records;
@@ -70,7 +70,7 @@
 {
   struct SpoolerCollect *collect = data;
 
-  collect->reading = false;
+  collect->listing = false;
   if (result->error != ERROR_NONE)
     return;
   collect->listed = true;
@@ -85,31 +85,31 @@
   struct KvRequest request = { .op = KV_OP_RANGE };
   char prefix[KV_KEY_MAX_BYTES];
 
-  if (collect->reading)
+  if (collect->listing)
     return;
   snprintf (prefix, sizeof prefix, "%sdisk/", core->settings->prefix);
   request.range.prefix = prefix;
-  collect->reading =
+  collect->listing =
       kv_submit_guarded (collect, core->kv, &request, collect_on_listed, collect) == ERROR_NONE;
 }
 
 static void
-disk_ask (struct SpoolerCollect *collect, struct CollectDisk *disk)
+disk_send_request (struct SpoolerCollect *collect, struct CollectDisk *disk)
 {
   struct Spooler *spooler = collect->spooler;
   struct PeerMessage message = { .kind = PEER_SPOOL_READ };
   uint64_t link = peer_net_link_to (spooler->core->net, disk->instance);
 
-  if (disk->answered || disk->asked || link == PEER_LINK_NONE)
+  if (disk->responded || disk->requested || link == PEER_LINK_NONE)
     return;
   disk->link = link;
   disk->request = spooler->next_id++;
   message.spool.id = disk->request;
   snprintf (message.spool.writer, sizeof message.spool.writer, "%s", collect->incarnation);
-  /* An emptied disk has another id, and must not answer for the one that was lost. */
+  /* An emptied disk has another id and must not respond in place of the lost one. */
   message.spool.bytes = (const uint8_t *)disk->id;
   message.spool.n_bytes = strlen (disk->id);
-  disk->asked = peer_net_send (spooler->core->net, link, &message) == ERROR_NONE;
+  disk->requested = peer_net_send (spooler->core->net, link, &message) == ERROR_NONE;
 }
 
 static int
@@ -121,7 +121,7 @@
   return (x->number > y->number) - (x->number < y->number);
 }
 
-/* Ascending, one of each number: a record is on two disks. */
+/* Sorts the records by number and removes duplicates: each record is on two disks. */
 static void
 collect_sort (struct SpoolerCollect *collect)
 {
@@ -136,21 +136,21 @@
   collect->n_records = n;
 }
 
-/* False while too few disks have answered. */
+/* Completes the collection. Returns false while too few disks have responded. */
 static bool
-collect_complete (struct SpoolerCollect *collect)
+collect_try_complete (struct SpoolerCollect *collect)
 {
-  size_t n_answered = 0;
+  size_t n_responded = 0;
 
   for (size_t i = 0; i < collect->n_disks; i++)
-    n_answered += collect->disks[i].answered;
-  if (!collect->listed || n_answered + DISKS_MAY_MISS < collect->n_disks)
+    n_responded += collect->disks[i].responded;
+  if (!collect->listed || n_responded + DISKS_MISSING_MAX < collect->n_disks)
     return false;
   collect_sort (collect);
   if (collect->n_records > 0)
     log_event (LOG_LEVEL_NOTICE, "spool_collected", NULL, NULL, "%zu records of %s",
                collect->n_records, collect->incarnation);
-  /* The asker may free the context that this belongs to. */
+  /* done may free the context that collect belongs to. */
   talloc_steal (NULL, collect);
   collect->done (collect->data, collect->records, collect->n_records);
   talloc_free (collect);
@@ -162,16 +162,16 @@
 {
   int64_t now_ms = timer_now_ms (collect->spooler->core->timers);
 
-  if (collect_complete (collect) || now_ms < collect->again_ms)
+  if (collect_try_complete (collect) || now_ms < collect->next_request_ms)
     return;
-  collect->again_ms = now_ms + ASK_AGAIN_MS;
+  collect->next_request_ms = now_ms + RETRY_MS;
   if (!collect->listed)
     collect_list (collect);
   for (size_t i = 0; i < collect->n_disks; i++)
-    disk_ask (collect, &collect->disks[i]);
-  /* Right after the list has come the disks are asked without another pause. */
-  if (collect->reading || (collect->listed && collect->n_disks > 0 && !collect->disks[0].asked))
-    collect->again_ms = now_ms;
+    disk_send_request (collect, &collect->disks[i]);
+  /* Once the list has arrived, requests go to the disks without a further delay. */
+  if (collect->listing || (collect->listed && collect->n_disks > 0 && !collect->disks[0].requested))
+    collect->next_request_ms = now_ms;
 }
 
 void
@@ -187,11 +187,11 @@
 }
 
 static struct CollectDisk *
-collect_find (struct Spooler *spooler, uint64_t request, struct SpoolerCollect **collect)
+collect_find_disk (struct Spooler *spooler, uint64_t request, struct SpoolerCollect **collect)
 {
   for (struct SpoolerCollect *c = spooler->collects; c != NULL; c = c->next)
     for (size_t i = 0; i < c->n_disks; i++)
-      if (c->disks[i].asked && c->disks[i].request == request)
+      if (c->disks[i].requested && c->disks[i].request == request)
         {
           *collect = c;
           return &c->disks[i];
@@ -205,7 +205,7 @@
   struct SpoolerCollect *collect;
   struct HomesSpooled *record;
 
-  if (collect_find (spooler, message->spool.id, &collect) == NULL)
+  if (collect_find_disk (spooler, message->spool.id, &collect) == NULL)
     return;
   collect->records =
       talloc_realloc (collect, collect->records, struct HomesSpooled, collect->n_records + 1);
@@ -219,12 +219,12 @@
 spooler_collect_on_answer (struct Spooler *spooler, const struct PeerAnswer *answer)
 {
   struct SpoolerCollect *collect;
-  struct CollectDisk *disk = collect_find (spooler, answer->id, &collect);
+  struct CollectDisk *disk = collect_find_disk (spooler, answer->id, &collect);
 
   if (disk == NULL)
     return false;
-  disk->asked = false;
-  disk->answered = answer->outcome.error == ERROR_NONE;
+  disk->requested = false;
+  disk->responded = answer->outcome.error == ERROR_NONE;
   return true;
 }
 
@@ -234,7 +234,7 @@
   for (struct SpoolerCollect *c = spooler->collects; c != NULL; c = c->next)
     for (size_t i = 0; i < c->n_disks; i++)
       if (c->disks[i].link == link)
-        c->disks[i].asked = false;
+        c->disks[i].requested = false;
 }
 
 int32_t
--- a/daemon/spooler_internal.h
+++ b/daemon/spooler_internal.h
@@ -1,5 +1,6 @@
-/* What the spooler's files share: spooler.c (holder), spooler_writer.c, spooler_collect.c (taker).
- */
+/* Internals shared by spooler.c (stores records on this instance's disk, as a holder),
+ * spooler_writer.c (sends this instance's records to holders) and spooler_collect.c (reads a failed
+ * home's records from holders). */
 #pragma once
 
 #include "spooler.h"
@@ -16,7 +17,7 @@
   uint64_t link, id;
 };
 
-/* One copy of a record on its way to a disk-bearing instance. */
+/* One copy of a record, sent to an instance with a disk. */
 struct SpoolerCopy
 {
   char instance[NAME_MAX_BYTES + 1];
@@ -50,7 +51,7 @@
   char incarnation[INCARNATION_MAX_BYTES + 1];
   uint64_t next_number, dropped_number;
   struct SpoolerWrite *first, **last;
-  bool refused; /* a holder says that this writer was sealed */
+  bool sealed; /* a holder reported that this writer was sealed */
   /* Instances that hold records of this writer. */
   char holders[16][NAME_MAX_BYTES + 1];
   uint32_t n_holders;
--- a/daemon/spooler_writer.c
+++ b/daemon/spooler_writer.c
@@ -25,13 +25,13 @@
   spooler->last = &spooler->first;
   spooler->next_number = 1;
   spooler->dropped_number = 0;
-  spooler->refused = false;
+  spooler->sealed = false;
   spooler->n_holders = 0;
   snprintf (spooler->incarnation, sizeof spooler->incarnation, "%s", incarnation);
 }
 
 static bool
-member_can_hold (const struct Spooler *spooler, const struct FleetMember *member)
+member_can_store (const struct Spooler *spooler, const struct FleetMember *member)
 {
   if (strcmp (member->instance, spooler->core->settings->instance) == 0)
     return spooler->registered;
@@ -39,10 +39,10 @@
          && peer_net_link_to (spooler->core->net, member->instance) != PEER_LINK_NONE;
 }
 
-/* An instance for copy i, in another availability zone than the other copy. Prefers those that hold
- * earlier records: fewer disks to read later. */
+/* Chooses an instance for copy i in another availability zone than the other copy. The order of
+ * preference is the same for all records of a writer, so that few disks hold them. */
 static bool
-copy_choose (struct Spooler *spooler, struct SpoolerWrite *write, uint32_t i)
+copy_choose_instance (struct Spooler *spooler, struct SpoolerWrite *write, uint32_t i)
 {
   struct SpoolerCopy *copy = &write->copies[i];
   const struct SpoolerCopy *other = &write->copies[1 - i];
@@ -54,7 +54,7 @@
     {
       uint64_t score = rendezvous_score (spooler->incarnation, members[m].instance);
 
-      if (!member_can_hold (spooler, &members[m]) || strcmp (members[m].zone, other->zone) == 0)
+      if (!member_can_store (spooler, &members[m]) || strcmp (members[m].zone, other->zone) == 0)
         continue;
       if (best != NULL && score <= best_score)
         continue;
@@ -69,7 +69,7 @@
 }
 
 static void
-spooler_note_holder (struct Spooler *spooler, const char *instance)
+spooler_add_holder (struct Spooler *spooler, const char *instance)
 {
   for (uint32_t i = 0; i < spooler->n_holders; i++)
     if (strcmp (spooler->holders[i], instance) == 0)
@@ -84,7 +84,7 @@
   struct SpoolerCopy *copy = &write->copies[i];
   struct PeerMessage message = { .kind = PEER_SPOOL_PUT };
 
-  if (!copy_choose (spooler, write, i))
+  if (!copy_choose_instance (spooler, write, i))
     return;
   copy->link = peer_net_link_to (spooler->core->net, copy->instance);
   copy->id = spooler->next_id++;
@@ -95,7 +95,7 @@
   message.spool.n_bytes = write->n_bytes;
   copy->sent = peer_net_send (spooler->core->net, copy->link, &message) == ERROR_NONE;
   if (copy->sent)
-    spooler_note_holder (spooler, copy->instance);
+    spooler_add_holder (spooler, copy->instance);
   else
     copy->zone[0] = '\0';
 }
@@ -132,7 +132,8 @@
   return ERROR_NONE;
 }
 
-/* Answers what is on both disks, in order: a later record may not count before an earlier one. */
+/* Completes the records that are on both disks, in order: a later record must not count as durable
+ * before an earlier one. */
 static void
 writer_complete (struct Spooler *spooler)
 {
@@ -151,7 +152,7 @@
 void
 spooler_writer_tick (struct Spooler *spooler)
 {
-  if (spooler->refused)
+  if (spooler->sealed)
     return;
   for (struct SpoolerWrite *w = spooler->first; w != NULL; w = w->next)
     write_send (spooler, w);
@@ -169,8 +170,9 @@
           continue;
         copy->sent = false;
         copy->durable = answer->outcome.error == ERROR_NONE;
-        /* Sealed by a taker: nothing is acknowledged any more; the journal will say so too. */
-        spooler->refused = spooler->refused || answer->outcome.error == ERROR_FENCED;
+        /* Sealed by a takeover: no record is acknowledged any more, and the journal will report the
+         * same. */
+        spooler->sealed = spooler->sealed || answer->outcome.error == ERROR_FENCED;
         if (!copy->durable)
           copy->zone[0] = '\0';
         writer_complete (spooler);
