--- a/core/config_apply.c
+++ b/core/config_apply.c
@@ -1,4 +1,5 @@
-/* Appends the operators' changes, one at a time, and settles lost answers. */
+/* Appends the operators' changes one at a time and determines the outcome of writes whose response
+ * was lost. */
 #include "config_log_private.h"
 #include "jitter.h"
 
@@ -11,8 +12,8 @@
 
 enum
 {
-  SETTLE_RETRY_MS = 500, /* between two tries to settle a lost answer */
-  SETTLE_MS = 10000      /* then the operator is told that the effect is unknown */
+  SETTLE_RETRY_MS = 500, /* delay between retries of a write whose response was lost */
+  SETTLE_MS = 10000      /* after this the change is reported as of unknown effect */
 };
 
 struct ConfigApply
@@ -23,11 +24,11 @@
   ConfigApplyDone done;
   void *data;
   struct Timer *timer;
-  uint8_t *value; /* as it was last sent */
+  uint8_t *value; /* packed change of the last put */
   size_t value_bytes;
-  uint64_t n;         /* number that it was last sent under */
-  bool uncertain;     /* a put under .n was not answered and may still come in */
-  int64_t give_up_ms; /* when it is uncertain */
+  uint64_t n;                 /* change number of the last put */
+  bool uncertain;             /* a put under .n got no response and may still take effect */
+  int64_t settle_deadline_ms; /* valid while .uncertain */
 };
 
 static void
@@ -40,7 +41,7 @@
   apply->timer = timer_subscribe (apply, apply->log->timers, delay_ms, 0, apply_read, apply);
 }
 
-/* The next one starts first, since done may free the log. */
+/* Schedules the next change before it calls done, since done may free the log. */
 static void
 apply_finish (struct ConfigApply *apply,
               int32_t error,
@@ -60,15 +61,15 @@
   talloc_free (apply);
 }
 
-/* Nothing was applied by the last step. Once a put was not answered "not applied" may only be said
- * when its number is taken by another change; until then the same put, under the same number, is
- * tried again: it can take effect once at most, as the key may only be created. */
+/* Handles a step that applied nothing. After a put without a response, "not applied" may only be
+ * reported once another change has taken its number. Until then the same put is retried under the
+ * same number; it takes effect at most once, as the key is only ever created. */
 static void
 apply_fail (struct ConfigApply *apply, int32_t error)
 {
   struct Fault fault;
 
-  if (apply->uncertain && timer_now_ms (apply->log->timers) < apply->give_up_ms)
+  if (apply->uncertain && timer_now_ms (apply->log->timers) < apply->settle_deadline_ms)
     {
       apply_later (apply, jitter_ms (&apply->log->jitter, SETTLE_RETRY_MS));
       return;
@@ -76,11 +77,11 @@
   if (apply->uncertain)
     error = fault_set (
         &fault, ERROR_UNKNOWN_EFFECT, "ask again with the same change id when the platform answers",
-        "the answer to change %s was lost; it may be in force", apply->change.change_id);
+        "the response to change %s was lost; the change may be in force", apply->change.change_id);
   else if (error == ERROR_UNREACHABLE || error == ERROR_RATE_LIMITED)
     error = fault_set (&fault, ERROR_PLATFORM_DOWN, "send it again when the platform answers",
                        "the platform's key-value service %s; change %s was not applied",
-                       error == ERROR_RATE_LIMITED ? "has too much to do" : "does not answer",
+                       error == ERROR_RATE_LIMITED ? "is overloaded" : "does not answer",
                        apply->change.change_id);
   else
     fault_set (&fault, error, NULL, "change %s was not applied", apply->change.change_id);
@@ -88,10 +89,10 @@
 }
 
 static void
-apply_put_again (struct ConfigApply *apply)
+apply_retry_put (struct ConfigApply *apply)
 {
   if (!apply->uncertain)
-    apply->give_up_ms = timer_now_ms (apply->log->timers) + SETTLE_MS;
+    apply->settle_deadline_ms = timer_now_ms (apply->log->timers) + SETTLE_MS;
   apply->uncertain = true;
   apply_fail (apply, ERROR_UNKNOWN_EFFECT);
 }
@@ -109,7 +110,7 @@
     }
   if (result->error == ERROR_UNKNOWN_EFFECT)
     {
-      apply_put_again (apply);
+      apply_retry_put (apply);
       return;
     }
   if (result->error != ERROR_NONE)
@@ -117,7 +118,7 @@
       apply_fail (apply, result->error);
       return;
     }
-  config_log_take_value (log, apply->n, apply->value, apply->value_bytes);
+  config_log_add_value (log, apply->n, apply->value, apply->value_bytes);
   config_log_publish (log);
   config_log_appended (log, apply->n);
   apply_finish (apply, ERROR_NONE, apply->n, NULL);
@@ -152,9 +153,9 @@
     apply_fail (apply, error);
 }
 
-/* The change id is in the log already: an earlier try, perhaps through another instance. */
+/* The change id is already in the log, from an earlier attempt, possibly on another instance. */
 static void
-apply_finish_same (struct ConfigApply *apply, uint64_t n)
+apply_finish_repeated (struct ConfigApply *apply, uint64_t n)
 {
   const struct ConfigEntry *entry = config_log_find (apply->log, n);
   const struct ConfigChange *first = entry != NULL ? entry->change : NULL;
@@ -165,11 +166,11 @@
           && strcmp (first->text, apply->change.text) == 0))
     {
       if (n == apply->n)
-        config_log_appended (apply->log, n); /* by a put whose answer was lost */
+        config_log_appended (apply->log, n); /* by the put whose response was lost */
       apply_finish (apply, ERROR_NONE, n, NULL);
       return;
     }
-  fault_set (&fault, ERROR_CONFLICT, "give the new change an id of its own",
+  fault_set (&fault, ERROR_CONFLICT, "use a new change id",
              "change id %s was used at revision %llu, by %s, for another change",
              apply->change.change_id, (unsigned long long)n, first->who);
   apply_finish (apply, ERROR_CONFLICT, 0, &fault);
@@ -186,7 +187,7 @@
   (void)revision;
   if (used != 0)
     {
-      apply_finish_same (apply, used);
+      apply_finish_repeated (apply, used);
       return;
     }
   if (error != ERROR_NONE)
@@ -195,7 +196,7 @@
       return;
     }
   if (fold->revision >= apply->n)
-    apply->uncertain = false; /* another change has its number */
+    apply->uncertain = false; /* another change took its number */
   error = config_fold_check (fold, &apply->change, &fault);
   if (error == ERROR_NONE)
     error = config_fold_conflict (fold, &apply->change, &fault);
--- a/core/config_conflict.c
+++ b/core/config_conflict.c
@@ -1,4 +1,4 @@
-/* What a loser of a race is told: both revisions, who changed it and which keys differ. */
+/* Detects conflicting edits; the fault names both revisions, the author and the differing keys. */
 #include "config_fold.h"
 
 #include <buckthornhead/error.h>
@@ -9,7 +9,7 @@
 
 enum
 {
-  KEYS_MAX = 64
+  KEYS_MAX = 64 /* per text; further keys are not compared */
 };
 
 struct KeyValue
@@ -56,7 +56,7 @@
   return NULL;
 }
 
-/* Adds the keys of a that b lacks or, unless only_missing, has otherwise. */
+/* Appends the keys of a that b lacks and, unless only_missing, those with another value in b. */
 static char *
 add_differing (char *keys, const struct KeyList *a, const struct KeyList *b, bool only_missing)
 {
@@ -72,9 +72,9 @@
 }
 
 static char *
-differing_keys (TALLOC_CTX *ctx, const char *wanted, const char *present)
+differing_keys (TALLOC_CTX *ctx, const char *edited, const char *present)
 {
-  struct KeyList *a = key_list_new (ctx, wanted);
+  struct KeyList *a = key_list_new (ctx, edited);
   struct KeyList *b = key_list_new (ctx, present);
   char *keys = talloc_strdup (ctx, "");
 
@@ -84,7 +84,7 @@
 }
 
 static const char *
-kind_word (enum ConfigChangeKind kind)
+kind_text (enum ConfigChangeKind kind)
 {
   switch (kind)
     {
@@ -109,12 +109,13 @@
   char *differs = present->kind == CONFIG_CHANGE_PROFILE
                       ? talloc_asprintf (ctx, "keys that differ: %s",
                                          differing_keys (ctx, change->text, present->text))
-                      : talloc_asprintf (ctx, "it is %s, wanted %s", present->text, change->text);
+                      : talloc_asprintf (ctx, "its value is %s, this edit sets %s", present->text,
+                                         change->text);
 
   fault_set (fault, ERROR_CONFLICT, remedy,
              "%s %s is at revision %llu, changed by %s; this edit began from revision %llu; %s",
-             kind_word (change->kind), change->name, (unsigned long long)present->revision,
-             present->who, (unsigned long long)change->expected_revision, differs);
+             kind_text (change->kind), change->name, (unsigned long long)present->revision,
+             present->changed_by, (unsigned long long)change->expected_revision, differs);
   talloc_free (ctx);
   return ERROR_CONFLICT;
 }
@@ -131,8 +132,8 @@
     return ERROR_NONE;
   if (present != NULL)
     return conflict_fault (present, change, fault);
-  return fault_set (fault, ERROR_CONFLICT, "send it as a new one, expecting revision 0",
+  return fault_set (fault, ERROR_CONFLICT, "send it as a new object with expected revision 0",
                     "%s %s does not exist; this edit began from revision %llu",
-                    kind_word (change->kind), change->name,
+                    kind_text (change->kind), change->name,
                     (unsigned long long)change->expected_revision);
 }
--- a/core/config_entry.c
+++ b/core/config_entry.c
@@ -13,12 +13,12 @@
 static void
 pack_text (struct PackWriter *writer, const char *text)
 {
-  const char *given = text != NULL ? text : "";
+  const char *bytes = text != NULL ? text : "";
 
-  pack_bytes (writer, (const uint8_t *)given, strlen (given));
+  pack_bytes (writer, (const uint8_t *)bytes, strlen (bytes));
 }
 
-/* A text of any length, without NUL inside. */
+/* Reads a text of up to CONFIG_TEXT_MAX_BYTES; a NUL byte inside fails the reader. */
 static const char *
 read_text (struct PackReader *reader, TALLOC_CTX *ctx)
 {
--- a/core/config_entry.h
+++ b/core/config_entry.h
@@ -1,14 +1,14 @@
-/* How a change of the configuration and a checkpoint are packed. */
+/* Packing of configuration changes, and of the entries and checkpoints that peers exchange. */
 #pragma once
 
 #include <buckthornhead/config_log.h>
 
 enum
 {
-  CONFIG_TEXT_MAX_BYTES = 256 * 1024 /* a change holds two texts and fits into one value */
+  CONFIG_TEXT_MAX_BYTES = 256 * 1024 /* two texts per change must fit into one value */
 };
 
-/* A change as the key-value service keeps it. */
+/* Packs and unpacks a change in the form in which the key-value service stores it. */
 int32_t
 config_change_pack (TALLOC_CTX *ctx,
                     const struct ConfigChange *change,
@@ -20,7 +20,7 @@
                       size_t n_bytes,
                       struct ConfigChange **change);
 
-/* What instances pass on: a value of the key-value service and the revision it stands for. */
+/* A value of the key-value service that is sent to a peer, with its revision. */
 enum ConfigParcelKind
 {
   CONFIG_PARCEL_ENTRY = 1,
--- a/core/config_fold.c
+++ b/core/config_fold.c
@@ -48,8 +48,8 @@
     fault_set (fault, ERROR_INVALID, faults->items[0].remedy, "profile %s, line %u, %s: %s",
                change->name, faults->items[0].line, faults->items[0].key, faults->items[0].message);
   else if (error == ERROR_NONE && strcmp (profile.name, change->name) != 0)
-    error = fault_set (fault, ERROR_INVALID, "give both the same name",
-                       "the change is of profile %s and its text of profile %s", change->name,
+    error = fault_set (fault, ERROR_INVALID, "use the same name in both",
+                       "the change names profile %s but its text names profile %s", change->name,
                        profile.name);
   talloc_free (faults);
   return error;
@@ -61,11 +61,11 @@
                    struct Fault *fault)
 {
   if (change->change_id[0] == '\0' || change->name[0] == '\0' || change->who[0] == '\0')
-    return fault_set (fault, ERROR_INVALID, "give all three",
-                      "a change has an id, a name and somebody who makes it");
+    return fault_set (fault, ERROR_INVALID, "send all three",
+                      "a change needs an id, a name and an author");
   if (change->text == NULL || strlen (change->text) > CONFIG_TEXT_MAX_BYTES)
-    return fault_set (fault, ERROR_INVALID, "give a text of at most 256 KB",
-                      "the change has no text, or too much of it");
+    return fault_set (fault, ERROR_INVALID, "send a text of at most 256 KB",
+                      "the change has no text, or its text is too long");
   switch (change->kind)
     {
     case CONFIG_CHANGE_PROFILE:
@@ -73,20 +73,20 @@
     case CONFIG_CHANGE_SERVICE:
       if (config_fold_find (fold, CONFIG_CHANGE_PROFILE, change->text) == NULL)
         return fault_set (fault, ERROR_INVALID, "create the profile first, or name another",
-                          "service %s would run under profile %.64s, which does not exist",
+                          "service %s is assigned profile %.64s, which does not exist",
                           change->name, change->text);
       return ERROR_NONE;
     case CONFIG_CHANGE_DRAIN:
       if (strcmp (change->text, "on") != 0 && strcmp (change->text, "off") != 0)
-        return fault_set (fault, ERROR_INVALID, "say on or off", "drain of %s is neither",
-                          change->name);
+        return fault_set (fault, ERROR_INVALID, "send on or off",
+                          "the drain state of %s is neither on nor off", change->name);
       return ERROR_NONE;
     }
-  return fault_set (fault, ERROR_INVALID, NULL, "no such kind of change");
+  return fault_set (fault, ERROR_INVALID, NULL, "unknown kind of change");
 }
 
 static struct ConfigObject *
-fold_object (struct ConfigFold *fold, const struct ConfigChange *change)
+fold_find_or_add_object (struct ConfigFold *fold, const struct ConfigChange *change)
 {
   struct ConfigObject *object =
       (struct ConfigObject *)config_fold_find (fold, change->kind, change->name);
@@ -102,7 +102,7 @@
 }
 
 static void
-fold_add_used (struct ConfigFold *fold, const char *change_id, uint64_t revision)
+fold_add_used_id (struct ConfigFold *fold, const char *change_id, uint64_t revision)
 {
   struct ConfigUsedId *used = NULL;
 
@@ -114,8 +114,8 @@
   used->revision = revision;
 }
 
-/* A text that this version of the program refuses changes nothing here: the object goes on as it
- * was. Its writer had checked it, so this shows only while versions are mixed. */
+/* A profile that this version rejects is ignored and the object keeps its previous text. The
+ * writer validated the profile, so this happens only while instances run different versions. */
 static void
 fold_set_object (struct ConfigFold *fold, const struct ConfigChange *change)
 {
@@ -126,14 +126,14 @@
       && profile_parse (change->name, change->text, &profile, NULL) != ERROR_NONE)
     {
       log_event (LOG_LEVEL_ERROR, "config_change_not_understood", NULL,
-                 "bring the instances to one version", "profile %s at revision %llu", change->name,
-                 (unsigned long long)change->revision);
+                 "run the same version on all instances", "profile %s at revision %llu",
+                 change->name, (unsigned long long)change->revision);
       return;
     }
-  object = fold_object (fold, change);
+  object = fold_find_or_add_object (fold, change);
   object->profile = profile;
   object->revision = change->revision;
-  snprintf (object->who, sizeof object->who, "%s", change->who);
+  snprintf (object->changed_by, sizeof object->changed_by, "%s", change->who);
   talloc_free ((void *)object->text);
   object->text = talloc_strdup (object, change->text);
 }
@@ -145,7 +145,7 @@
   if (change == NULL)
     return;
   fold_set_object (fold, change);
-  fold_add_used (fold, change->change_id, change->revision);
+  fold_add_used_id (fold, change->change_id, change->revision);
 }
 
 static void
@@ -207,7 +207,7 @@
       pack_array (writer, 5);
       pack_u64 (writer, (uint64_t)object->kind);
       pack_string (writer, object->name);
-      pack_string (writer, object->who);
+      pack_string (writer, object->changed_by);
       pack_u64 (writer, object->revision);
       pack_bytes (writer, (const uint8_t *)object->text, strlen (object->text));
     }
@@ -247,7 +247,7 @@
 }
 
 static int32_t
-fold_read_used (struct ConfigFold *fold, struct PackReader *list)
+fold_read_used_id (struct ConfigFold *fold, struct PackReader *list)
 {
   struct PackReader reader;
   char change_id[NAME_MAX_BYTES + 1];
@@ -258,7 +258,7 @@
   revision = read_u64 (&reader, fold->revision);
   if (read_end (&reader) != ERROR_NONE)
     return ERROR_INVALID;
-  fold_add_used (fold, change_id, revision);
+  fold_add_used_id (fold, change_id, revision);
   return ERROR_NONE;
 }
 
@@ -268,27 +268,27 @@
                     size_t n_bytes,
                     struct ConfigFold **fold)
 {
-  struct ConfigFold *read = config_fold_new (ctx);
+  struct ConfigFold *unpacked = config_fold_new (ctx);
   struct PackReader reader, objects, used;
-  void *document = pack_open (read, packed, n_bytes, &reader);
+  void *document = pack_open (unpacked, packed, n_bytes, &reader);
   int32_t error = ERROR_INVALID;
 
   if (document == NULL || read_u64 (&reader, CHECKPOINT_VERSION) != CHECKPOINT_VERSION)
     goto out;
-  read->revision = read_u64 (&reader, UINT64_MAX);
+  unpacked->revision = read_u64 (&reader, UINT64_MAX);
   read_array (&reader, &objects);
   read_array (&reader, &used);
   error = read_end (&reader);
   for (size_t i = 0; error == ERROR_NONE && i < objects.n_items; i++)
-    error = fold_read_object (read, &objects);
+    error = fold_read_object (unpacked, &objects);
   for (size_t i = 0; error == ERROR_NONE && i < used.n_items; i++)
-    error = fold_read_used (read, &used);
+    error = fold_read_used_id (unpacked, &used);
 
 out:
   talloc_free (document);
   if (error == ERROR_NONE)
-    *fold = read;
+    *fold = unpacked;
   else
-    talloc_free (read);
+    talloc_free (unpacked);
   return error;
 }
--- a/core/config_fold.h
+++ b/core/config_fold.h
@@ -1,27 +1,27 @@
-/* The configuration as the fold of its changes: what is in force, and what a change may do to it.
+/* The configuration as a fold over its changes: the state in force and the validation of further
+ * changes.
  *
- * The fold only goes forward: one change after the other, or to a checkpoint of a higher
- * revision. */
+ * The revision only increases: by one change at a time, or by loading a newer checkpoint. */
 #pragma once
 
 #include "config_entry.h"
 
-/* A change id that was used. */
+/* A change id and the revision that it was applied at. */
 struct ConfigUsedId
 {
   char change_id[NAME_MAX_BYTES + 1];
   uint64_t revision;
 };
 
-/* A profile, a service or an instance that drains: what its last change made of it. */
+/* A profile, a service's profile or an instance's drain state, as of its last change. */
 struct ConfigObject
 {
   enum ConfigChangeKind kind;
   char name[NAME_MAX_BYTES + 1];
-  char who[NAME_MAX_BYTES + 1];
+  char changed_by[NAME_MAX_BYTES + 1];
   uint64_t revision;
   const char *text;
-  struct Profile profile; /* of CONFIG_CHANGE_PROFILE */
+  struct Profile profile; /* for CONFIG_CHANGE_PROFILE only */
 };
 
 struct ConfigFold
@@ -29,7 +29,7 @@
   uint64_t revision;
   struct ConfigObject **objects;
   size_t n_objects;
-  struct ConfigUsedId *used; /* the last ones, oldest first */
+  struct ConfigUsedId *used; /* the most recent ones, oldest first */
   size_t n_used;
 };
 
@@ -39,33 +39,33 @@
 const struct ConfigObject *
 config_fold_find (const struct ConfigFold *fold, enum ConfigChangeKind kind, const char *name);
 
-/* Revision at which change_id was used, 0 if not among the last ones. */
+/* Returns the revision that change_id was applied at; 0 if it is not among the recent ones. */
 uint64_t
 config_fold_used (const struct ConfigFold *fold, const char *change_id);
 
-/* ERROR_INVALID with the remedy when the change makes no sense now. */
+/* Returns ERROR_INVALID and fills in fault when the change is not valid in the current state. */
 int32_t
 config_fold_check (const struct ConfigFold *fold,
                    const struct ConfigChange *change,
                    struct Fault *fault);
 
-/* ERROR_CONFLICT when the object is not at the revision that the change's editor saw: the fault
- * names both revisions, who changed it and which keys differ. */
+/* Returns ERROR_CONFLICT when the object is not at the change's expected revision. The fault names
+ * both revisions, the author of the last change and the keys that differ. */
 int32_t
 config_fold_conflict (const struct ConfigFold *fold,
                       const struct ConfigChange *change,
                       struct Fault *fault);
 
-/* Takes change number fold->revision + 1 in; NULL for one that this version can not read: it has
- * no effect and still counts. */
+/* Applies change number fold->revision + 1. NULL stands for a change that this version can not
+ * read: it has no effect but increases the revision. */
 void
 config_fold_take (struct ConfigFold *fold, const struct ConfigChange *change);
 
-/* The state as published. */
+/* Returns the state to publish; belongs to ctx. */
 struct ConfigState *
 config_fold_state (const struct ConfigFold *fold, TALLOC_CTX *ctx);
 
-/* The fold as a checkpoint, and back. */
+/* Packs the fold as a checkpoint, and unpacks it. */
 int32_t
 config_fold_pack (const struct ConfigFold *fold,
                   TALLOC_CTX *ctx,
--- a/core/config_log.c
+++ b/core/config_log.c
@@ -11,8 +11,8 @@
 
 enum
 {
-  ENTRIES_KEPT = 1024, /* in memory, for the audit trail and for peers */
-  CHECKPOINT_EVERY = 256
+  ENTRIES_KEPT = 1024,   /* entries in memory, for the audit trail and for peers */
+  CHECKPOINT_EVERY = 256 /* changes per checkpoint */
 };
 
 char *
@@ -22,7 +22,7 @@
 }
 
 uint64_t
-config_log_wanted (const struct ConfigLog *log)
+config_log_next_missing (const struct ConfigLog *log)
 {
   uint64_t revision = log->fold->revision;
 
@@ -71,7 +71,7 @@
     {
       entry->change = NULL;
       log_event (LOG_LEVEL_ERROR, "config_change_not_understood", NULL,
-                 "bring the instances to one version", "change %llu", (unsigned long long)n);
+                 "run the same version on all instances", "change %llu", (unsigned long long)n);
     }
   if (log->n_entries == ENTRIES_KEPT)
     config_log_drop_oldest (log);
@@ -80,10 +80,10 @@
   return entry;
 }
 
-/* Never back: a change at or below the present revision only ever completes the history, however
- * late it comes and whoever sends it. */
+/* A change at or below the current revision only completes the history, however late it arrives
+ * and whichever peer sends it, so the configuration never reverts. */
 bool
-config_log_take_value (struct ConfigLog *log, uint64_t n, const uint8_t *value, size_t value_bytes)
+config_log_add_value (struct ConfigLog *log, uint64_t n, const uint8_t *value, size_t value_bytes)
 {
   bool follows = log->n_entries == 0 || n == log->entries[log->n_entries - 1]->n + 1;
 
@@ -102,17 +102,17 @@
 }
 
 bool
-config_log_take_kv (struct ConfigLog *log, const struct KvEntry *entry)
+config_log_add_kv (struct ConfigLog *log, const struct KvEntry *entry)
 {
   const char *number = entry->key + strlen (log->entry_prefix);
 
   if (entry->deleted)
     return true;
-  return config_log_take_value (log, strtoull (number, NULL, 10), entry->value, entry->value_bytes);
+  return config_log_add_value (log, strtoull (number, NULL, 10), entry->value, entry->value_bytes);
 }
 
 int32_t
-config_log_take_checkpoint (struct ConfigLog *log, const uint8_t *value, size_t value_bytes)
+config_log_load_checkpoint (struct ConfigLog *log, const uint8_t *value, size_t value_bytes)
 {
   struct ConfigFold *fold = NULL;
   int32_t error = config_fold_unpack (log, value, value_bytes, &fold);
@@ -151,8 +151,8 @@
     log->checkpoint_mod_revision = result->entries[0].mod_revision;
 }
 
-/* A checkpoint only replaces the one that was there before this change was appended, and so never
- * a higher one. One that is lost or refused is missed by nobody: the next takes its place. */
+/* A checkpoint replaces only the one that preceded this change, so it never overwrites a newer
+ * one. A lost or rejected checkpoint needs no retry: the next one replaces it. */
 void
 config_log_appended (struct ConfigLog *log, uint64_t n)
 {
@@ -171,7 +171,7 @@
     kv_submit_guarded (log, log->kv, &request, config_log_on_checkpoint, log);
   else
     log_event (LOG_LEVEL_WARNING, "config_checkpoint_too_large", NULL,
-               "shorten the profiles; starting instances read all changes", "%zu bytes",
+               "shorten the profiles; until then starting instances read all changes", "%zu bytes",
                value_bytes);
   talloc_free (value);
 }
@@ -241,7 +241,7 @@
 }
 
 static int32_t
-config_log_take_peer_entry (struct ConfigLog *log, const struct ConfigParcel *parcel)
+config_log_add_peer_entry (struct ConfigLog *log, const struct ConfigParcel *parcel)
 {
   struct ConfigChange *change = NULL;
 
@@ -250,7 +250,7 @@
   if (config_change_unpack (log, parcel->value, parcel->value_bytes, &change) != ERROR_NONE)
     return ERROR_INVALID;
   talloc_free (change);
-  if (!config_log_take_value (log, parcel->revision, parcel->value, parcel->value_bytes))
+  if (!config_log_add_value (log, parcel->revision, parcel->value, parcel->value_bytes))
     return ERROR_OUT_OF_ORDER;
   return ERROR_NONE;
 }
@@ -264,8 +264,8 @@
 
   if (error == ERROR_NONE)
     error = parcel.kind == CONFIG_PARCEL_ENTRY
-                ? config_log_take_peer_entry (log, &parcel)
-                : config_log_take_checkpoint (log, parcel.value, parcel.value_bytes);
+                ? config_log_add_peer_entry (log, &parcel)
+                : config_log_load_checkpoint (log, parcel.value, parcel.value_bytes);
   talloc_free (ctx);
   if (error == ERROR_NONE)
     config_log_publish (log);
--- a/core/config_reader.c
+++ b/core/config_reader.c
@@ -1,4 +1,4 @@
-/* Reads the last checkpoint, then follows the changes. */
+/* Reads the latest checkpoint, then reads and watches the changes. */
 #include "config_log_private.h"
 #include "jitter.h"
 
@@ -8,35 +8,36 @@
 
 enum
 {
-  READ_LIMIT = 64, /* changes in one answer */
-  /* A change is to be in force everywhere in 14 s, and a watch may hide it until it ends. */
+  READ_LIMIT = 64, /* changes per response */
+  /* A change must be in force on every instance within 14 s, and a broken watch may not report it
+   * before the watch ends. */
   WATCH_MS = 9000
 };
 
 static char *
-reader_start (void *data, TALLOC_CTX *ctx)
+reader_start_key (void *data, TALLOC_CTX *ctx)
 {
   const struct ConfigLog *log = data;
 
-  return config_log_key (log, ctx, config_log_wanted (log));
+  return config_log_key (log, ctx, config_log_next_missing (log));
 }
 
 static bool
-reader_take (void *data, const struct KvEntry *entry)
+reader_add_entry (void *data, const struct KvEntry *entry)
 {
   struct ConfigLog *log = data;
-  bool in_order = config_log_take_kv (log, entry);
+  bool in_order = config_log_add_kv (log, entry);
 
   if (!in_order)
     log_event (LOG_LEVEL_WARNING, "config_gap", NULL,
-               "when this recurs, restore the missing keys from a backup",
+               "if this recurs, restore the missing keys from a backup",
                "%s does not follow revision %llu", entry->key,
                (unsigned long long)log->fold->revision);
   return in_order;
 }
 
 static void
-reader_taken (void *data, bool whole, int64_t revision)
+reader_on_batch (void *data, bool whole, int64_t revision)
 {
   (void)whole;
   (void)revision;
@@ -53,8 +54,8 @@
 
   if (result->error != ERROR_NONE && result->error != ERROR_NOT_FOUND)
     {
-      TALLOC_FREE (log->pause);
-      log->pause =
+      TALLOC_FREE (log->retry);
+      log->retry =
           timer_subscribe (log, log->timers, jitter_ms (&log->jitter, log->options.poll_ms), 0,
                            reader_get_checkpoint, log);
       return;
@@ -62,10 +63,10 @@
   if (result->n_entries > 0)
     {
       log->checkpoint_mod_revision = result->entries[0].mod_revision;
-      if (config_log_take_checkpoint (log, result->entries[0].value, result->entries[0].value_bytes)
+      if (config_log_load_checkpoint (log, result->entries[0].value, result->entries[0].value_bytes)
           != ERROR_NONE)
         log_event (LOG_LEVEL_ERROR, "config_checkpoint_not_understood", NULL,
-                   "bring the instances to one version", "all changes are read instead");
+                   "run the same version on all instances", "all changes are read instead");
     }
   kv_follow_start (log->follow);
 }
@@ -89,9 +90,9 @@
   options.watch_ms = WATCH_MS;
   options.read_limit = READ_LIMIT;
   options.seed = log->jitter;
-  options.start = reader_start;
-  options.take = reader_take;
-  options.taken = reader_taken;
+  options.start = reader_start_key;
+  options.take = reader_add_entry;
+  options.taken = reader_on_batch;
   options.data = log;
   log->follow = kv_follow_new (log, log->kv, log->timers, &options);
   if (log->follow == NULL)
--- a/tests/test_config_log.c
+++ b/tests/test_config_log.c
@@ -11,7 +11,7 @@
 enum
 {
   POLL_MS = 2000,
-  IN_FORCE_MS = 14000, /* a change must be in force everywhere after this long */
+  IN_FORCE_MS = 14000, /* limit after which a change must be in force on every instance */
   OUTAGE_MS = 60000
 };
 
@@ -22,7 +22,7 @@
   struct KvPort *port;
   struct ConfigLog *log;
   struct ConfigState *state;
-  uint64_t revision; /* highest that was published */
+  uint64_t revision; /* highest published revision */
 };
 
 struct Bench
@@ -32,8 +32,8 @@
   struct Node *a, *b;
 };
 
-/* What an operator was told. */
-struct Verdict
+/* Result that an operator receives for a change. */
+struct ApplyResult
 {
   uint32_t n;
   int32_t error;
@@ -46,7 +46,7 @@
 {
   struct Node *node = data;
 
-  CU_ASSERT_TRUE (state->revision > node->revision); /* never back, in any test */
+  CU_ASSERT_TRUE (state->revision > node->revision); /* revisions only increase, in every test */
   node->revision = state->revision;
   talloc_free (node->state);
   node->state = talloc_steal (node, state);
@@ -86,17 +86,17 @@
 }
 
 static void
-on_verdict (void *data, int32_t error, uint64_t revision, const struct Fault *fault)
+on_result (void *data, int32_t error, uint64_t revision, const struct Fault *fault)
 {
-  struct Verdict *verdict = data;
+  struct ApplyResult *result = data;
 
-  verdict->n++;
-  verdict->error = error;
-  verdict->revision = revision;
-  verdict->fault = *fault;
+  result->n++;
+  result->error = error;
+  result->revision = revision;
+  result->fault = *fault;
 }
 
-/* An edit of profile "dawn" as somebody began it from revision expected. */
+/* Returns an edit of profile "dawn" that expects revision expected. */
 static struct ConfigChange
 edit_of (const char *change_id, const char *who, const char *text, uint64_t expected)
 {
@@ -110,20 +110,20 @@
 }
 
 static void
-node_apply (struct Node *node, const struct ConfigChange *change, struct Verdict *verdict)
+node_apply (struct Node *node, const struct ConfigChange *change, struct ApplyResult *result)
 {
-  memset (verdict, 0, sizeof *verdict);
-  CU_ASSERT_EQUAL (config_log_apply (node->log, change, on_verdict, verdict), ERROR_NONE);
-  CU_ASSERT_EQUAL (verdict->n, 0);
+  memset (result, 0, sizeof *result);
+  CU_ASSERT_EQUAL (config_log_apply (node->log, change, on_result, result), ERROR_NONE);
+  CU_ASSERT_EQUAL (result->n, 0);
 }
 
 static int32_t
-node_apply_now (struct Node *node, const struct ConfigChange *change, struct Verdict *verdict)
+node_apply_now (struct Node *node, const struct ConfigChange *change, struct ApplyResult *result)
 {
-  node_apply (node, change, verdict);
+  node_apply (node, change, result);
   fake_timer_advance (node->bench->timers, 100);
-  CU_ASSERT_EQUAL (verdict->n, 1);
-  return verdict->error;
+  CU_ASSERT_EQUAL (result->n, 1);
+  return result->error;
 }
 
 static const char share_1[] = "[profile]\nname = dawn\nshare = 1\n";
@@ -139,10 +139,10 @@
 }
 
 static void
-test_changes_are_in_force_everywhere (void)
+test_changes_are_in_force_on_every_instance (void)
 {
   struct Bench *t = bench_new ();
-  struct Verdict verdict;
+  struct ApplyResult result;
   struct ConfigChange change = edit_of ("c1", "asha", share_1, 0);
   struct ConfigChange service = { .kind = CONFIG_CHANGE_SERVICE,
                                   .name = "field-desk",
@@ -153,31 +153,31 @@
     .kind = CONFIG_CHANGE_DRAIN, .name = "i3", .change_id = "c3", .who = "ivo", .text = "on"
   };
 
-  CU_ASSERT_EQUAL (node_apply_now (t->a, &change, &verdict), ERROR_NONE);
-  CU_ASSERT_EQUAL (verdict.revision, 1);
+  CU_ASSERT_EQUAL (node_apply_now (t->a, &change, &result), ERROR_NONE);
+  CU_ASSERT_EQUAL (result.revision, 1);
   CU_ASSERT_EQUAL (node_share (t->a), 1);
   CU_ASSERT_EQUAL (node_share (t->b), 1);
-  CU_ASSERT_EQUAL (node_apply_now (t->a, &service, &verdict), ERROR_INVALID);
+  CU_ASSERT_EQUAL (node_apply_now (t->a, &service, &result), ERROR_INVALID);
   service.text = "dawn";
-  CU_ASSERT_EQUAL (node_apply_now (t->b, &service, &verdict), ERROR_NONE);
-  CU_ASSERT_EQUAL (node_apply_now (t->a, &drain, &verdict), ERROR_NONE);
+  CU_ASSERT_EQUAL (node_apply_now (t->b, &service, &result), ERROR_NONE);
+  CU_ASSERT_EQUAL (node_apply_now (t->a, &drain, &result), ERROR_NONE);
   CU_ASSERT_EQUAL (t->a->state->n_services, 1);
   CU_ASSERT_STRING_EQUAL (t->a->state->services[0].profile, "dawn");
   CU_ASSERT_EQUAL (t->b->state->n_draining, 1);
   change = edit_of ("c4", "ivo", "[profile]\nname = dusk\n", 1);
-  CU_ASSERT_EQUAL (node_apply_now (t->a, &change, &verdict), ERROR_INVALID);
+  CU_ASSERT_EQUAL (node_apply_now (t->a, &change, &result), ERROR_INVALID);
   CU_ASSERT_EQUAL (config_log_revision (t->b->log), 3);
   talloc_free (t);
 }
 
-/* Two operators on different shifts edit the same profile from the same revision and save within
- * the same moment, through two instances. One is in force everywhere; the other is told who was
- * first, both revisions and the keys that differ, and nothing of the edit is in force. */
+/* Two operators edit the same profile from the same revision and save at the same moment, through
+ * two instances. One edit must be in force on every instance. The other must be rejected as a
+ * whole, with a conflict that names the first author, both revisions and the keys that differ. */
 static void
-test_loser_of_a_race_is_told_what_differs (void)
+test_conflict_names_the_differing_keys (void)
 {
   struct Bench *t = bench_new ();
-  struct Verdict first, second;
+  struct ApplyResult first, second;
   struct ConfigChange asha = edit_of ("c2", "asha", share_2, 1);
   struct ConfigChange ivo = edit_of ("c3", "ivo", share_3_ageing, 1);
   struct ConfigChange start = edit_of ("c1", "asha", share_1, 0);
@@ -202,74 +202,76 @@
   talloc_free (t);
 }
 
-/* The service applies a change and its answer is lost, or the change is lost on the way there; the
- * operator, who sees either as the same silence, gets one clear answer and one entry. Sent again
- * with the same change id, through another instance too, the change is not made twice. */
+/* The request or the response of a write to the key-value service is lost, which looks the same to
+ * the instance. The operator must get one definite result and the log one entry. The same change id
+ * sent again, also through another instance, must not apply the change twice. */
 static void
-test_lost_answer_is_settled_by_change_id (void)
+test_lost_response_is_resolved_by_change_id (void)
 {
   static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_ANSWER, FAKE_KV_LOSE_REQUEST };
 
   for (size_t i = 0; i < 2; i++)
     {
       struct Bench *t = bench_new ();
-      struct Verdict verdict;
+      struct ApplyResult result;
       struct ConfigChange change = edit_of ("c1", "asha", share_1, 0);
 
       fake_kv_fault_next (t->kv, KV_OP_PUT, "t/config/", faults[i], 1);
-      node_apply (t->a, &change, &verdict);
+      node_apply (t->a, &change, &result);
       fake_timer_advance (t->timers, 2000);
-      CU_ASSERT_EQUAL (verdict.n, 1);
-      CU_ASSERT_EQUAL (verdict.error, ERROR_NONE);
-      CU_ASSERT_EQUAL (verdict.revision, 1);
-      CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &verdict), ERROR_NONE);
-      CU_ASSERT_EQUAL (verdict.revision, 1);
+      CU_ASSERT_EQUAL (result.n, 1);
+      CU_ASSERT_EQUAL (result.error, ERROR_NONE);
+      CU_ASSERT_EQUAL (result.revision, 1);
+      CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &result), ERROR_NONE);
+      CU_ASSERT_EQUAL (result.revision, 1);
       CU_ASSERT_EQUAL (fake_kv_count (t->kv, "t/config/"), 1);
       change.text = share_2;
-      CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &verdict), ERROR_CONFLICT);
+      CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &result), ERROR_CONFLICT);
       talloc_free (t);
     }
 }
 
-/* A change is cut off on its way by an outage: "unknown" is said, and never "not applied". It
- * comes in after the outage, before or after the operator asks again: there is one entry. */
+/* An outage interrupts a write, which takes effect after the outage, before or after the operator
+ * sends the change again. The result must be "unknown effect", never "not applied", and the log
+ * must contain one entry. */
 static void
-test_late_change_is_unknown_until_settled (void)
+test_late_change_has_unknown_effect_until_resolved (void)
 {
-  for (int32_t asked_first = 0; asked_first < 2; asked_first++)
+  for (int32_t resent_first = 0; resent_first < 2; resent_first++)
     {
       struct Bench *t = bench_new ();
-      struct Verdict verdict;
+      struct ApplyResult result;
       struct ConfigChange change = edit_of ("c1", "asha", share_1, 0);
 
       fake_kv_fault_next (t->kv, KV_OP_PUT, "t/config/", FAKE_KV_LATE, 1);
-      node_apply (t->a, &change, &verdict);
+      node_apply (t->a, &change, &result);
       fake_timer_advance (t->timers, 10);
       fake_kv_set_fault (t->kv, FAKE_KV_REFUSE);
       fake_timer_advance (t->timers, OUTAGE_MS);
-      CU_ASSERT_EQUAL (verdict.n, 1);
-      CU_ASSERT_EQUAL (verdict.error, ERROR_UNKNOWN_EFFECT);
+      CU_ASSERT_EQUAL (result.n, 1);
+      CU_ASSERT_EQUAL (result.error, ERROR_UNKNOWN_EFFECT);
       fake_kv_set_fault (t->kv, FAKE_KV_OK);
-      if (asked_first == 0)
+      if (resent_first == 0)
         fake_kv_release (t->kv);
       fake_timer_advance (t->timers, 10);
-      CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &verdict), ERROR_NONE);
+      CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &result), ERROR_NONE);
       fake_kv_release (t->kv);
       fake_timer_advance (t->timers, IN_FORCE_MS);
-      CU_ASSERT_EQUAL (verdict.revision, 1);
+      CU_ASSERT_EQUAL (result.revision, 1);
       CU_ASSERT_EQUAL (fake_kv_count (t->kv, "t/config/"), 1);
       CU_ASSERT_EQUAL (node_share (t->a), 1);
       talloc_free (t);
     }
 }
 
-/* A change is lost on its way; then another takes its number, so it can no longer come in. The
- * store goes down before it is written under the next number: now "not applied" is the truth. */
+/* A write is delayed, and another change takes its number, so that it can no longer take effect.
+ * The key-value service fails before the change is written under the next number: "not applied" is
+ * then the correct result. */
 static void
 test_lost_change_overtaken_by_another_is_not_applied (void)
 {
   struct Bench *t = bench_new ();
-  struct Verdict lost, other;
+  struct ApplyResult lost, other;
   struct ConfigChange asha = edit_of ("c1", "asha", share_1, UINT64_MAX);
   struct ConfigChange ivo = edit_of ("c2", "ivo", share_2, 0);
 
@@ -287,23 +289,23 @@
   talloc_free (t);
 }
 
-/* The store is down: an operator's change is refused at once and has no effect, then or later;
- * the instances go on with what they have. */
+/* While the key-value service is down, a change must be rejected at once and never take effect. The
+ * instances keep their current configuration. */
 static void
-test_change_is_refused_while_the_store_is_down (void)
+test_change_is_rejected_while_the_store_is_down (void)
 {
   static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_LIMIT, FAKE_KV_LOSE_REQUEST };
 
   for (size_t i = 0; i < 3; i++)
     {
       struct Bench *t = bench_new ();
-      struct Verdict verdict;
+      struct ApplyResult result;
       struct ConfigChange change = edit_of ("c1", "asha", share_1, 0);
 
-      node_apply_now (t->a, &change, &verdict);
+      node_apply_now (t->a, &change, &result);
       fake_kv_set_fault (t->kv, faults[i]);
       change = edit_of ("c2", "ivo", share_2, 1);
-      CU_ASSERT_EQUAL (node_apply_now (t->a, &change, &verdict), ERROR_PLATFORM_DOWN);
+      CU_ASSERT_EQUAL (node_apply_now (t->a, &change, &result), ERROR_PLATFORM_DOWN);
       fake_timer_advance (t->timers, OUTAGE_MS);
       CU_ASSERT_EQUAL (node_share (t->a), 1);
       fake_kv_set_fault (t->kv, FAKE_KV_OK);
@@ -314,14 +316,14 @@
     }
 }
 
-/* An instance is paused with an operator's edit half saved. Meanwhile others change the profile
- * twice. It wakes up: its write comes in, its watch tells of the past, and a peer that was paused
- * too sends it the old entries. The newer profile stays in force and the edit is a conflict. */
+/* An instance is paused while its write of an edit is in flight, and other changes to the profile
+ * are applied. Then its write arrives, its watch returns old events, and a peer sends an old entry.
+ * The newer profile must stay in force and the edit must fail as a conflict. */
 static void
 test_paused_instance_never_reverts (void)
 {
   struct Bench *t = bench_new ();
-  struct Verdict paused, other;
+  struct ApplyResult paused, other;
   struct ConfigChange change = edit_of ("c1", "asha", share_1, 0);
   struct ConfigChange old = edit_of ("c2", "asha", share_3_ageing, 1);
   uint8_t *entry = NULL;
@@ -352,7 +354,7 @@
 }
 
 static int32_t
-node_take_from (struct Node *to, const struct Node *from, uint64_t n)
+node_copy_entry (struct Node *to, const struct Node *from, uint64_t n)
 {
   size_t bytes = 0;
   uint8_t *entry = config_log_entry (from->log, to, n, &bytes);
@@ -363,7 +365,7 @@
 static void
 bench_apply_many (struct Bench *t, uint32_t n)
 {
-  struct Verdict verdict;
+  struct ApplyResult result;
   char id[16];
 
   for (uint32_t i = 0; i < n; i++)
@@ -372,16 +374,16 @@
 
       snprintf (id, sizeof id, "m%u", i);
       change = edit_of (id, "asha", i % 2 == 0 ? share_1 : share_2, UINT64_MAX);
-      node_apply (t->a, &change, &verdict);
+      node_apply (t->a, &change, &result);
       fake_timer_advance (t->timers, 5);
-      CU_ASSERT_EQUAL (verdict.error, ERROR_NONE);
+      CU_ASSERT_EQUAL (result.error, ERROR_NONE);
     }
 }
 
-/* An instance is replaced while the store is down. It has no disk; it takes the configuration from
- * a peer, in order, and a peer that is behind can not take it back. */
+/* An instance without a disk is replaced while the key-value service is down. It must get the
+ * configuration from a peer, in order, and a peer at a lower revision must not revert it. */
 static void
-test_restart_in_an_outage_takes_entries_from_a_peer (void)
+test_restart_in_an_outage_reads_entries_from_a_peer (void)
 {
   struct Bench *t = bench_new ();
   struct Node *fresh = NULL;
@@ -391,17 +393,17 @@
   bench_apply_many (t, 3);
   fake_kv_set_fault (t->kv, FAKE_KV_REFUSE);
   behind = node_new (t);
-  CU_ASSERT_EQUAL (node_take_from (behind, t->a, 1), ERROR_NONE);
+  CU_ASSERT_EQUAL (node_copy_entry (behind, t->a, 1), ERROR_NONE);
   fresh = node_new (t);
   fake_timer_advance (t->timers, POLL_MS);
-  CU_ASSERT_EQUAL (node_take_from (fresh, t->a, 2), ERROR_OUT_OF_ORDER);
+  CU_ASSERT_EQUAL (node_copy_entry (fresh, t->a, 2), ERROR_OUT_OF_ORDER);
   CU_ASSERT_EQUAL (config_log_take_entry (fresh->log, broken, sizeof broken), ERROR_INVALID);
   CU_ASSERT_EQUAL (config_log_revision (fresh->log), 0);
   for (uint64_t n = 1; n <= 3; n++)
-    CU_ASSERT_EQUAL (node_take_from (fresh, t->a, n), ERROR_NONE);
-  CU_ASSERT_EQUAL (node_take_from (fresh, t->a, 4), ERROR_NOT_FOUND);
+    CU_ASSERT_EQUAL (node_copy_entry (fresh, t->a, n), ERROR_NONE);
+  CU_ASSERT_EQUAL (node_copy_entry (fresh, t->a, 4), ERROR_NOT_FOUND);
   CU_ASSERT_EQUAL (fresh->revision, 3);
-  CU_ASSERT_EQUAL (node_take_from (fresh, behind, 1), ERROR_NONE);
+  CU_ASSERT_EQUAL (node_copy_entry (fresh, behind, 1), ERROR_NONE);
   CU_ASSERT_EQUAL (node_share (fresh), 1);
   CU_ASSERT_EQUAL (fresh->revision, 3);
   talloc_free (t);
@@ -416,15 +418,15 @@
   (*n)++;
 }
 
-/* After many changes a starting instance reads a checkpoint and what follows; in an outage a peer
- * gives it the whole where single entries are no longer kept. */
+/* After many changes a starting instance must read the checkpoint and the changes after it, and
+ * keep the whole history. During an outage it gets single entries from a peer. */
 static void
-test_checkpoint_stands_for_what_precedes_it (void)
+test_checkpoint_replaces_earlier_entries (void)
 {
   struct Bench *t = bench_new ();
   struct Node *fresh = NULL;
   struct Node *from_peer = NULL;
-  struct Verdict verdict;
+  struct ApplyResult result;
   struct ConfigChange again = edit_of ("m7", "asha", share_2, UINT64_MAX);
   size_t n = 0;
 
@@ -436,21 +438,21 @@
   CU_ASSERT_EQUAL (node_share (fresh), 2);
   config_log_each (fresh->log, count_change, &n);
   CU_ASSERT_EQUAL (n, 300);
-  CU_ASSERT_EQUAL (node_apply_now (fresh, &again, &verdict), ERROR_NONE);
-  CU_ASSERT_EQUAL (verdict.revision, 8);
+  CU_ASSERT_EQUAL (node_apply_now (fresh, &again, &result), ERROR_NONE);
+  CU_ASSERT_EQUAL (result.revision, 8);
   fake_kv_set_fault (t->kv, FAKE_KV_REFUSE);
   from_peer = node_new (t);
-  CU_ASSERT_EQUAL (node_take_from (from_peer, t->a, 1), ERROR_NONE);
+  CU_ASSERT_EQUAL (node_copy_entry (from_peer, t->a, 1), ERROR_NONE);
   CU_ASSERT_EQUAL (config_log_revision (from_peer->log), 1);
   talloc_free (t);
 }
 
 static void
-test_old_entries_are_given_as_a_checkpoint (void)
+test_old_entries_are_sent_as_a_checkpoint (void)
 {
   struct Bench *t = bench_new ();
   struct Node *fresh = NULL;
-  struct Verdict verdict;
+  struct ApplyResult result;
   struct ConfigChange last = edit_of ("last", "asha", share_1, UINT64_MAX);
   uint8_t *old = NULL;
   size_t bytes = 0;
@@ -462,11 +464,11 @@
   old = config_log_entry (t->a->log, t, 1, &bytes);
   fake_kv_set_fault (t->kv, FAKE_KV_REFUSE);
   fresh = node_new (t);
-  CU_ASSERT_EQUAL (node_take_from (fresh, t->a, 1), ERROR_NONE);
+  CU_ASSERT_EQUAL (node_copy_entry (fresh, t->a, 1), ERROR_NONE);
   CU_ASSERT_EQUAL (config_log_revision (fresh->log), 1030);
   CU_ASSERT_EQUAL (node_share (fresh), 2);
   fake_kv_set_fault (t->kv, FAKE_KV_OK);
-  CU_ASSERT_EQUAL (node_apply_now (t->b, &last, &verdict), ERROR_NONE);
+  CU_ASSERT_EQUAL (node_apply_now (t->b, &last, &result), ERROR_NONE);
   fake_timer_advance (t->timers, IN_FORCE_MS);
   CU_ASSERT_EQUAL (config_log_take_entry (fresh->log, old, bytes), ERROR_NONE);
   CU_ASSERT_EQUAL (config_log_revision (fresh->log), 1031);
@@ -474,16 +476,16 @@
   talloc_free (t);
 }
 
-/* A port whose watches die without a sign: each one is answered empty when its time is over. */
-struct DeafPort
+/* A port whose watches fail silently: each one returns no events when its wait time is over. */
+struct SilentWatchPort
 {
   struct KvPort port;
   struct KvPort *inner;
   struct TimerService *timers;
-  bool refuses; /* or is answered with an error at once */
+  bool rejects; /* watches fail with an error at once instead */
 };
 
-struct DeafWatch
+struct SilentWatch
 {
   KvDone done;
   void *data;
@@ -491,53 +493,53 @@
 };
 
 static void
-deaf_watch_end (void *data)
+silent_watch_end (void *data)
 {
-  struct DeafWatch *watch = data;
+  struct SilentWatch *watch = data;
   struct KvResult result = { .error = watch->error };
 
   watch->done (watch->data, &result);
 }
 
 static int32_t
-deaf_submit (struct KvPort *port, const struct KvRequest *request, KvDone done, void *data)
+silent_watch_submit (struct KvPort *port, const struct KvRequest *request, KvDone done, void *data)
 {
-  struct DeafPort *deaf = (struct DeafPort *)port;
-  struct DeafWatch *watch = NULL;
+  struct SilentWatchPort *silent = (struct SilentWatchPort *)port;
+  struct SilentWatch *watch = NULL;
 
   if (request->op != KV_OP_WATCH)
-    return kv_submit (deaf->inner, request, done, data);
-  watch = talloc_zero (deaf, struct DeafWatch);
+    return kv_submit (silent->inner, request, done, data);
+  watch = talloc_zero (silent, struct SilentWatch);
   watch->done = done;
   watch->data = data;
-  watch->error = deaf->refuses ? ERROR_UNREACHABLE : ERROR_NONE;
-  timer_subscribe (watch, deaf->timers, deaf->refuses ? 1 : request->watch.wait_ms, 0,
-                   deaf_watch_end, watch);
+  watch->error = silent->rejects ? ERROR_UNREACHABLE : ERROR_NONE;
+  timer_subscribe (watch, silent->timers, silent->rejects ? 1 : request->watch.wait_ms, 0,
+                   silent_watch_end, watch);
   return ERROR_NONE;
 }
 
-/* An accepted profile change is in force at all instances but one: there the watch is refused, or
- * its connection has died and it looks like a quiet one. Polls find the change in time. */
+/* On one instance the watch is rejected, or its connection is broken, which looks like a watch
+ * without events. Polling must still find a change within the time limit. */
 static void
 test_change_is_found_without_a_watch (void)
 {
-  for (int32_t refuses = 0; refuses < 2; refuses++)
+  for (int32_t rejects = 0; rejects < 2; rejects++)
     {
       struct Bench *t = bench_new ();
-      struct DeafPort *deaf = talloc_zero (t, struct DeafPort);
-      struct Verdict verdict;
+      struct SilentWatchPort *silent = talloc_zero (t, struct SilentWatchPort);
+      struct ApplyResult result;
       struct ConfigChange change = edit_of ("c1", "asha", share_1, 0);
       struct Node *node = NULL;
 
-      deaf->port.submit = deaf_submit;
-      deaf->inner = t->a->port;
-      deaf->timers = t->timers;
-      deaf->refuses = refuses == 1;
-      node = node_new_on (t, &deaf->port);
+      silent->port.submit = silent_watch_submit;
+      silent->inner = t->a->port;
+      silent->timers = t->timers;
+      silent->rejects = rejects == 1;
+      node = node_new_on (t, &silent->port);
       fake_timer_advance (t->timers, 100);
-      CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &verdict), ERROR_NONE);
+      CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &result), ERROR_NONE);
       CU_ASSERT_EQUAL (node_share (node), 0);
-      fake_timer_advance (t->timers, refuses == 1 ? 2 * POLL_MS : IN_FORCE_MS);
+      fake_timer_advance (t->timers, rejects == 1 ? 2 * POLL_MS : IN_FORCE_MS);
       CU_ASSERT_EQUAL (node_share (node), 1);
       talloc_free (t);
     }
@@ -545,18 +547,19 @@
 
 const char test_suite_name[] = "config_log";
 const struct TestCase test_cases[] = {
-  { "changes are in force everywhere", test_changes_are_in_force_everywhere },
-  { "loser of a race is told what differs", test_loser_of_a_race_is_told_what_differs },
-  { "lost answer is settled by change id", test_lost_answer_is_settled_by_change_id },
-  { "late change is unknown until settled", test_late_change_is_unknown_until_settled },
+  { "changes are in force on every instance", test_changes_are_in_force_on_every_instance },
+  { "conflict names the differing keys", test_conflict_names_the_differing_keys },
+  { "lost response is resolved by change id", test_lost_response_is_resolved_by_change_id },
+  { "late change has unknown effect until resolved",
+    test_late_change_has_unknown_effect_until_resolved },
   { "lost change overtaken by another is not applied",
     test_lost_change_overtaken_by_another_is_not_applied },
-  { "change is refused while the store is down", test_change_is_refused_while_the_store_is_down },
+  { "change is rejected while the store is down", test_change_is_rejected_while_the_store_is_down },
   { "paused instance never reverts", test_paused_instance_never_reverts },
-  { "restart in an outage takes entries from a peer",
-    test_restart_in_an_outage_takes_entries_from_a_peer },
-  { "checkpoint stands for what precedes it", test_checkpoint_stands_for_what_precedes_it },
-  { "old entries are given as a checkpoint", test_old_entries_are_given_as_a_checkpoint },
+  { "restart in an outage reads entries from a peer",
+    test_restart_in_an_outage_reads_entries_from_a_peer },
+  { "checkpoint replaces earlier entries", test_checkpoint_replaces_earlier_entries },
+  { "old entries are sent as a checkpoint", test_old_entries_are_sent_as_a_checkpoint },
   { "change is found without a watch", test_change_is_found_without_a_watch },
   { NULL, NULL },
 };
