--- a/core/config_fault.c
+++ b/core/config_fault.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  FAULTS_MAX = 1000 /* a profile of line feeds sent to an instance must not fill its memory */
+  FAULTS_MAX = 1000 /* a profile of many malformed lines must not exhaust the instance's memory */
 };
 
 void
--- a/core/config_key.c
+++ b/core/config_key.c
@@ -11,7 +11,7 @@
   MS_PER_SECOND = 1000
 };
 
-/* A value on its way from the text into its field. */
+/* The text of a value, with its key and line. */
 struct ConfigValue
 {
   struct ConfigReader *reader;
@@ -27,22 +27,22 @@
                                                                const char *format,
                                                                ...)
 {
-  char where[sizeof ((struct ConfigFault *)NULL)->key];
+  char key_path[sizeof ((struct ConfigFault *)NULL)->key];
   char message[FAULT_MESSAGE_BYTES];
   va_list args;
 
   va_start (args, format);
   vsnprintf (message, sizeof message, format, args);
   va_end (args);
-  snprintf (where, sizeof where, "[%.40s]%s%s", reader->section_name, key[0] != '\0' ? " " : "",
-            key);
-  config_faults_add (reader->faults, reader->file, line, where, remedy, "%s", message);
+  snprintf (key_path, sizeof key_path, "[%.40s]%s%s", reader->section_name,
+            key[0] != '\0' ? " " : "", key);
+  config_faults_add (reader->faults, reader->file, line, key_path, remedy, "%s", message);
 }
 
 static void
-add_value_fault (const struct ConfigValue *value, const char *remedy, const char *what)
+add_value_fault (const struct ConfigValue *value, const char *remedy, const char *message)
 {
-  add_fault (value->reader, value->line, value->key->name, remedy, "'%s' %s", value->text, what);
+  add_fault (value->reader, value->line, value->key->name, remedy, "'%s' %s", value->text, message);
 }
 
 static void
@@ -73,7 +73,7 @@
 }
 
 static void
-check_range (const struct ConfigValue *value, uint64_t number, uint64_t factor)
+store_in_range (const struct ConfigValue *value, uint64_t number, uint64_t factor)
 {
   const struct ConfigKey *key = value->key;
   char min[UNITS_TEXT_BYTES];
@@ -87,12 +87,12 @@
     }
   units_render (key->unit, key->min * factor, min);
   units_render (key->unit, key->max * factor, max);
-  snprintf (remedy, sizeof remedy, "give a value from %s to %s", min, max);
+  snprintf (remedy, sizeof remedy, "use a value from %s to %s", min, max);
   add_value_fault (value, remedy, "is out of range");
 }
 
 static void
-take_number (const struct ConfigValue *value, uint64_t factor)
+read_number (const struct ConfigValue *value, uint64_t factor)
 {
   char remedy[FAULT_REMEDY_BYTES];
   uint64_t number;
@@ -100,19 +100,19 @@
   if (units_parse (value->key->unit, value->text, &number) != ERROR_NONE)
     {
       snprintf (remedy, sizeof remedy, "write %s", units_describe (value->key->unit));
-      add_value_fault (value, remedy, "has a wrong unit or is no number");
+      add_value_fault (value, remedy, "is not a number or has an invalid unit");
       return;
     }
   if (number % factor != 0)
     {
-      add_value_fault (value, "write whole seconds", "is no whole number of seconds");
+      add_value_fault (value, "write whole seconds", "is not a whole number of seconds");
       return;
     }
-  check_range (value, number / factor, factor);
+  store_in_range (value, number / factor, factor);
 }
 
 static void
-take_choice (const struct ConfigValue *value)
+read_choice (const struct ConfigValue *value)
 {
   char remedy[FAULT_REMEDY_BYTES] = "write one of:";
   size_t n = strlen (remedy);
@@ -127,7 +127,7 @@
       if (n < sizeof remedy)
         n += (size_t)snprintf (remedy + n, sizeof remedy - n, " %s", c->word);
     }
-  add_value_fault (value, remedy, "is no known choice");
+  add_value_fault (value, remedy, "is not a valid choice");
 }
 
 static bool
@@ -137,17 +137,17 @@
 }
 
 static void
-take_address (const struct ConfigValue *value)
+read_address (const struct ConfigValue *value)
 {
   char ip[46];
   uint16_t port;
 
   if (address_parse (value->text, ip, &port) != ERROR_NONE)
-    add_value_fault (value, "write IP:port, such as 10.1.0.7:8700; names are not looked up",
-                     "is no IP number with a port");
+    add_value_fault (value, "write IP:port, such as 10.1.0.7:8700; host names are not resolved",
+                     "is not an IP address with a port");
   else if (is_wildcard (ip))
-    add_value_fault (value, "write the one IP number at which others reach it",
-                     "is an address to which nobody can connect");
+    add_value_fault (value, "write the IP address that other processes connect to",
+                     "is a wildcard address");
   else
     store_text (value);
 }
@@ -166,41 +166,42 @@
 }
 
 static void
-take_value (const struct ConfigValue *value)
+read_value (const struct ConfigValue *value)
 {
   if (value->text[0] == '\0' && value->key->fallback != NULL && value->key->fallback[0] == '\0')
     return;
   switch (value->key->kind)
     {
     case CONFIG_VALUE_NUMBER:
-      take_number (value, 1);
+      read_number (value, 1);
       break;
     case CONFIG_VALUE_SECONDS:
-      take_number (value, MS_PER_SECOND);
+      read_number (value, MS_PER_SECOND);
       break;
     case CONFIG_VALUE_CHOICE:
-      take_choice (value);
+      read_choice (value);
       break;
     case CONFIG_VALUE_NAME:
       if (config_name_is_valid (value->text))
         store_text (value);
       else
-        add_value_fault (value, "use 1 to 64 letters, digits, '-', '_' and '.'", "is no name");
+        add_value_fault (value, "use 1 to 64 letters, digits, '-', '_' and '.'",
+                         "is not a valid name");
       break;
     case CONFIG_VALUE_TEXT:
       if (value->text[0] == '\0')
-        add_value_fault (value, "give a value, or leave the key out", "is empty");
+        add_value_fault (value, "set a value or remove the key", "is empty");
       else
         store_text (value);
       break;
     case CONFIG_VALUE_ADDRESS:
-      take_address (value);
+      read_address (value);
       break;
     case CONFIG_VALUE_URL:
       if (is_url (value->text))
         store_text (value);
       else
-        add_value_fault (value, "write it as http://IP:port", "is no URL");
+        add_value_fault (value, "write it as http://IP:port", "is not a URL");
       break;
     }
 }
@@ -212,7 +213,7 @@
 }
 
 static void
-take_fallbacks (struct ConfigReader *reader)
+set_defaults (struct ConfigReader *reader)
 {
   for (size_t i = 0; i < reader->section->n_keys; i++)
     {
@@ -220,11 +221,11 @@
       struct ConfigValue value = { reader, key, key->fallback, 0 };
 
       if (key->fallback != NULL)
-        take_value (&value);
+        read_value (&value);
     }
 }
 
-/* Reports the keys that the section which is open now lacks. */
+/* Adds a fault for each required key that the current section lacks. */
 static void
 check_missing (struct ConfigReader *reader)
 {
@@ -236,8 +237,8 @@
                  "the key is missing");
 }
 
-/* A section that may stand many times is complete when the next one starts; the others, of which
- * a second (faulty) one may bring the missing keys, at the end of the text. */
+/* A named section is complete when the next section starts. The others are checked at the end of
+ * the text, since a duplicate of the section may contain the missing keys. */
 static void
 close_section (struct ConfigReader *reader)
 {
@@ -277,7 +278,7 @@
 }
 
 static void
-enter_section (struct ConfigReader *reader, const char *text)
+set_section_name (struct ConfigReader *reader, const char *text)
 {
   snprintf (reader->section_name, sizeof reader->section_name, "%.*s",
             (int)sizeof reader->section_name - 1, text);
@@ -290,7 +291,7 @@
   size_t i;
 
   close_section (reader);
-  enter_section (reader, text);
+  set_section_name (reader, text);
   reader->target = NULL;
   reader->section = find_section (reader, text, &name);
   if (reader->section == NULL)
@@ -301,8 +302,8 @@
   i = (size_t)(reader->section - reader->sections);
   if (reader->section_lines[i] != 0 && !reader->section->named)
     {
-      add_fault (reader, line, "", "keep one of them", "the section stands on line %u already",
-                 reader->section_lines[i]);
+      add_fault (reader, line, "", "keep only one of them",
+                 "the section already appears on line %u", reader->section_lines[i]);
       reader->target = reader->open (reader->data, reader, reader->section, name, line);
       return;
     }
@@ -310,11 +311,11 @@
   reader->section_lines[i] = line;
   reader->target = reader->open (reader->data, reader, reader->section, name, line);
   if (reader->target != NULL)
-    take_fallbacks (reader);
+    set_defaults (reader);
 }
 
-/* At the end of the text: sections that are absent take their fallbacks, and each must have what
- * it needs. */
+/* Called at the end of the text: sets the defaults of an absent section and checks that no required
+ * key is missing. */
 static void
 finish_section (struct ConfigReader *reader, const struct ConfigSection *section)
 {
@@ -322,12 +323,12 @@
 
   if (section->named)
     return;
-  enter_section (reader, section->name);
+  set_section_name (reader, section->name);
   reader->section = section;
   if (absent)
     reader->target = reader->open (reader->data, reader, section, "", 0);
   if (absent && reader->target != NULL)
-    take_fallbacks (reader);
+    set_defaults (reader);
   check_missing (reader);
 }
 
@@ -343,7 +344,7 @@
 }
 
 static void
-take_key (struct ConfigReader *reader, const struct IniLine *line)
+read_key (struct ConfigReader *reader, const struct IniLine *line)
 {
   const struct ConfigSection *s = reader->section;
 
@@ -354,10 +355,10 @@
       if (strcmp (s->keys[i].name, line->key) != 0)
         continue;
       if (*key_line (reader, i) != 0)
-        add_fault (reader, line->line, line->key, "keep one of them",
-                   "the key stands on line %u already", *key_line (reader, i));
+        add_fault (reader, line->line, line->key, "keep only one of them",
+                   "the key is already set on line %u", *key_line (reader, i));
       else
-        take_value (&value);
+        read_value (&value);
       *key_line (reader, i) = line->line;
       return;
     }
@@ -365,7 +366,7 @@
 }
 
 static void
-take_line (void *data, const struct IniLine *line)
+on_line (void *data, const struct IniLine *line)
 {
   struct ConfigReader *reader = data;
 
@@ -373,15 +374,15 @@
     open_section (reader, line->section, line->line);
   else if (line->section[0] == '\0')
     config_faults_add (reader->faults, reader->file, line->line, line->key,
-                       "put it below its [section]", "the key stands before any section");
+                       "move it below its [section]", "the key is outside any section");
   else if (reader->section != NULL && reader->target != NULL)
-    take_key (reader, line);
+    read_key (reader, line);
 }
 
 void
 config_read (struct ConfigReader *reader, const char *text)
 {
-  ini_text_each (reader->file, text, take_line, reader, reader->faults);
+  ini_text_each (reader->file, text, on_line, reader, reader->faults);
   close_section (reader);
   for (size_t i = 0; i < reader->n_sections; i++)
     finish_section (reader, &reader->sections[i]);
--- a/core/ini_text.c
+++ b/core/ini_text.c
@@ -5,18 +5,18 @@
 #include <stdio.h>
 #include <string.h>
 
-static const char utf8_mark[] = "\xEF\xBB\xBF";
+static const char utf8_bom[] = "\xEF\xBB\xBF";
 
 struct IniReader
 {
   const char *file;
-  const char *next; /* text not read yet */
+  const char *next; /* unread text */
   IniLineFn fn;
   void *data;
   struct ConfigFaults *faults;
   uint32_t line;
-  bool unanswered; /* the line was given to inih as "key = value", which has not answered yet */
-  bool lost;       /* the last section's name was unreadable, so nobody knows whose its keys are */
+  bool key_pending;     /* the line was passed to inih, which has not called on_key for it yet */
+  bool section_unknown; /* the last section's name was malformed; its keys are skipped */
   char section[INI_SECTION_MAX_BYTES + 1];
 };
 
@@ -26,15 +26,15 @@
   config_faults_add (reader->faults, reader->file, reader->line, "", remedy, "%s", message);
 }
 
-/* inih skips what it cannot read and names only the first such line: when the next line is asked
- * for and the handler has not seen this one, this one was skipped. */
+/* inih skips lines that it cannot parse and reports only the first of them. A line was skipped if
+ * inih reads the next one before it has called the handler for it. */
 static void
-check_answered (struct IniReader *reader)
+check_key_pending (struct IniReader *reader)
 {
-  if (reader->unanswered)
+  if (reader->key_pending)
     add_fault (reader, "write [section], key = value, or start a comment with ; or #",
-               "the line is neither a section, a key with its value, nor a comment");
-  reader->unanswered = false;
+               "the line is not a section, a key with a value or a comment");
+  reader->key_pending = false;
 }
 
 static void
@@ -49,9 +49,9 @@
     (*n)--;
 }
 
-/* The next line, trimmed; false at the end. */
+/* Returns the next line, trimmed; false at the end of the text. */
 static bool
-take_line (struct IniReader *reader, const char **start, size_t *n)
+next_line (struct IniReader *reader, const char **start, size_t *n)
 {
   if (*reader->next == '\0')
     return false;
@@ -61,10 +61,10 @@
   if (*reader->next == '\n')
     reader->next++;
   reader->line++;
-  if (reader->line == 1 && strncmp (*start, utf8_mark, strlen (utf8_mark)) == 0)
+  if (reader->line == 1 && strncmp (*start, utf8_bom, strlen (utf8_bom)) == 0)
     {
-      *start += strlen (utf8_mark);
-      *n -= strlen (utf8_mark);
+      *start += strlen (utf8_bom);
+      *n -= strlen (utf8_bom);
     }
   trim (start, n);
   return true;
@@ -93,24 +93,24 @@
   const char *name = start + 1;
   size_t name_bytes = 0;
 
-  reader->lost = !is_section_line (start, n, &name_bytes);
-  if (reader->lost)
+  reader->section_unknown = !is_section_line (start, n, &name_bytes);
+  if (reader->section_unknown)
     {
-      add_fault (reader, "write [section] alone on its line", "the section's name has no end");
+      add_fault (reader, "write [section] alone on its line", "the section name is not terminated");
       return;
     }
   trim (&name, &name_bytes);
   if (name_bytes > INI_SECTION_MAX_BYTES)
     {
-      add_fault (reader, "shorten it", "the section's name is too long");
+      add_fault (reader, "shorten it", "the section name is too long");
       name_bytes = INI_SECTION_MAX_BYTES;
     }
   snprintf (reader->section, sizeof reader->section, "%.*s", (int)name_bytes, name);
   reader->fn (reader->data, &line);
 }
 
-/* ini_reader: gives inih each line trimmed (an indented line would count as a continuation of the
- * one before) and blank where it is dealt with here. */
+/* An ini_reader. Passes each line to inih trimmed, since inih would read an indented line as a
+ * continuation of the previous one. A line that is handled here is passed as a blank one. */
 static char *
 read_line (char *out, int size, void *data)
 {
@@ -118,8 +118,8 @@
   const char *start;
   size_t n;
 
-  check_answered (reader);
-  if (size < 2 || !take_line (reader, &start, &n))
+  check_key_pending (reader);
+  if (size < 2 || !next_line (reader, &start, &n))
     return NULL;
   out[0] = '\n';
   out[1] = '\0';
@@ -132,14 +132,14 @@
   else
     {
       snprintf (out, (size_t)size, "%.*s\n", (int)n, start);
-      reader->unanswered = true;
+      reader->key_pending = true;
     }
   return out;
 }
 
-/* ini_handler. inih's own section is cut at 49 bytes, so it is not used. */
+/* An ini_handler. inih truncates section names to 49 bytes, so its section is not used. */
 static int
-take_key (void *data, const char *section, const char *name, const char *value)
+on_key (void *data, const char *section, const char *name, const char *value)
 {
   struct IniReader *reader = data;
   struct IniLine line = { reader->line, reader->section, name, value };
@@ -147,8 +147,8 @@
   (void)section;
   if (value == NULL || *name == '\0')
     return 1;
-  reader->unanswered = false;
-  if (!reader->lost)
+  reader->key_pending = false;
+  if (!reader->section_unknown)
     reader->fn (reader->data, &line);
   return 1;
 }
@@ -165,6 +165,6 @@
     .faults = faults,
   };
 
-  ini_parse_stream (read_line, &reader, take_key, &reader);
+  ini_parse_stream (read_line, &reader, on_key, &reader);
   return reader.line;
 }
--- a/core/profile.c
+++ b/core/profile.c
@@ -61,7 +61,7 @@
   return data;
 }
 
-/* A call's reservation comes out of the program's budget, so no call at all would fit. */
+/* A call reserves tokens from the program's budget, so a larger reservation would never fit. */
 static void
 check_reservation (struct ConfigReader *reader, const struct Profile *profile)
 {
@@ -70,7 +70,7 @@
   config_faults_add (reader->faults, reader->file,
                      config_reader_line (reader, "profile", "reserve_max"), "[profile] reserve_max",
                      "lower it, or raise program_budget",
-                     "one call may reserve more than the whole program's budget");
+                     "one call may reserve more than the program's budget");
 }
 
 int32_t
--- a/core/settings.c
+++ b/core/settings.c
@@ -17,12 +17,12 @@
   MIB = 1024 * KIB
 };
 
-/* What the table fills: the settings and what must still be read or compared. */
+/* Settings being read, with values that are only needed to complete and check them. */
 struct SettingsDraft
 {
   struct Settings *settings;
   char token_file[256];
-  uint32_t *backend_lines; /* one a backend */
+  uint32_t *backend_lines; /* line of each backend's section */
 };
 
 #define TEXT(name, kind, field, fallback)                                                          \
@@ -154,7 +154,7 @@
 }
 
 static bool
-is_known_backend (const struct Settings *settings, const char *name, size_t *index)
+has_backend (const struct Settings *settings, const char *name, size_t *index)
 {
   for (*index = 0; *index < settings->n_backends; (*index)++)
     if (strcmp (settings->backends[*index].name, name) == 0)
@@ -162,7 +162,7 @@
   return false;
 }
 
-/* The structure that the keys of [backend NAME] fill; NULL when there is none to fill. */
+/* Returns the structure for the keys of [backend NAME]; NULL if there are too many. */
 static struct BackendSetting *
 add_backend (struct SettingsDraft *draft,
              struct ConfigReader *reader,
@@ -171,21 +171,21 @@
 {
   struct Settings *settings = draft->settings;
   struct BackendSetting *backend;
-  size_t twin;
+  size_t duplicate;
 
   if (!config_name_is_valid (name))
     config_faults_add (reader->faults, reader->file, line, "[backend]",
                        "write [backend NAME], of 1 to 64 letters, digits, '-', '_' and '.'",
-                       "'%s' is no name", name);
-  else if (is_known_backend (settings, name, &twin))
-    config_faults_add (reader->faults, reader->file, line, "[backend]",
-                       "give each backend server a name of its own",
-                       "the name '%s' stands on line %u already", name, draft->backend_lines[twin]);
+                       "'%s' is not a valid name", name);
+  else if (has_backend (settings, name, &duplicate))
+    config_faults_add (
+        reader->faults, reader->file, line, "[backend]", "give each backend server a unique name",
+        "the name '%s' is already used on line %u", name, draft->backend_lines[duplicate]);
   if (settings->n_backends == SETTINGS_BACKENDS_MAX)
     {
       config_faults_add (reader->faults, reader->file, line, "[backend]",
-                         "list the others in the platform", "more than %d backend servers",
-                         SETTINGS_BACKENDS_MAX);
+                         "list the others in the platform's server list",
+                         "more than %d backend servers", SETTINGS_BACKENDS_MAX);
       return NULL;
     }
   backend = &settings->backends[settings->n_backends];
@@ -211,7 +211,7 @@
   return draft->settings;
 }
 
-/* Two listeners on one address: the second one's bind would fail only when the process starts. */
+/* Adds a fault for a second listener on the same address, whose bind would fail at start. */
 static void
 check_listener (struct ConfigReader *reader, const char *const listens[], size_t i)
 {
@@ -224,7 +224,7 @@
       snprintf (key, sizeof key, "[listen] %s", listen_keys[i].name);
       config_faults_add (reader->faults, reader->file,
                          config_reader_line (reader, "listen", listen_keys[i].name), key,
-                         "give each listener a port of its own", "%s is the address of '%s', too",
+                         "give each listener its own port", "%s is also the address of '%s'",
                          listens[i], listen_keys[j].name);
       return;
     }
@@ -247,7 +247,8 @@
     return;
   config_faults_add (reader->faults, reader->file,
                      config_reader_line (reader, "homes", "group_size"), "[homes] group_size",
-                     "lower it, or raise partitions", "a group is larger than all partitions");
+                     "lower it, or raise partitions",
+                     "the group size exceeds the number of partitions");
 }
 
 static void
@@ -259,7 +260,7 @@
     return;
   config_faults_add (reader->faults, reader->file,
                      config_reader_line (reader, "platform", "prefix"), "[platform] prefix",
-                     "write it as buckthornhead/", "'%s' does not end in '/', or starts with it",
+                     "write it as buckthornhead/", "'%s' does not end with '/', or starts with it",
                      settings->prefix);
 }
 
@@ -290,8 +291,8 @@
 
   if (stream == NULL)
     {
-      add_token_fault (reader, "write the token there, readable by this user", "'%s': %s", file,
-                       strerror (errno));
+      add_token_fault (reader, "write the token to this file and let this user read it", "'%s': %s",
+                       file, strerror (errno));
       return;
     }
   n = fread (token, 1, sizeof token - 1, stream);
@@ -299,7 +300,7 @@
   token[n] = '\0';
   token[strcspn (token, "\r\n")] = '\0';
   if (token[0] == '\0')
-    add_token_fault (reader, "write the token on its first line", "'%s' holds no token", file);
+    add_token_fault (reader, "write the token on its first line", "'%s' contains no token", file);
   else if (strlen (token) >= sizeof settings->operator_token)
     add_token_fault (reader, "use a token of at most 127 bytes", "the token in '%s' is too long",
                      file);
@@ -327,8 +328,8 @@
   text[n] = '\0';
   if (ferror (stream) || !feof (stream) || strlen (text) != n)
     {
-      config_faults_add (faults, file, 1, "", "give an INI file of at most 1 MB",
-                         "the file is no text, too large, or can not be read");
+      config_faults_add (faults, file, 1, "", "use an INI file of at most 1 MB",
+                         "the file is not text, is too large or can not be read");
       TALLOC_FREE (text);
     }
 out:
--- a/core/units.c
+++ b/core/units.c
@@ -19,24 +19,24 @@
   SUFFIXES_MAX = 5
 };
 
-/* Largest first; ends with a NULL suffix. */
-struct UnitWords
+/* Suffixes are ordered from the largest; a NULL suffix ends the list. */
+struct UnitFormat
 {
   const char *description;
   struct UnitSuffix suffixes[SUFFIXES_MAX];
 };
 
-static const struct UnitWords words[] = {
+static const struct UnitFormat unit_formats[] = {
   [UNIT_NONE] = { "a whole number without a unit", { { "", 1 } } },
-  [UNIT_TIME] = { "a whole number with its unit ms, s, m or h",
+  [UNIT_TIME] = { "a whole number with a unit ms, s, m or h",
                   { { "h", 3600000 }, { "m", 60000 }, { "s", 1000 }, { "ms", 1 } } },
-  [UNIT_BYTES] = { "a whole number of bytes, or one with K or M",
+  [UNIT_BYTES] = { "a whole number of bytes, with or without a suffix K or M",
                    { { "M", 1048576 }, { "K", 1024 }, { "", 1 } } },
-  [UNIT_TOKENS] = { "a whole number of tokens, or one with K or M",
+  [UNIT_TOKENS] = { "a whole number of tokens, with or without a suffix K or M",
                     { { "M", 1000000 }, { "K", 1000 }, { "", 1 } } },
 };
 
-/* Digits at the start of text; returns what follows them, NULL without digits or on overflow. */
+/* Parses leading digits. Returns the text after them, or NULL without digits or on overflow. */
 static const char *
 parse_digits (const char *text, uint64_t *value)
 {
@@ -58,7 +58,7 @@
 
   if (suffix == NULL)
     return ERROR_INVALID;
-  for (const struct UnitSuffix *s = words[unit].suffixes; s->suffix != NULL; s++)
+  for (const struct UnitSuffix *s = unit_formats[unit].suffixes; s->suffix != NULL; s++)
     {
       if (strcmp (s->suffix, suffix) != 0)
         continue;
@@ -70,7 +70,7 @@
 void
 units_render (enum Unit unit, uint64_t value, char out[UNITS_TEXT_BYTES])
 {
-  const struct UnitSuffix *s = words[unit].suffixes;
+  const struct UnitSuffix *s = unit_formats[unit].suffixes;
 
   while (s->factor > 1 && (value % s->factor != 0 || value == 0))
     s++;
@@ -80,5 +80,5 @@
 const char *
 units_describe (enum Unit unit)
 {
-  return words[unit].description;
+  return unit_formats[unit].description;
 }
--- a/include/buckthornhead/ini_text.h
+++ b/include/buckthornhead/ini_text.h
@@ -1,8 +1,8 @@
-/* INI text, line by line, with the line numbers and the whole of section names.
+/* Reads INI text line by line, with line numbers and complete section names.
  *
- * inih parses; what it would report as the first bad line only, or cut silently (long lines, long
- * section names, indented lines taken as continuations), is found here, so that one run shows
- * every fault. */
+ * inih does the parsing. It reports only the first bad line, silently truncates long lines and long
+ * section names, and reads an indented line as a continuation. These cases are handled here, so
+ * that one run reports every fault. */
 #pragma once
 
 #include <buckthornhead/profile.h>
@@ -13,19 +13,19 @@
   INI_SECTION_MAX_BYTES = 96
 };
 
-/* One line that means something. Valid during the callback only. */
+/* A section or key line. Valid only during the callback. */
 struct IniLine
 {
   uint32_t line;
   const char *section; /* "" before the first section */
-  const char *key;     /* NULL: the section starts here */
+  const char *key;     /* NULL: the line starts the section */
   const char *value;
 };
 
 typedef void (*IniLineFn) (void *data, const struct IniLine *line);
 
-/* Calls fn for each section start and each key in order; adds a fault for each other line that is
- * neither blank nor a comment. Returns the number of lines. */
+/* Calls fn for each section start and each key, in order. Adds a fault for each malformed line.
+ * Returns the number of lines. */
 uint32_t
 ini_text_each (
     const char *file, const char *text, IniLineFn fn, void *data, struct ConfigFaults *faults);
--- a/include/buckthornhead/profile.h
+++ b/include/buckthornhead/profile.h
@@ -1,6 +1,6 @@
-/* Profiles and the operators' configuration: named profiles, and which service runs under which.
+/* Scheduling profiles: parsing and validation of their INI text, and faults in files.
  *
- * Pure: text in, checked structures out. Where changes are kept is config_log.h. */
+ * Does no I/O. config_log.h stores the profiles and assigns them to services. */
 #pragma once
 
 #include <buckthornhead/error.h>
@@ -8,19 +8,19 @@
 
 #include <talloc.h>
 
-/* One profile, as checked from its INI text. */
+/* A validated profile. */
 struct Profile
 {
   char name[NAME_MAX_BYTES + 1];
   struct PolicyWeights weights;
-  uint64_t program_budget_tokens; /* a program's budget when its caller names none, and its cap */
-  uint32_t turn_limit;            /* most turns of a program: stops endless loops */
-  uint32_t program_deadline_s;    /* 0: none */
+  uint64_t program_budget_tokens; /* default and upper limit of a program's budget */
+  uint32_t turn_limit;            /* maximum turns per program, against endless loops */
+  uint32_t program_deadline_s;    /* 0: no deadline */
   uint32_t call_timeout_ms;
-  uint32_t reserve_tokens_max; /* most that one call may reserve */
+  uint32_t reserve_tokens_max; /* maximum per call */
 };
 
-/* One fault in a file. */
+/* A fault in a file. */
 struct ConfigFault
 {
   char file[128];
@@ -36,8 +36,8 @@
   size_t n_items;
 };
 
-/* Checks text as a profile; all faults in one run, by line. ERROR_INVALID when there is any, and
- * *profile is then not to be used. faults is a talloc object (zeroed), or NULL. */
+/* Parses and validates a profile. Adds every fault in text, sorted by line. Returns ERROR_INVALID
+ * if there is any; *profile is then invalid. faults is a zeroed talloc object or NULL. */
 int32_t
 profile_parse (const char *file,
                const char *text,
@@ -53,10 +53,10 @@
                    const char *format,
                    ...) __attribute__ ((format (printf, 6, 7)));
 
-/* By line; faults of one line keep their order. */
+/* Sorts by line; faults of one line keep their order. */
 void
 config_faults_sort (struct ConfigFaults *faults);
 
-/* One line a fault, "FILE:LINE: KEY: MESSAGE; REMEDY"; belongs to ctx. */
+/* Returns one line per fault, "FILE:LINE: KEY: MESSAGE; REMEDY"; belongs to ctx. */
 char *
 config_faults_render (TALLOC_CTX *ctx, const struct ConfigFaults *faults);
--- a/tests/test_profile.c
+++ b/tests/test_profile.c
@@ -15,37 +15,37 @@
 static const struct BadProfile bad_profiles[] = {
   { "", "p.ini:1: [profile] name: the key is missing; add it\n" },
   { "[profile]\nname = night export\n",
-    "p.ini:2: [profile] name: 'night export' is no name; use 1 to 64 letters, digits, '-', '_' "
-    "and '.'\n" },
+    "p.ini:2: [profile] name: 'night export' is not a valid name; use 1 to 64 letters, digits, "
+    "'-', '_' and '.'\n" },
   { "[profile]\nname = a\nrule = fastest\n",
-    "p.ini:3: [profile] rule: 'fastest' is no known choice; write one of: round-robin "
+    "p.ini:3: [profile] rule: 'fastest' is not a valid choice; write one of: round-robin "
     "least-reported sticky fifo attained program\n" },
   { "[profile]\nname = a\nageing = 30\n",
-    "p.ini:3: [profile] ageing: '30' has a wrong unit or is no number; write a whole number with "
-    "its unit ms, s, m or h\n" },
+    "p.ini:3: [profile] ageing: '30' is not a number or has an invalid unit; write a whole number "
+    "with a unit ms, s, m or h\n" },
   { "[profile]\nname = a\ncache_weight = 1001\nshare = 0\n",
-    "p.ini:3: [profile] cache_weight: '1001' is out of range; give a value from 0 to 1000\n"
-    "p.ini:4: [profile] share: '0' is out of range; give a value from 1 to 1000\n" },
+    "p.ini:3: [profile] cache_weight: '1001' is out of range; use a value from 0 to 1000\n"
+    "p.ini:4: [profile] share: '0' is out of range; use a value from 1 to 1000\n" },
   { "[profile]\nname = a\nprogram_deadline = 1500ms\n",
-    "p.ini:3: [profile] program_deadline: '1500ms' is no whole number of seconds; write whole "
+    "p.ini:3: [profile] program_deadline: '1500ms' is not a whole number of seconds; write whole "
     "seconds\n" },
   { "[profile]\nname = a\nprogram_budget = 4K\n",
-    "p.ini:1: [profile] reserve_max: one call may reserve more than the whole program's budget; "
+    "p.ini:1: [profile] reserve_max: one call may reserve more than the program's budget; "
     "lower it, or raise program_budget\n" },
   { "[profile]\nname = a\nprogram_budget = 4K\nshare = 0\n",
-    "p.ini:1: [profile] reserve_max: one call may reserve more than the whole program's budget; "
+    "p.ini:1: [profile] reserve_max: one call may reserve more than the program's budget; "
     "lower it, or raise program_budget\n"
-    "p.ini:4: [profile] share: '0' is out of range; give a value from 1 to 1000\n" },
+    "p.ini:4: [profile] share: '0' is out of range; use a value from 1 to 1000\n" },
   { "[profile]\nname = a\nname = b\nturn_limit = 18446744073709551616\n",
-    "p.ini:3: [profile] name: the key stands on line 2 already; keep one of them\n"
-    "p.ini:4: [profile] turn_limit: '18446744073709551616' has a wrong unit or is no number; "
+    "p.ini:3: [profile] name: the key is already set on line 2; keep only one of them\n"
+    "p.ini:4: [profile] turn_limit: '18446744073709551616' is not a number or has an invalid unit; "
     "write a whole number without a unit\n" },
   { "[service]\nname = a\n", "p.ini:1: [service]: the section is not known; use one of: [profile]\n"
                              "p.ini:1: [profile] name: the key is missing; add it\n" },
 };
 
 static void
-test_bad_profiles_give_their_faults (void)
+test_invalid_profiles_report_their_faults (void)
 {
   for (size_t i = 0; i < sizeof bad_profiles / sizeof bad_profiles[0]; i++)
     {
@@ -59,8 +59,8 @@
     }
 }
 
-/* An operator's client sends a profile of a hundred thousand bad lines: a fault kept for each would
- * take the instance's memory. The first thousand are kept. */
+/* A client sends a profile of 100,000 malformed lines. Storing a fault for each would exhaust the
+ * instance's memory; only the first 1000 are stored. */
 static void
 test_faults_are_bounded (void)
 {
@@ -77,7 +77,7 @@
 }
 
 static void
-test_profile_takes_values_and_fallbacks (void)
+test_profile_has_values_and_defaults (void)
 {
   static const char text[] = "[profile]\nname = hiring ; the dawn calls\n  rule = attained\n"
                              "ageing: 1500ms\nprogram_budget = 2M\nprogram_deadline = 2h\n";
@@ -95,7 +95,7 @@
 }
 
 static void
-test_sample_profiles_are_sound (void)
+test_sample_profiles_are_valid (void)
 {
   static const char *const names[] = { "hiring", "menu", "night-export" };
 
@@ -115,7 +115,7 @@
 }
 
 static void
-test_units_come_back_as_written (void)
+test_units_round_trip (void)
 {
   static const struct
   {
@@ -145,10 +145,10 @@
 
 const char test_suite_name[] = "profile";
 const struct TestCase test_cases[] = {
-  { "bad profiles give their faults", test_bad_profiles_give_their_faults },
+  { "invalid profiles report their faults", test_invalid_profiles_report_their_faults },
   { "faults are bounded", test_faults_are_bounded },
-  { "profile takes values and fallbacks", test_profile_takes_values_and_fallbacks },
-  { "sample profiles are sound", test_sample_profiles_are_sound },
-  { "units come back as written", test_units_come_back_as_written },
+  { "profile has values and defaults", test_profile_has_values_and_defaults },
+  { "sample profiles are valid", test_sample_profiles_are_valid },
+  { "units round trip", test_units_round_trip },
   { NULL, NULL },
 };
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -37,85 +37,85 @@
   { BASE "[threads]\ncallers = 4\n",
     "i.ini:11: [threads] callers: the key is not known; use one of: caller backend\n" },
   { BASE "[threads]\ncaller = 0\nbackend = 65\n",
-    "i.ini:11: [threads] caller: '0' is out of range; give a value from 1 to 64\n"
-    "i.ini:12: [threads] backend: '65' is out of range; give a value from 1 to 64\n" },
+    "i.ini:11: [threads] caller: '0' is out of range; use a value from 1 to 64\n"
+    "i.ini:12: [threads] backend: '65' is out of range; use a value from 1 to 64\n" },
   { BASE "[threads]\ncaller = 4s\n",
-    "i.ini:11: [threads] caller: '4s' has a wrong unit or is no number; write a whole "
+    "i.ini:11: [threads] caller: '4s' is not a number or has an invalid unit; write a whole "
     "number without a unit\n" },
   { BASE "[limits]\nbody_bytes = 4MB\nrequest_timeout = 30\n",
-    "i.ini:11: [limits] body_bytes: '4MB' has a wrong unit or is no number; write a whole "
-    "number of bytes, or one with K or M\n"
-    "i.ini:12: [limits] request_timeout: '30' has a wrong unit or is no number; write a "
-    "whole number with its unit ms, s, m or h\n" },
+    "i.ini:11: [limits] body_bytes: '4MB' is not a number or has an invalid unit; write a whole "
+    "number of bytes, with or without a suffix K or M\n"
+    "i.ini:12: [limits] request_timeout: '30' is not a number or has an invalid unit; write a "
+    "whole number with a unit ms, s, m or h\n" },
   { BASE "[limits]\nbody_bytes = 1G\nheader_bytes = 2M\nconnections = many\n",
-    "i.ini:11: [limits] body_bytes: '1G' has a wrong unit or is no number; write a whole "
-    "number of bytes, or one with K or M\n"
-    "i.ini:12: [limits] header_bytes: '2M' is out of range; give a value from 1K to 1M\n"
-    "i.ini:13: [limits] connections: 'many' has a wrong unit or is no number; write a "
+    "i.ini:11: [limits] body_bytes: '1G' is not a number or has an invalid unit; write a whole "
+    "number of bytes, with or without a suffix K or M\n"
+    "i.ini:12: [limits] header_bytes: '2M' is out of range; use a value from 1K to 1M\n"
+    "i.ini:13: [limits] connections: 'many' is not a number or has an invalid unit; write a "
     "whole number without a unit\n" },
   { BASE "[homes]\nlease = 500ms\n",
-    "i.ini:11: [homes] lease: '500ms' is no whole number of seconds; write whole seconds\n" },
+    "i.ini:11: [homes] lease: '500ms' is not a whole number of seconds; write whole seconds\n" },
   { BASE "[homes]\nlease = 10m\npartitions = 8\n",
-    "i.ini:10: [homes] group_size: a group is larger than all partitions; lower it, or "
+    "i.ini:10: [homes] group_size: the group size exceeds the number of partitions; lower it, or "
     "raise partitions\n"
-    "i.ini:11: [homes] lease: '10m' is out of range; give a value from 1s to 5m\n" },
+    "i.ini:11: [homes] lease: '10m' is out of range; use a value from 1s to 5m\n" },
   { BASE "[journal]\nretry = 2s\nretry = 3s\n",
-    "i.ini:12: [journal] retry: the key stands on line 11 already; keep one of them\n" },
+    "i.ini:12: [journal] retry: the key is already set on line 11; keep only one of them\n" },
   { BASE "[journal]\nretry = 2s\n[journal]\nwrites_per_s = 10\n",
-    "i.ini:12: [journal]: the section stands on line 10 already; keep one of them\n" },
+    "i.ini:12: [journal]: the section already appears on line 10; keep only one of them\n" },
   { INSTANCE PLATFORM "[listen]\ncaller = 10.1.0.1:8700\noperator = 10.1.0.1:8700\n"
                       "peer = 10.1.0.1:8700\n",
-    "i.ini:8: [listen] operator: 10.1.0.1:8700 is the address of 'caller', too; give each "
-    "listener a port of its own\n"
-    "i.ini:9: [listen] peer: 10.1.0.1:8700 is the address of 'caller', too; give each "
-    "listener a port of its own\n" },
+    "i.ini:8: [listen] operator: 10.1.0.1:8700 is also the address of 'caller'; give each "
+    "listener its own port\n"
+    "i.ini:9: [listen] peer: 10.1.0.1:8700 is also the address of 'caller'; give each "
+    "listener its own port\n" },
   { INSTANCE PLATFORM "[listen]\ncaller = localhost:8700\noperator = 10.1.0.1\n"
                       "peer = 0.0.0.0:8702\n",
-    "i.ini:7: [listen] caller: 'localhost:8700' is no IP number with a port; write "
-    "IP:port, such as 10.1.0.7:8700; names are not looked up\n"
-    "i.ini:8: [listen] operator: '10.1.0.1' is no IP number with a port; write IP:port, "
-    "such as 10.1.0.7:8700; names are not looked up\n"
-    "i.ini:9: [listen] peer: '0.0.0.0:8702' is an address to which nobody can connect; "
-    "write the one IP number at which others reach it\n" },
+    "i.ini:7: [listen] caller: 'localhost:8700' is not an IP address with a port; write "
+    "IP:port, such as 10.1.0.7:8700; host names are not resolved\n"
+    "i.ini:8: [listen] operator: '10.1.0.1' is not an IP address with a port; write IP:port, "
+    "such as 10.1.0.7:8700; host names are not resolved\n"
+    "i.ini:9: [listen] peer: '0.0.0.0:8702' is a wildcard address; "
+    "write the IP address that other processes connect to\n" },
   { INSTANCE PLATFORM "[listen]\ncaller = 10.1.0.1:0\noperator = 10.1.0.1:65536\n"
                       "peer = 10.1.0.300:8702\n",
-    "i.ini:7: [listen] caller: '10.1.0.1:0' is no IP number with a port; write IP:port, "
-    "such as 10.1.0.7:8700; names are not looked up\n"
-    "i.ini:8: [listen] operator: '10.1.0.1:65536' is no IP number with a port; write "
-    "IP:port, such as 10.1.0.7:8700; names are not looked up\n"
-    "i.ini:9: [listen] peer: '10.1.0.300:8702' is no IP number with a port; write IP:port, "
-    "such as 10.1.0.7:8700; names are not looked up\n" },
+    "i.ini:7: [listen] caller: '10.1.0.1:0' is not an IP address with a port; write IP:port, "
+    "such as 10.1.0.7:8700; host names are not resolved\n"
+    "i.ini:8: [listen] operator: '10.1.0.1:65536' is not an IP address with a port; write "
+    "IP:port, such as 10.1.0.7:8700; host names are not resolved\n"
+    "i.ini:9: [listen] peer: '10.1.0.300:8702' is not an IP address with a port; write IP:port, "
+    "such as 10.1.0.7:8700; host names are not resolved\n" },
   { INSTANCE LISTEN "[platform]\nkv = 10.1.0.9:2379\ninstances = http://\nprefix = /x\n",
-    "i.ini:9: [platform] kv: '10.1.0.9:2379' is no URL; write it as http://IP:port\n"
-    "i.ini:10: [platform] instances: 'http://' is no URL; write it as http://IP:port\n"
-    "i.ini:11: [platform] prefix: '/x' does not end in '/', or starts with it; write it as "
+    "i.ini:9: [platform] kv: '10.1.0.9:2379' is not a URL; write it as http://IP:port\n"
+    "i.ini:10: [platform] instances: 'http://' is not a URL; write it as http://IP:port\n"
+    "i.ini:11: [platform] prefix: '/x' does not end with '/', or starts with it; write it as "
     "buckthornhead/\n" },
   { BASE "[secrets]\noperator_token_file = /nonexistent/token\n",
     "i.ini:11: [secrets] operator_token_file: '/nonexistent/token': No such file or "
-    "directory; write the token there, readable by this user\n" },
+    "directory; write the token to this file and let this user read it\n" },
   { BASE "[secrets]\noperator_token_file = /dev/null\n",
-    "i.ini:11: [secrets] operator_token_file: '/dev/null' holds no token; write the token "
+    "i.ini:11: [secrets] operator_token_file: '/dev/null' contains no token; write the token "
     "on its first line\n" },
   { BASE BACKEND BACKEND,
-    "i.ini:15: [backend]: the name 'b1' stands on line 10 already; give each backend "
-    "server a name of its own\n" },
+    "i.ini:15: [backend]: the name 'b1' is already used on line 10; give each backend "
+    "server a unique name\n" },
   { BASE "[backend]\nkind = engine\ntarget = m\naddress = 10.1.0.2:9001\nzone = malda\n",
-    "i.ini:10: [backend]: '' is no name; write [backend NAME], of 1 to 64 letters, digits, "
-    "'-', '_' and '.'\n" },
+    "i.ini:10: [backend]: '' is not a valid name; write [backend NAME], of 1 to 64 letters, "
+    "digits, '-', '_' and '.'\n" },
   { BASE "[backend b2]\nkind = motor\ntarget = m m\n",
     "i.ini:10: [backend b2] address: the key is missing; add it\n"
     "i.ini:10: [backend b2] zone: the key is missing; add it\n"
-    "i.ini:11: [backend b2] kind: 'motor' is no known choice; write one of: engine "
+    "i.ini:11: [backend b2] kind: 'motor' is not a valid choice; write one of: engine "
     "service\n"
-    "i.ini:12: [backend b2] target: 'm m' is no name; use 1 to 64 letters, digits, '-', "
+    "i.ini:12: [backend b2] target: 'm m' is not a valid name; use 1 to 64 letters, digits, '-', "
     "'_' and '.'\n" },
   { "name = entry-1\n" BASE,
-    "i.ini:1: name: the key stands before any section; put it below its [section]\n" },
+    "i.ini:1: name: the key is outside any section; move it below its [section]\n" },
   { BASE "[limits\nbody_bytes 4M\n= 4M\n",
-    "i.ini:10: the section's name has no end; write [section] alone on its line\n"
-    "i.ini:11: the line is neither a section, a key with its value, nor a comment; write "
+    "i.ini:10: the section name is not terminated; write [section] alone on its line\n"
+    "i.ini:11: the line is not a section, a key with a value or a comment; write "
     "[section], key = value, or start a comment with ; or #\n"
-    "i.ini:12: the line is neither a section, a key with its value, nor a comment; write "
+    "i.ini:12: the line is not a section, a key with a value or a comment; write "
     "[section], key = value, or start a comment with ; or #\n" },
   { BASE "; a long line follows\n[limits]\nbody_bytes = "
          "4444444444444444444444444444444444444444444444444444444444444444444444444444444444444444"
@@ -125,7 +125,7 @@
 };
 
 static void
-test_bad_files_give_their_faults (void)
+test_invalid_files_report_their_faults (void)
 {
   for (size_t i = 0; i < sizeof bad_files / sizeof bad_files[0]; i++)
     {
@@ -140,7 +140,7 @@
     }
 }
 
-/* What check-config prints of the file i.ini in the folder that is current. */
+/* Returns what check-config prints to standard error for i.ini in the current folder. */
 static char *
 check_config (TALLOC_CTX *ctx, int *exit_code)
 {
@@ -161,9 +161,9 @@
   return text;
 }
 
-/* The same files through the command that operators use. */
+/* Checks the same files with the check-config command. */
 static void
-test_check_config_shows_the_faults_of_each_file (void)
+test_check_config_prints_the_faults_of_each_file (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   char folder[] = "/tmp/buckthornhead-settings-XXXXXX";
@@ -176,7 +176,7 @@
 
       if (stream == NULL)
         {
-          CU_FAIL ("the file can not be written");
+          CU_FAIL ("i.ini can not be written");
           break;
         }
       fputs (bad_files[i].text, stream);
@@ -191,7 +191,7 @@
 }
 
 static void
-test_good_file_takes_values_and_fallbacks (void)
+test_valid_file_has_values_and_defaults (void)
 {
   static const char text[] = "\xEF\xBB\xBF" BASE "[limits]\n\trequest_timeout = 2m\n"
                              "body_bytes: 2K ; small\r\n" BACKEND "[threads]\ncaller = 7";
@@ -237,7 +237,7 @@
 }
 
 static void
-test_sample_settings_are_sound (void)
+test_sample_settings_are_valid (void)
 {
   static const char *const names[] = { "bengal-orchards", "alergomeni" };
 
@@ -267,7 +267,7 @@
 }
 
 static void
-test_address_is_an_ip_number_and_a_port (void)
+test_address_is_an_ip_address_and_a_port (void)
 {
   static const char *const bad[] = { "",         ":",       "1.2.3.4",
                                      "1.2.3.4:", ":80",     "1.2.3.4:+80",
@@ -288,12 +288,13 @@
 
 const char test_suite_name[] = "settings";
 const struct TestCase test_cases[] = {
-  { "bad files give their faults", test_bad_files_give_their_faults },
-  { "check-config shows the faults of each file", test_check_config_shows_the_faults_of_each_file },
-  { "good file takes values and fallbacks", test_good_file_takes_values_and_fallbacks },
+  { "invalid files report their faults", test_invalid_files_report_their_faults },
+  { "check-config prints the faults of each file",
+    test_check_config_prints_the_faults_of_each_file },
+  { "valid file has values and defaults", test_valid_file_has_values_and_defaults },
   { "token is read from its file", test_token_is_read_from_its_file },
-  { "sample settings are sound", test_sample_settings_are_sound },
+  { "sample settings are valid", test_sample_settings_are_valid },
   { "unreadable file is a fault", test_unreadable_file_is_a_fault },
-  { "address is an IP number and a port", test_address_is_an_ip_number_and_a_port },
+  { "address is an IP address and a port", test_address_is_an_ip_address_and_a_port },
   { NULL, NULL },
 };
