--- a/core/counter.c
+++ b/core/counter.c
@@ -15,7 +15,7 @@
   COUNTER_TYPE_GAUGE
 };
 
-struct CounterWords
+struct CounterInfo
 {
   const char *name;
   enum CounterType type;
@@ -31,7 +31,7 @@
     "buckthornhead_" name, COUNTER_TYPE_GAUGE, help                                                \
   }
 
-static const struct CounterWords words[N_COUNTERS] = {
+static const struct CounterInfo counter_infos[N_COUNTERS] = {
   [COUNTER_CALLS_ACCEPTED] = COUNTS ("calls_accepted", "Calls that a home accepted"),
   [COUNTER_CALLS_REFUSED] = COUNTS ("calls_refused", "Calls refused, all of them not run"),
   [COUNTER_CALLS_ENDED] = COUNTS ("calls_ended", "Calls whose outcome is in the journal"),
@@ -105,8 +105,8 @@
   [GAUGE_PLATFORM_UP] = GAUGES ("platform_up", "1 while the key-value service answers"),
 };
 
-/* Each counter has a cache line of its own: request threads that add to different counters would
- * else slow each other down. */
+/* Each counter has its own cache line, so that threads that add to different counters do not slow
+ * each other down by false sharing. */
 struct CounterCell
 {
   alignas (CACHE_LINE_BYTES) _Atomic uint64_t value;
@@ -135,7 +135,7 @@
 const char *
 counter_name (enum Counter counter)
 {
-  return words[counter].name;
+  return counter_infos[counter].name;
 }
 
 char *
@@ -145,11 +145,11 @@
 
   for (int i = 0; i < N_COUNTERS && text != NULL; i++)
     {
-      const struct CounterWords *w = &words[i];
-      const char *type = w->type == COUNTER_TYPE_GAUGE ? "gauge" : "counter";
+      const struct CounterInfo *info = &counter_infos[i];
+      const char *type = info->type == COUNTER_TYPE_GAUGE ? "gauge" : "counter";
 
       text = talloc_asprintf_append_buffer (text, "# HELP %s %s.\n# TYPE %s %s\n%s %" PRIu64 "\n",
-                                            w->name, w->help, w->name, type, w->name,
+                                            info->name, info->help, info->name, type, info->name,
                                             counter_read ((enum Counter)i));
     }
   return text;
--- a/core/histogram.c
+++ b/core/histogram.c
@@ -3,9 +3,9 @@
 #include <inttypes.h>
 #include <stdatomic.h>
 
-/* Upper bounds in milliseconds. From below the way between two availability zones to over the
- * longest timeout of the sheets; each at most twice the one before up to a second, so that a
- * quantile is known to a factor of two. */
+/* Upper bounds in milliseconds, from below the latency between two availability zones to above the
+ * longest timeout of the deployments. Neighbouring bounds are at most a factor of 2.5 apart, which
+ * limits the error of a quantile. */
 static const uint32_t bounds_ms[] = { 1,   2,   5,   10,  20,   35,   50,   80,   120,  200,
                                       300, 400, 600, 800, 1200, 2000, 3000, 5000, 10000 };
 
@@ -15,7 +15,7 @@
   N_BUCKETS = N_BOUNDS + 1 /* the last one has no bound */
 };
 
-struct HistogramWords
+struct HistogramInfo
 {
   const char *name;
   const char *help;
@@ -26,7 +26,7 @@
     "buckthornhead_" name "_milliseconds", help                                                    \
   }
 
-static const struct HistogramWords words[N_HISTOGRAMS] = {
+static const struct HistogramInfo histogram_infos[N_HISTOGRAMS] = {
   [HISTOGRAM_ANSWER_REPEATABLE] =
       MILLISECONDS ("answer_repeatable", "Repeatable requests, until their answer is handed out"),
   [HISTOGRAM_ANSWER_ONCE] =
@@ -103,28 +103,28 @@
 const char *
 histogram_name (enum Histogram histogram)
 {
-  return words[histogram].name;
+  return histogram_infos[histogram].name;
 }
 
 static char *
 render_one (char *text, enum Histogram histogram)
 {
-  const struct HistogramWords *w = &words[histogram];
+  const struct HistogramInfo *info = &histogram_infos[histogram];
   uint64_t n = 0;
 
-  text = talloc_asprintf_append_buffer (text, "# HELP %s %s.\n# TYPE %s histogram\n", w->name,
-                                        w->help, w->name);
+  text = talloc_asprintf_append_buffer (text, "# HELP %s %s.\n# TYPE %s histogram\n", info->name,
+                                        info->help, info->name);
   for (size_t i = 0; i < N_BOUNDS && text != NULL; i++)
     {
       n += bucket_read (histogram, i);
       text = talloc_asprintf_append_buffer (text, "%s_bucket{le=\"%" PRIu32 "\"} %" PRIu64 "\n",
-                                            w->name, bounds_ms[i], n);
+                                            info->name, bounds_ms[i], n);
     }
   n += bucket_read (histogram, N_BOUNDS);
   return talloc_asprintf_append_buffer (
       text, "%s_bucket{le=\"+Inf\"} %" PRIu64 "\n%s_sum %" PRIu64 "\n%s_count %" PRIu64 "\n",
-      w->name, n, w->name, atomic_load_explicit (&cells[histogram].sum_ms, memory_order_relaxed),
-      w->name, n);
+      info->name, n, info->name,
+      atomic_load_explicit (&cells[histogram].sum_ms, memory_order_relaxed), info->name, n);
 }
 
 char *
--- a/core/log.c
+++ b/core/log.c
@@ -25,7 +25,7 @@
 static _Atomic int log_level = LOG_LEVEL_INFO;
 static _Atomic int log_fd = STDERR_FILENO;
 
-/* Lines on requests in the second that is running, and those left out since the last line. */
+/* Request lines in the current second, and those suppressed since the last one written. */
 static _Atomic int64_t request_second_s;
 static _Atomic uint32_t request_lines, request_lines_suppressed;
 
@@ -48,7 +48,8 @@
   return "unnamed";
 }
 
-/* RFC 3339 in UTC. The wall clock is read here only to stamp lines; nothing is decided by it. */
+/* Formats the time as RFC 3339 in UTC. The wall clock is only used for timestamps, never for
+ * decisions. */
 static void
 format_time (char out[TIME_BYTES])
 {
@@ -62,8 +63,8 @@
   snprintf (out + n, TIME_BYTES - n, ".%03ldZ", now.tv_nsec / 1000000);
 }
 
-/* A string value. Text that is no UTF-8 (a backend server's answer, a cut message) would make the
- * whole line unwritable, so its bytes above ASCII become '?'. */
+/* Returns text as a JSON string. jansson rejects text that is not valid UTF-8 (a backend server's
+ * response, a truncated message), so its non-ASCII bytes are then replaced by '?'. */
 static json_t *
 text_value (const char *text)
 {
@@ -90,8 +91,8 @@
     json_object_set_new (line, key, text_value (text));
 }
 
-/* One write(2), so that lines of several threads never mix. A reader that has stopped must not stop
- * the process: where the descriptor was made non-blocking, the line is lost instead. */
+/* Writes a line by one write(2), so that lines of several threads never mix. A reader that has
+ * stopped must not block the process: on a non-blocking descriptor the line is lost instead. */
 static void
 write_line (char *text)
 {
@@ -150,14 +151,14 @@
 }
 
 static void
-set_words (json_t *line, const char *key, const char *format, va_list args)
+set_formatted_text (json_t *line, const char *key, const char *format, va_list args)
 {
-  char words[CAUSE_MAX_BYTES];
+  char text[CAUSE_MAX_BYTES];
 
   if (format == NULL)
     return;
-  vsnprintf (words, sizeof words, format, args);
-  set_text (line, key, words);
+  vsnprintf (text, sizeof text, format, args);
+  set_text (line, key, text);
 }
 
 void
@@ -176,15 +177,15 @@
   line = line_new (level, event);
   set_text (line, "program", program);
   va_start (args, cause_format);
-  set_words (line, "cause", cause_format, args);
+  set_formatted_text (line, "cause", cause_format, args);
   va_end (args);
   set_text (line, "remedy", remedy);
   line_write (line);
 }
 
-/* True when this second's lines are used up. */
+/* Counts a request line; true when it exceeds the limit for the current second. */
 static bool
-request_line_is_over (void)
+request_line_exceeds_limit (void)
 {
   struct timespec now;
 
@@ -210,14 +211,14 @@
   va_list args;
 
   if ((int)level > atomic_load_explicit (&log_level, memory_order_relaxed)
-      || request_line_is_over ())
+      || request_line_exceeds_limit ())
     return;
   line = line_new (level, event);
   set_text (line, "request", request);
   if (program != NULL && program[0] != '\0')
     set_text (line, "program", program);
   va_start (args, inputs_format);
-  set_words (line, "inputs", inputs_format, args);
+  set_formatted_text (line, "inputs", inputs_format, args);
   va_end (args);
   n_suppressed = atomic_exchange (&request_lines_suppressed, 0);
   if (n_suppressed > 0)
--- a/include/buckthornhead/counter.h
+++ b/include/buckthornhead/counter.h
@@ -1,4 +1,4 @@
-/* Counters and gauges of the daemon, written at /metrics in the usual text format. */
+/* Counters and gauges of the daemon, exposed at /metrics in the Prometheus text format. */
 #pragma once
 
 #include <stddef.h>
@@ -6,7 +6,7 @@
 
 #include <talloc.h>
 
-/* Every counter the product has; the table in core/counter.c names and explains each. */
+/* All counters and gauges. The table in core/counter.c has their names and help texts. */
 enum Counter
 {
   COUNTER_CALLS_ACCEPTED,
@@ -22,12 +22,12 @@
   COUNTER_PROGRAMS_OVER_BUDGET,
   COUNTER_PROGRAMS_LATE,
   COUNTER_PROGRAMS_CANCELLED,
-  COUNTER_PROGRAM_MS,    /* sum over ended programs */
-  COUNTER_PREFIX_TOKENS, /* prompt tokens seen */
-  COUNTER_PREFIX_CACHED, /* of which cached */
+  COUNTER_PROGRAM_MS,    /* total latency of ended programs */
+  COUNTER_PREFIX_TOKENS, /* prompt tokens of ended calls */
+  COUNTER_PREFIX_CACHED, /* cached ones among them */
   COUNTER_KV_READS,
-  COUNTER_KV_LISTS,   /* of them */
-  COUNTER_KV_WATCHES, /* of them */
+  COUNTER_KV_LISTS,   /* included in COUNTER_KV_READS */
+  COUNTER_KV_WATCHES, /* included in COUNTER_KV_READS */
   COUNTER_KV_WRITES,
   COUNTER_KV_FAILURES,
   COUNTER_JOURNAL_SLOTS,
@@ -64,7 +64,7 @@
   N_COUNTERS
 };
 
-/* All three are atomic and wait-free. */
+/* These three functions are atomic and wait-free. */
 void
 counter_add (enum Counter counter, uint64_t n);
 void
@@ -74,6 +74,6 @@
 
 const char *
 counter_name (enum Counter counter);
-/* Prometheus text exposition of all counters; belongs to ctx. */
+/* Returns the Prometheus text exposition of all counters and gauges; belongs to ctx. */
 char *
 counter_render (TALLOC_CTX *ctx);
--- a/include/buckthornhead/log.h
+++ b/include/buckthornhead/log.h
@@ -1,11 +1,11 @@
-/* JSON log lines with syslog's levels and fields: on standard error, or where log_to says. */
+/* JSON log lines with syslog levels, on standard error or on the descriptor set by log_to. */
 #pragma once
 
 #include <stdint.h>
 
 enum LogLevel
 {
-  LOG_LEVEL_ERROR = 3, /* syslog's numbers */
+  LOG_LEVEL_ERROR = 3, /* syslog severities */
   LOG_LEVEL_WARNING = 4,
   LOG_LEVEL_NOTICE = 5,
   LOG_LEVEL_INFO = 6,
@@ -14,20 +14,21 @@
 
 enum
 {
-  /* Lines on single requests that one process writes a second; twice the requests that the smallest
-   * machines of the sheets take at their peak. */
+  /* Lines on single requests per second and process: twice the peak request rate of the smallest
+   * instances of the deployments. */
   LOG_REQUESTS_PER_S = 300
 };
 
-/* All further lines go to fd, which becomes non-blocking: a line that it does not take is lost. */
+/* Sends all further lines to fd, which becomes non-blocking: lines that it can not accept are lost.
+ * The default is standard error. */
 void
 log_to (int fd);
 
-/* Who writes; called once at start. Lines above level are dropped. */
+/* Sets the instance and zone of all lines; called once at start. Lines above level are dropped. */
 void
 log_open (const char *instance, const char *zone, enum LogLevel level);
 
-/* One line. program, cause and remedy may be NULL. Safe from any thread. */
+/* Writes one line. program, cause_format and remedy may be NULL. Thread-safe. */
 void
 log_event (enum LogLevel level,
            const char *event,
@@ -36,9 +37,9 @@
            const char *cause_format,
            ...) __attribute__ ((format (printf, 5, 6)));
 
-/* One line on a decision that touches a caller's request: its id, its program if it has one, and
- * what decided. Written to standard output. Beyond LOG_REQUESTS_PER_S lines a second they are
- * counted instead, and the count goes into the next line that is written. */
+/* Writes one line on a decision about a caller's request: its id, its program if it has one, and
+ * the inputs of the decision. Beyond LOG_REQUESTS_PER_S lines per second they are only counted, and
+ * the next line that is written contains the count. */
 void
 log_request (enum LogLevel level,
              const char *event,
--- a/tests/test_error.c
+++ b/tests/test_error.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* Every kind has a name of its own and, but for "none", a remedy. */
+/* Every kind except ERROR_NONE must have a name and a remedy in the table. */
 static void
 test_every_kind_is_named (void)
 {
@@ -16,7 +16,7 @@
 }
 
 static void
-test_fault_takes_the_kinds_remedy (void)
+test_fault_has_the_kinds_default_remedy (void)
 {
   struct Fault fault;
 
@@ -28,6 +28,6 @@
 const char test_suite_name[] = "error";
 const struct TestCase test_cases[] = {
   { "every kind is named", test_every_kind_is_named },
-  { "fault takes the kind's remedy", test_fault_takes_the_kinds_remedy },
+  { "fault has the kind's default remedy", test_fault_has_the_kinds_default_remedy },
   { NULL, NULL },
 };
--- a/tests/test_histogram.c
+++ b/tests/test_histogram.c
@@ -27,9 +27,9 @@
     }
 }
 
-/* A bound belongs to its own bucket: an answer of exactly 10 ms counts below 10. */
+/* A bucket includes its upper bound: a value of exactly 10 ms counts in the bucket of 10 ms. */
 static void
-test_buckets_are_cumulative_and_hold_their_bound (void)
+test_buckets_are_cumulative_and_include_their_bound (void)
 {
   char *text;
 
@@ -51,7 +51,7 @@
 }
 
 static void
-test_quantiles_are_the_bound_below_which_they_lie (void)
+test_quantile_is_the_bound_of_its_bucket (void)
 {
   CU_ASSERT_EQUAL (histogram_bound (HISTOGRAM_DISK_SYNC, 500), 0);
   for (int i = 0; i < 95; i++)
@@ -68,9 +68,8 @@
 const char test_suite_name[] = "histogram";
 const struct TestCase test_cases[] = {
   { "names are complete and unique", test_names_are_complete_and_unique },
-  { "buckets are cumulative and hold their bound",
-    test_buckets_are_cumulative_and_hold_their_bound },
-  { "quantiles are the bound below which they lie",
-    test_quantiles_are_the_bound_below_which_they_lie },
+  { "buckets are cumulative and include their bound",
+    test_buckets_are_cumulative_and_include_their_bound },
+  { "quantile is the bound of its bucket", test_quantile_is_the_bound_of_its_bucket },
   { NULL, NULL },
 };
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -17,7 +17,7 @@
 static int saved_stderr;
 static FILE *captured;
 
-/* Standard error goes to a file until capture_end. */
+/* Redirects standard error to a file until capture_end. */
 static void
 capture_begin (void)
 {
@@ -35,7 +35,7 @@
   rewind (captured);
 }
 
-/* The next captured line as JSON, or NULL. */
+/* Returns the next captured line as JSON; NULL if there is none. */
 static json_t *
 next_line (void)
 {
@@ -55,7 +55,7 @@
 }
 
 static void
-test_line_has_the_fields (void)
+test_line_has_all_fields (void)
 {
   json_t *line;
 
@@ -96,8 +96,8 @@
   fclose (captured);
 }
 
-/* A backend server answers with bytes that are no UTF-8, or with a line feed; an operator's log
- * reader then meets a line that is no JSON, or two lines. The cause is the raw text in "cause". */
+/* A backend server's response in "cause" contains a line feed or invalid UTF-8. Written unescaped,
+ * it would split the log line or make it invalid JSON. */
 static void
 test_hostile_text_stays_one_json_line (void)
 {
@@ -124,7 +124,7 @@
   return NULL;
 }
 
-/* With two writes a line, lines of several threads would stand inside one another. */
+/* With more than one write per line, lines of several threads would be interleaved. */
 static void
 test_lines_of_threads_never_mix (void)
 {
@@ -150,7 +150,7 @@
 
 const char test_suite_name[] = "log";
 const struct TestCase test_cases[] = {
-  { "line has the fields", test_line_has_the_fields },
+  { "line has all fields", test_line_has_all_fields },
   { "lines above the level are dropped", test_lines_above_the_level_are_dropped },
   { "hostile text stays one JSON line", test_hostile_text_stays_one_json_line },
   { "lines of threads never mix", test_lines_of_threads_never_mix },
