--- a/core/byte_queue.c
+++ b/core/byte_queue.c
@@ -8,33 +8,33 @@
 
 enum
 {
-  FIRST_ROOM_BYTES = 512
+  INITIAL_CAPACITY_BYTES = 512
 };
 
 int32_t
 byte_queue_add (TALLOC_CTX *ctx, struct ByteQueue *queue, const void *bytes, size_t n_bytes)
 {
   size_t length = byte_queue_length (queue);
-  size_t room = queue->room > 0 ? queue->room : FIRST_ROOM_BYTES;
+  size_t capacity = queue->capacity > 0 ? queue->capacity : INITIAL_CAPACITY_BYTES;
   uint8_t *grown;
 
   if (n_bytes == 0)
     return ERROR_NONE;
-  if (queue->end + n_bytes > queue->room && queue->start > 0)
+  if (queue->end + n_bytes > queue->capacity && queue->start > 0)
     {
       memmove (queue->bytes, queue->bytes + queue->start, length);
       queue->start = 0;
       queue->end = length;
     }
-  while (length + n_bytes > room)
-    room *= 2;
-  if (room != queue->room)
+  while (length + n_bytes > capacity)
+    capacity *= 2;
+  if (capacity != queue->capacity)
     {
-      grown = talloc_realloc (ctx, queue->bytes, uint8_t, room);
+      grown = talloc_realloc (ctx, queue->bytes, uint8_t, capacity);
       if (grown == NULL)
         return ERROR_NO_MEMORY;
       queue->bytes = grown;
-      queue->room = room;
+      queue->capacity = capacity;
     }
   memcpy (queue->bytes + queue->end, bytes, n_bytes);
   queue->end += n_bytes;
--- a/core/http_message.c
+++ b/core/http_message.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  HEAD_TEXT_FIRST_BYTES = 1024,
-  HEADERS_FIRST = 16
+  HEAD_TEXT_INITIAL_BYTES = 1024,
+  HEADERS_INITIAL = 16
 };
 
 const char *
@@ -34,12 +34,12 @@
 int32_t
 http_headers_add (TALLOC_CTX *ctx, struct HttpHeaders *headers, const char *name, const char *value)
 {
-  size_t room = headers->items != NULL ? talloc_array_length (headers->items) : 0;
+  size_t capacity = headers->items != NULL ? talloc_array_length (headers->items) : 0;
 
-  if (headers->items == NULL || headers->n_items == room)
+  if (headers->items == NULL || headers->n_items == capacity)
     {
       struct HttpHeader *grown = talloc_realloc (ctx, headers->items, struct HttpHeader,
-                                                 room == 0 ? HEADERS_FIRST : 2 * room);
+                                                 capacity == 0 ? HEADERS_INITIAL : 2 * capacity);
 
       if (grown == NULL)
         return ERROR_NO_MEMORY;
@@ -96,22 +96,22 @@
 static bool
 head_text_reserve (TALLOC_CTX *ctx, struct HttpHeadText *head, size_t n_bytes)
 {
-  size_t room = head->n_room > 0 ? head->n_room : HEAD_TEXT_FIRST_BYTES;
+  size_t capacity = head->capacity > 0 ? head->capacity : HEAD_TEXT_INITIAL_BYTES;
   char *grown;
 
-  if (head->text != NULL && head->n_bytes + n_bytes <= head->n_room)
+  if (head->text != NULL && head->n_bytes + n_bytes <= head->capacity)
     return true;
-  while (head->n_bytes + n_bytes > room)
-    room *= 2;
-  grown = talloc_realloc (ctx, head->text, char, room);
+  while (head->n_bytes + n_bytes > capacity)
+    capacity *= 2;
+  grown = talloc_realloc (ctx, head->text, char, capacity);
   if (grown == NULL)
     return false;
   head->text = grown;
-  head->n_room = room;
+  head->capacity = capacity;
   return true;
 }
 
-/* A new name or value starts: ends the one before with a NUL. */
+/* Starts a new name or value and terminates the previous one with NUL. */
 static bool
 head_text_start (TALLOC_CTX *ctx, struct HttpHeadText *head, bool is_value)
 {
--- a/core/jitter.c
+++ b/core/jitter.c
@@ -1,6 +1,6 @@
 #include "jitter.h"
 
-/* One step of splitmix64, whose constants these are. */
+/* One step of splitmix64. */
 static uint64_t
 jitter_next (uint64_t *state)
 {
--- a/core/name_list.h
+++ b/core/name_list.h
@@ -1,4 +1,4 @@
-/* Small lists of names, such as incarnations, without order. */
+/* Small unordered lists of names, such as incarnations. */
 #pragma once
 
 #include <stdbool.h>
@@ -8,7 +8,7 @@
 
 bool
 name_list_has (char *const *list, size_t n, const char *name);
-/* Adds a copy; the list belongs to ctx. False when out of memory. */
+/* Adds a copy; the list belongs to ctx. Returns false if out of memory. */
 bool
 name_list_add (TALLOC_CTX *ctx, char ***list, size_t *n, const char *name);
 void
--- a/core/pack.c
+++ b/core/pack.c
@@ -106,7 +106,7 @@
   return failed ? ERROR_NO_MEMORY : ERROR_NONE;
 }
 
-/* What one msgpack header announces. */
+/* Contents of one msgpack header. */
 struct PackHeader
 {
   size_t header_bytes;
@@ -124,7 +124,7 @@
   return number;
 }
 
-/* False for a header that is cut short, and for maps, floats and extensions, which are not used. */
+/* Returns false for a truncated header, and for maps, floats and extensions, which are unused. */
 static bool
 pack_header_read (const uint8_t *bytes, size_t n_bytes, struct PackHeader *header)
 {
@@ -164,9 +164,9 @@
   return true;
 }
 
-/* The library allocates what an array's header announces before it sees the items: a few bytes
- * from a broken writer could ask for gigabytes. So every count is first held against the bytes
- * that are there. */
+/* The msgpack library allocates the number of items in an array's header before it reads them, so a
+ * few malformed bytes could allocate gigabytes. Therefore every count is first checked against the
+ * number of available bytes. */
 static bool
 pack_counts_fit (const uint8_t *bytes, size_t n_bytes)
 {
@@ -231,7 +231,7 @@
   return document;
 }
 
-/* The next item when it is of type, else NULL and the reader has failed. */
+/* Returns the next item if it is of type; otherwise fails the reader and returns NULL. */
 static const msgpack_object *
 read_item (struct PackReader *reader, msgpack_object_type type)
 {
--- a/core/peer_message.c
+++ b/core/peer_message.c
@@ -8,7 +8,7 @@
 enum
 {
   FRAME_LENGTH_BYTES = 4,
-  OUTCOME_FIELDS = 7 /* of outcome_pack */
+  OUTCOME_FIELDS = 7 /* number of items that outcome_pack writes */
 };
 
 static void
@@ -102,7 +102,7 @@
   N_OUTCOMES = 10
 };
 
-/* The fields of outcomes in the order in which they travel. */
+/* Lists the fields of outcomes in the order in which they are packed. */
 static void
 outcomes_fields (struct PeerOutcomes *outcomes, uint64_t *fields[N_OUTCOMES])
 {
@@ -251,7 +251,7 @@
   call_unpack (r, ctx, &request->call);
 }
 
-/* Number of msgpack items of each kind, the kind itself included. */
+/* Returns the number of msgpack items of a message, including its kind. */
 static uint32_t
 message_n_items (enum PeerKind kind)
 {
@@ -421,13 +421,13 @@
                    size_t *n_bytes)
 {
   struct PackWriter *writer = pack_writer_new (ctx, false);
-  const uint8_t no_length[FRAME_LENGTH_BYTES] = { 0 };
+  const uint8_t length_placeholder[FRAME_LENGTH_BYTES] = { 0 };
   size_t length;
   int32_t error;
 
   if (writer == NULL)
     return ERROR_NO_MEMORY;
-  pack_raw (writer, no_length, FRAME_LENGTH_BYTES);
+  pack_raw (writer, length_placeholder, FRAME_LENGTH_BYTES);
   pack_array (writer, message_n_items (message->kind));
   pack_u64 (writer, message->kind);
   message_pack_body (writer, message);
@@ -453,10 +453,10 @@
 {
   struct PackReader reader;
   struct PeerMessage *m = talloc_zero (ctx, struct PeerMessage);
-  void *opened = m != NULL ? pack_open (m, bytes, n_bytes, &reader) : NULL;
+  void *document = m != NULL ? pack_open (m, bytes, n_bytes, &reader) : NULL;
 
   *message = NULL;
-  if (opened == NULL)
+  if (document == NULL)
     goto fail;
   m->kind = (enum PeerKind)read_u64 (&reader, PEER_GATEWAY);
   if (reader.failed || reader.n_items != message_n_items (m->kind))
@@ -464,7 +464,7 @@
   message_unpack_body (&reader, m, m);
   if (read_end (&reader) != ERROR_NONE)
     goto fail;
-  talloc_free (opened);
+  talloc_free (document);
   *message = m;
   return ERROR_NONE;
 
--- a/core/timer.c
+++ b/core/timer.c
@@ -47,6 +47,6 @@
       timer->armed = true;
       timer->service->ops->arm (timer->service, timer, timer->due_ms);
     }
-  /* The callback may free the timer: nothing is touched after it. */
+  /* The callback may free the timer, so it must not be accessed afterwards. */
   timer->fn (timer->data);
 }
--- a/include/buckthornhead/base64.h
+++ b/include/buckthornhead/base64.h
@@ -1,4 +1,4 @@
-/* Base64 text, as the key-value service's JSON carries keys and values. */
+/* Base64 encoding of keys and values in the key-value service's JSON. */
 #pragma once
 
 #include <stddef.h>
@@ -6,10 +6,10 @@
 
 #include <talloc.h>
 
-/* NUL-terminated text that belongs to ctx. */
+/* Returns NUL-terminated text that belongs to ctx; NULL if out of memory. */
 char *
 base64_text (TALLOC_CTX *ctx, const void *bytes, size_t n_bytes);
 
-/* Bytes that belong to ctx, with a NUL after the last one; NULL when text is not base64. */
+/* Returns bytes that belong to ctx, followed by a NUL; NULL if text is not valid base64. */
 uint8_t *
 base64_bytes (TALLOC_CTX *ctx, const char *text, size_t *n_bytes);
--- a/include/buckthornhead/http_message.h
+++ b/include/buckthornhead/http_message.h
@@ -1,4 +1,4 @@
-/* What HTTP requests and answers are made of, on either side of the gateway. */
+/* Headers and reason phrases of HTTP requests and responses, for callers and backend servers. */
 #pragma once
 
 #include <stdbool.h>
@@ -13,57 +13,58 @@
   const char *value;
 };
 
-/* Headers in the order in which they came. Zeroed it is empty. */
+/* Headers in the order of arrival. An all-zero structure is empty. */
 struct HttpHeaders
 {
   struct HttpHeader *items; /* talloc array */
   size_t n_items;
 };
 
-/* The first value of name (any case); NULL when absent. */
+/* Returns the first value of name (case-insensitive); NULL if absent. */
 const char *
 http_headers_get (const struct HttpHeaders *headers, const char *name);
 
-/* How often name stands there: a message with two lengths or two hosts has no single meaning. */
+/* Returns the number of headers called name. A message with two Content-Length or Host headers is
+ * ambiguous. */
 size_t
 http_headers_count (const struct HttpHeaders *headers, const char *name);
 
-/* Appends; name and value must outlive headers. ERROR_NO_MEMORY. */
+/* Appends a header; name and value must outlive headers. May return ERROR_NO_MEMORY. */
 int32_t
 http_headers_add (TALLOC_CTX *ctx,
                   struct HttpHeaders *headers,
                   const char *name,
                   const char *value);
 
-/* True for headers that concern one connection only (RFC 9110, 7.6.1): the fixed ones, and those
- * that the message's own Connection header names. */
+/* True for hop-by-hop headers (RFC 9110, 7.6.1): the fixed ones, and those that the message's
+ * Connection header lists. */
 bool
 http_headers_is_hop (const struct HttpHeaders *headers, const char *name);
 
-/* True when the comma-separated list in value holds token (any case). */
+/* True when the comma-separated list in value contains token (case-insensitive). */
 bool
 http_list_has (const char *value, const char *token);
 
-/* A header's text, built while its pieces arrive from the parser. */
+/* Text of all headers, built from the pieces that the parser delivers. */
 struct HttpHeadText
 {
   char *text; /* talloc; NUL between names and values */
-  size_t n_bytes, n_room;
+  size_t n_bytes, capacity;
   size_t *starts; /* name, value, name, value... */
   size_t n_starts;
   bool in_value;
 };
 
-/* Appends a piece of a name or of a value. ERROR_INVALID for a control character in a value, which
- * could end a line for whoever reads it next; ERROR_NO_MEMORY. */
+/* Appends a piece of a name or of a value. Returns ERROR_INVALID for a control character, which the
+ * next recipient could read as the end of a line, or ERROR_NO_MEMORY. */
 int32_t
 http_head_text_add (
     TALLOC_CTX *ctx, struct HttpHeadText *head, bool is_value, const char *bytes, size_t n_bytes);
 
-/* The finished headers; they refer to head's text. */
+/* Returns the complete headers, which refer to head's text. */
 int32_t
 http_head_text_finish (TALLOC_CTX *ctx, struct HttpHeadText *head, struct HttpHeaders *headers);
 
-/* The standard words for status, such as "Service Unavailable"; "Status" for an unknown one. */
+/* Returns the reason phrase of status, such as "Service Unavailable"; "Status" if unknown. */
 const char *
 http_reason (uint32_t status);
--- a/include/buckthornhead/peer_message.h
+++ b/include/buckthornhead/peer_message.h
@@ -1,8 +1,8 @@
-/* Messages between instances, and how they are packed.
+/* Messages between instances and their serialization.
  *
- * One frame on the wire: four bytes of length, big endian, then one msgpack array whose first item
- * is the kind. Requests carry an id that their answers repeat; ids belong to the connection's
- * opener. Between modules of one process the same messages travel without a connection. */
+ * A frame on the wire is a length of four bytes, big endian, and one msgpack array whose first item
+ * is the kind. Requests have an id that their responses repeat; the opener of the connection
+ * assigns the ids. Modules of one process exchange the same messages without a connection. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -20,24 +20,24 @@
 {
   PEER_HELLO = 1,
   PEER_HEARTBEAT = 2,
-  PEER_REQUEST = 3,  /* entry to home */
-  PEER_DISPATCH = 4, /* home to owner of a backend server */
-  PEER_CANCEL = 5,   /* the request or dispatch .id is no longer wanted */
-  PEER_CHUNK = 6,    /* part of an answer */
-  PEER_ANSWER = 7,   /* end of a request, a dispatch or a release */
-  PEER_RELEASE = 8,  /* home to owner: drop a program's memory */
+  PEER_REQUEST = 3,  /* from the receiving instance to the home */
+  PEER_DISPATCH = 4, /* from the home to the owner of a backend server */
+  PEER_CANCEL = 5,   /* cancels the request or dispatch .id */
+  PEER_CHUNK = 6,    /* part of a response */
+  PEER_ANSWER = 7,   /* final response to a request, a dispatch or a release */
+  PEER_RELEASE = 8,  /* from the home to the owner: release a program's memory */
   PEER_CONFIG_WANT = 9,
   PEER_CONFIG_ENTRY = 10,
-  PEER_QUARANTINE = 11,   /* a backend server died while it ran a request */
-  PEER_SPOOL_PUT = 12,    /* keep a journal record on disk while the platform is down */
-  PEER_SPOOL_DROP = 13,   /* the writer's journal has all up to .number */
-  PEER_SPOOL_READ = 14,   /* a taker: seal the writer's spool, then send what it holds */
-  PEER_SPOOL_RECORD = 15, /* one record of the answer to it */
-  PEER_MAP_CHANGED = 16,  /* the sender gained or left partitions: read the map now */
-  PEER_GATEWAY = 17       /* among gateways and archives: gateway_message.h */
+  PEER_QUARANTINE = 11,   /* a backend server failed while it ran a request */
+  PEER_SPOOL_PUT = 12,    /* store a journal record on disk while the platform is down */
+  PEER_SPOOL_DROP = 13,   /* the writer's journal contains all records up to .number */
+  PEER_SPOOL_READ = 14,   /* seal the writer's spool, then send its records */
+  PEER_SPOOL_RECORD = 15, /* one record in response to PEER_SPOOL_READ */
+  PEER_MAP_CHANGED = 16,  /* the sender gained or released partitions: read the map */
+  PEER_GATEWAY = 17       /* between gateways and archives, see gateway_message.h */
 };
 
-/* What an entry asks of a home. */
+/* Operation that the instance which received a call requests from its home. */
 enum RequestOp
 {
   REQUEST_CREATE = 1,
@@ -45,11 +45,11 @@
   REQUEST_VIEW = 3,
   REQUEST_HISTORY = 4,
   REQUEST_END = 5,
-  REQUEST_LIST = 6, /* programs homed there, for operators */
-  REQUEST_LONE = 7  /* a call that needs no program: its program is made on the way */
+  REQUEST_LIST = 6, /* programs of the home, for operators */
+  REQUEST_LONE = 7  /* a call without a program; one is created for it */
 };
 
-/* Outcome counts of one instance, summed for the operators' status. */
+/* Outcome counters of one instance; the operators' status is their sum over the instances. */
 struct PeerOutcomes
 {
   uint64_t created, done, cancelled, over_budget, late, refused, may_have_run;
@@ -61,21 +61,21 @@
   char instance[NAME_MAX_BYTES + 1];
   uint64_t config_revision;
   bool draining, platform_up;
-  bool has_disk; /* registered as a place for spools */
+  bool has_disk; /* registered to store spools */
   uint32_t partitions, programs, in_flight, waiting;
   struct PeerOutcomes outcomes;
   size_t n_digests;
-  struct PolicyServer *digests; /* of the backend servers it owns */
+  struct PolicyServer *digests; /* of the instance's own backend servers */
 };
 
 struct PeerRequest
 {
   uint64_t id;
   enum RequestOp op;
-  /* The caller says that it never sent this before, so that a refusal here means "not run". */
+  /* The caller declares that it has not sent the call before, so a rejection means "not run". */
   bool first_attempt;
-  bool forwarded;   /* came over one hop already: never passed on again */
-  struct Call call; /* .body holds the JSON of the other operations */
+  bool forwarded;   /* forwarded once already; never forwarded again */
+  struct Call call; /* for the other operations .body is their JSON */
 };
 
 struct PeerDispatch
@@ -86,7 +86,7 @@
   uint64_t attained_tokens;
   uint32_t cached_tokens_hint;
   uint32_t timeout_ms;
-  bool suspect; /* was running on a server that died: runs beside no other suspect */
+  bool suspect; /* was running on a server that failed; never runs beside another suspect */
 };
 
 struct PeerChunk
@@ -100,12 +100,12 @@
 struct PeerAnswer
 {
   uint64_t id;
-  struct Outcome outcome; /* .answer: the rest of the body that no chunk has brought */
-  struct Fault fault;     /* .error repeats outcome.error */
+  struct Outcome outcome; /* .answer: the rest of the body, after the chunks */
+  struct Fault fault;     /* .error equals outcome.error */
   uint32_t retry_after_ms;
   uint64_t expected_sequence;
-  bool event_stream; /* the answer's bytes are server-sent events */
-  bool server_died;  /* the backend server was lost while it ran the call */
+  bool event_stream; /* the response consists of server-sent events */
+  bool server_died;  /* the backend server failed while it ran the call */
 };
 
 struct PeerMessage
@@ -146,7 +146,7 @@
     struct
     {
       uint8_t digest[DIGEST_BYTES];
-      char server[NAME_MAX_BYTES + 1]; /* that died while it ran the request */
+      char server[NAME_MAX_BYTES + 1]; /* the server that failed */
     } quarantine;
     struct
     {
@@ -154,18 +154,18 @@
       char writer[INCARNATION_MAX_BYTES + 1]; /* incarnation */
       const uint8_t *bytes;
       size_t n_bytes;
-    } spool; /* put, drop, read and record, as far as each needs */
+    } spool; /* for put, drop, read and record, which each use some of the fields */
   };
 };
 
-/* Packs message with its frame's length in front; the result belongs to ctx. */
+/* Packs message as a frame that belongs to ctx. Returns ERROR_TOO_LARGE or ERROR_NO_MEMORY. */
 int32_t
 peer_message_pack (TALLOC_CTX *ctx,
                    const struct PeerMessage *message,
                    uint8_t **frame,
                    size_t *n_bytes);
 
-/* Unpacks what follows the length. ERROR_INVALID for anything malformed. */
+/* Unpacks the bytes after the frame's length. Returns ERROR_INVALID for malformed bytes. */
 int32_t
 peer_message_unpack (TALLOC_CTX *ctx,
                      const uint8_t *bytes,
--- a/include/buckthornhead/timer.h
+++ b/include/buckthornhead/timer.h
@@ -1,7 +1,7 @@
-/* Timer service: the one clock that parts subscribe to.
+/* Timer service, the only clock of the modules in core/.
  *
- * The daemon drives it from tevent (adapters/timer_tevent.c), tests by hand
- * (tests/fakes/fake_timer.c). Parts in core/ never read a clock themselves. */
+ * The daemon implements it with tevent (adapters/timer_tevent.c), tests with a clock that they
+ * advance (tests/fakes/fake_timer.c). */
 #pragma once
 
 #include <stdbool.h>
@@ -14,11 +14,11 @@
 
 typedef void (*TimerFn) (void *data);
 
-/* How a service is brought about; one table per kind of clock. */
+/* Implementation of a timer service; one table per kind of clock. */
 struct TimerOps
 {
   int64_t (*now_ms) (struct TimerService *service);
-  /* Arms timer to fire at due_ms (monotonic); called again to move it. */
+  /* Arms or re-arms timer to fire at due_ms (monotonic). */
   void (*arm) (struct TimerService *service, struct Timer *timer, int64_t due_ms);
   void (*disarm) (struct TimerService *service, struct Timer *timer);
 };
@@ -36,15 +36,15 @@
   int64_t due_ms;
   int64_t period_ms; /* 0: fires once */
   bool armed;
-  void *adapter; /* the adapter's own handle */
+  void *adapter; /* handle of the adapter */
 };
 
-/* Milliseconds on a monotonic clock. */
+/* Returns milliseconds on a monotonic clock. */
 int64_t
 timer_now_ms (struct TimerService *service);
 
-/* Calls fn (data) once after delay_ms, or every period_ms when that is not 0. Freeing the
- * timer unsubscribes. The callback may free its own timer. */
+/* Calls fn (data) after delay_ms and, unless period_ms is 0, every period_ms after that. Freeing
+ * the timer cancels it. The callback may free its own timer. */
 struct Timer *
 timer_subscribe (TALLOC_CTX *ctx,
                  struct TimerService *service,
@@ -53,6 +53,6 @@
                  TimerFn fn,
                  void *data);
 
-/* Adapters call this when a timer is due. */
+/* Called by adapters when a timer is due. */
 void
 timer_fire (struct Timer *timer);
--- a/tests/test_http_message.c
+++ b/tests/test_http_message.c
@@ -7,9 +7,9 @@
 #include <string.h>
 
 static void
-add (TALLOC_CTX *ctx, struct HttpHeadText *head, const char *name, const char *value)
+add_header (TALLOC_CTX *ctx, struct HttpHeadText *head, const char *name, const char *value)
 {
-  /* One byte at a time, as a slow caller sends it. */
+  /* One byte at a time, as from a slow caller. */
   for (size_t i = 0; i < strlen (name); i++)
     CU_ASSERT_EQUAL (http_head_text_add (ctx, head, false, name + i, 1), ERROR_NONE);
   for (size_t i = 0; i < strlen (value); i++)
@@ -17,7 +17,7 @@
 }
 
 static void
-test_headers_survive_any_pieces (void)
+test_headers_are_assembled_from_single_bytes (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct HttpHeadText head = { 0 };
@@ -27,7 +27,7 @@
   for (int i = 0; i < 200; i++)
     {
       snprintf (name, sizeof name, "X-%d", i);
-      add (ctx, &head, name, "some value of some length");
+      add_header (ctx, &head, name, "some value of some length");
     }
   CU_ASSERT_EQUAL (http_head_text_finish (ctx, &head, &headers), ERROR_NONE);
   CU_ASSERT_EQUAL (headers.n_items, 200);
@@ -37,9 +37,9 @@
   talloc_free (ctx);
 }
 
-/* A value with a line end in it, written out again, would be two headers, or two requests. */
+/* A line break in a value that is forwarded would start a second header or a second request. */
 static void
-test_control_characters_are_refused (void)
+test_control_characters_are_rejected (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct HttpHeadText head = { 0 };
@@ -53,7 +53,7 @@
 }
 
 static void
-test_headers_of_one_connection_are_told (void)
+test_hop_by_hop_headers_are_recognized (void)
 {
   struct HttpHeader items[] = { { "Connection", "keep-alive, X-Mine" }, { "X-Mine", "1" } };
   struct HttpHeaders headers = { items, 2 };
@@ -69,8 +69,8 @@
 
 const char test_suite_name[] = "http_message";
 const struct TestCase test_cases[] = {
-  { "headers survive any pieces", test_headers_survive_any_pieces },
-  { "control characters are refused", test_control_characters_are_refused },
-  { "headers of one connection are told", test_headers_of_one_connection_are_told },
+  { "headers are assembled from single bytes", test_headers_are_assembled_from_single_bytes },
+  { "control characters are rejected", test_control_characters_are_rejected },
+  { "hop-by-hop headers are recognized", test_hop_by_hop_headers_are_recognized },
   { NULL, NULL },
 };
--- a/tests/test_main.h
+++ b/tests/test_main.h
@@ -1,4 +1,4 @@
-/* Shared main of the unit-test programs: each defines its suite's name and its tests. */
+/* Shared main of the unit tests. Each program defines its suite's name and its tests. */
 #pragma once
 
 #include <CUnit/CUnit.h>
--- a/tests/test_peer_message.c
+++ b/tests/test_peer_message.c
@@ -76,10 +76,10 @@
   talloc_free (out);
 }
 
-/* A peer of another version, or a port scanner, sends bytes that are no message. Every cut of a
- * good frame and every changed byte must give an error or a message, never a crash. */
+/* A peer of another version, or a port scanner, sends malformed frames. Every truncation of a valid
+ * frame must be rejected; a flipped bit must give an error or a message, never a crash. */
 static void
-test_malformed_frames_are_refused (void)
+test_malformed_frames_are_rejected (void)
 {
   struct PeerMessage in = { .kind = PEER_ANSWER };
   uint8_t *frame;
@@ -112,6 +112,6 @@
 const struct TestCase test_cases[] = {
   { "dispatch keeps every field", test_dispatch_keeps_every_field },
   { "heartbeat carries digests", test_heartbeat_carries_digests },
-  { "malformed frames are refused", test_malformed_frames_are_refused },
+  { "malformed frames are rejected", test_malformed_frames_are_rejected },
   { NULL, NULL },
 };
