--- a/adapters/disk_frame.c
+++ b/adapters/disk_frame.c
@@ -8,7 +8,7 @@
 #include <xxhash.h>
 
 void
-disk_frame_head (uint8_t *frame, const uint8_t *record, size_t n_bytes)
+disk_frame_write_header (uint8_t *frame, const uint8_t *record, size_t n_bytes)
 {
   uint64_t sum = XXH64 (record, n_bytes, n_bytes);
 
@@ -23,18 +23,18 @@
   size_t length = 0;
   uint64_t sum;
 
-  if (n_bytes < FRAME_HEAD_BYTES)
+  if (n_bytes < FRAME_HEADER_BYTES)
     return -1;
   for (int i = 0; i < FRAME_LENGTH_BYTES; i++)
     length |= (size_t)bytes[i] << (8 * i);
-  if (length == 0 || length > RECORD_MAX_BYTES || length > n_bytes - FRAME_HEAD_BYTES)
+  if (length == 0 || length > RECORD_MAX_BYTES || length > n_bytes - FRAME_HEADER_BYTES)
     return -1;
   memcpy (&sum, bytes + FRAME_LENGTH_BYTES, sizeof sum);
-  return XXH64 (bytes + FRAME_HEAD_BYTES, length, length) == sum ? (int64_t)length : -1;
+  return XXH64 (bytes + FRAME_HEADER_BYTES, length, length) == sum ? (int64_t)length : -1;
 }
 
 size_t
-disk_frames_each (const uint8_t *bytes, size_t n_bytes, uint32_t file, DiskLogFn fn, void *data)
+disk_frames_foreach (const uint8_t *bytes, size_t n_bytes, uint32_t file, DiskLogFn fn, void *data)
 {
   size_t at = 0;
   int64_t length;
@@ -44,8 +44,8 @@
       struct DiskPlace place = { file, (uint32_t)at, (uint32_t)length };
 
       if (fn != NULL)
-        fn (data, &place, bytes + at + FRAME_HEAD_BYTES, (size_t)length);
-      at += FRAME_HEAD_BYTES + (size_t)length;
+        fn (data, &place, bytes + at + FRAME_HEADER_BYTES, (size_t)length);
+      at += FRAME_HEADER_BYTES + (size_t)length;
     }
   return at;
 }
@@ -77,7 +77,7 @@
 }
 
 bool
-disk_file_put (int fd, const uint8_t *bytes, size_t n_bytes)
+disk_file_write (int fd, const uint8_t *bytes, size_t n_bytes)
 {
   while (n_bytes > 0)
     {
--- a/adapters/disk_log.c
+++ b/adapters/disk_log.c
@@ -19,18 +19,18 @@
 
 enum
 {
-  /* A sync on the slowest disks of the sheets takes 5 ms; one this slow keeps callers waiting, and
-   * past their gateway's patience a turn counts as not stored. */
+  /* Syncs slower than this are logged. A sync on the slowest disks of the deployments takes 5 ms;
+   * one this slow delays callers, and after the gateway's timeout the turn counts as not stored. */
   SLOW_SYNC_MS = 300
 };
 
-/* One file as the loop knows it. */
+/* A log file, as seen by the event loop. */
 struct DiskFile
 {
   uint32_t number;
   int64_t expires_unix_ms;
   uint32_t durable_bytes;
-  int fd; /* for reading, -1: not open */
+  int fd; /* open for reading; -1 while not open */
 };
 
 struct DiskLog
@@ -52,9 +52,9 @@
   return NULL;
 }
 
-/* The file's entry, made in its place if it is new; NULL without memory. */
+/* Returns the file's entry, inserted in order if it is missing; NULL when out of memory. */
 static struct DiskFile *
-file_need (struct DiskLog *log, uint32_t number)
+file_get_or_add (struct DiskLog *log, uint32_t number)
 {
   struct DiskFile *file = file_find (log, number);
   struct DiskFile *grown;
@@ -81,7 +81,7 @@
 void
 disk_log_each_frame (const uint8_t *bytes, size_t n_bytes, DiskLogFn fn, void *data)
 {
-  disk_frames_each (bytes, n_bytes, 0, fn, data);
+  disk_frames_foreach (bytes, n_bytes, 0, fn, data);
 }
 
 /* Opening. */
@@ -89,7 +89,7 @@
 static void
 file_replay (struct DiskLog *log, uint32_t number, DiskLogFn fn, void *data)
 {
-  struct DiskFile *file = file_need (log, number);
+  struct DiskFile *file = file_get_or_add (log, number);
   char path[DISK_PATH_BYTES];
   size_t n_bytes;
   uint8_t *bytes;
@@ -98,11 +98,11 @@
   bytes = disk_file_read (log, path, &n_bytes);
   if (bytes == NULL || file == NULL)
     {
-      log_event (LOG_LEVEL_ERROR, "disk_file_unreadable", NULL, "look at the disk", "%s: %s", path,
+      log_event (LOG_LEVEL_ERROR, "disk_file_unreadable", NULL, "check the disk", "%s: %s", path,
                  strerror (errno));
       return;
     }
-  file->durable_bytes = (uint32_t)disk_frames_each (bytes, n_bytes, number, fn, data);
+  file->durable_bytes = (uint32_t)disk_frames_foreach (bytes, n_bytes, number, fn, data);
   if (file->durable_bytes < n_bytes)
     log_event (LOG_LEVEL_WARNING, "disk_file_torn", NULL, NULL, "%s: %zu bytes of %zu are whole",
                path, (size_t)file->durable_bytes, n_bytes);
@@ -117,9 +117,9 @@
   return (*x > *y) - (*x < *y);
 }
 
-/* Numbers of the files in the folder, ascending; NULL when it can not be listed. */
+/* Returns the numbers of the log files in the folder, ascending; NULL when it can not be listed. */
 static uint32_t *
-folder_list (struct DiskLog *log, size_t *n)
+folder_list_numbers (struct DiskLog *log, size_t *n)
 {
   DIR *dir = opendir (log->folder);
   uint32_t *numbers = talloc_array (log, uint32_t, 0);
@@ -180,7 +180,7 @@
   return durable ? ERROR_NONE : ERROR_IO;
 }
 
-/* The loop's side. */
+/* Event loop side. */
 
 static void
 log_on_mail (void *data, struct Mail *received)
@@ -189,15 +189,15 @@
   struct DiskMail *mail = (struct DiskMail *)received;
   struct DiskWrite *next;
 
-  histogram_add (HISTOGRAM_DISK_SYNC, mail->took_ms);
+  histogram_add (HISTOGRAM_DISK_SYNC, mail->duration_ms);
   counter_add (COUNTER_ARCHIVE_SYNCS, 1);
-  if (mail->took_ms > SLOW_SYNC_MS)
+  if (mail->duration_ms > SLOW_SYNC_MS)
     log_event (LOG_LEVEL_WARNING, "disk_slow", NULL, "look at the archive's disk",
-               "writing and syncing took %lld ms", (long long)mail->took_ms);
+               "writing and syncing took %lld ms", (long long)mail->duration_ms);
   for (struct DiskWrite *w = mail->first; w != NULL; w = next)
     {
       bool in_log = w->error == ERROR_NONE && w->kept_name == NULL;
-      struct DiskFile *file = in_log ? file_need (log, w->place.file) : NULL;
+      struct DiskFile *file = in_log ? file_get_or_add (log, w->place.file) : NULL;
 
       next = w->next;
       if (file != NULL)
@@ -215,7 +215,7 @@
 static int
 log_free (struct DiskLog *log)
 {
-  /* It posts to the mailbox until it has ended. */
+  /* The writer thread posts to the mailbox until it is joined, so free it first. */
   TALLOC_FREE (log->writer);
   for (size_t i = 0; i < log->n_files; i++)
     if (log->files[i].fd >= 0)
@@ -224,16 +224,16 @@
 }
 
 static int32_t
-log_start (struct DiskLog *log,
-           struct tevent_context *events,
-           uint32_t last_file,
-           struct Fault *fault)
+log_start_writer (struct DiskLog *log,
+                  struct tevent_context *events,
+                  uint32_t last_file,
+                  struct Fault *fault)
 {
   log->mailbox = mailbox_new (log, events, log_on_mail, log);
   if (log->mailbox != NULL)
     log->writer = disk_writer_new (log, log->folder, last_file, log->mailbox);
   if (log->writer == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the disk's thread");
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the disk writer thread");
   return ERROR_NONE;
 }
 
@@ -253,15 +253,15 @@
 
   *log = NULL;
   if (l == NULL)
-    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the log");
+    return fault_set (fault, ERROR_NO_MEMORY, NULL, "no memory for the disk log");
   talloc_set_destructor (l, log_free);
   snprintf (l->folder, sizeof l->folder, "%s", folder);
   if (mkdir (folder, 0700) != 0 && errno != EEXIST)
     goto fail;
-  numbers = folder_list (l, &n);
+  numbers = folder_list_numbers (l, &n);
   if (numbers == NULL)
     goto fail;
-  /* fn may already look into the log: it holds the files up to the one that is replayed. */
+  /* fn may read from the log, which has the files up to the one being replayed. */
   *log = l;
   for (size_t i = 0; i < n; i++)
     {
@@ -270,7 +270,7 @@
     }
   mark_path (l, path);
   l->complete = access (path, F_OK) == 0;
-  if (log_start (l, events, last_file, fault) != ERROR_NONE)
+  if (log_start_writer (l, events, last_file, fault) != ERROR_NONE)
     {
       *log = NULL;
       talloc_free (l);
@@ -303,7 +303,7 @@
 }
 
 static int
-file_reader (const struct DiskLog *log, struct DiskFile *file)
+file_open_reader (const struct DiskLog *log, struct DiskFile *file)
 {
   char path[DISK_PATH_BYTES];
 
@@ -315,7 +315,7 @@
   return file->fd;
 }
 
-/* n_bytes of the file from offset on; NULL when they are not all there. */
+/* Reads n_bytes of the file from offset on; NULL when the file ends before them. */
 static uint8_t *
 file_pread (const struct DiskLog *log,
             TALLOC_CTX *ctx,
@@ -323,7 +323,7 @@
             size_t offset,
             size_t n_bytes)
 {
-  int fd = file_reader (log, file);
+  int fd = file_open_reader (log, file);
   uint8_t *bytes = fd >= 0 ? talloc_array (ctx, uint8_t, n_bytes + 1) : NULL;
   size_t at = 0;
 
@@ -343,17 +343,17 @@
 disk_log_read (struct DiskLog *log, TALLOC_CTX *ctx, const struct DiskPlace *place, size_t *n_bytes)
 {
   struct DiskFile *file = file_find (log, place->file);
-  size_t frame_bytes = FRAME_HEAD_BYTES + place->n_bytes;
+  size_t frame_bytes = FRAME_HEADER_BYTES + place->n_bytes;
   uint8_t *bytes = file != NULL ? file_pread (log, ctx, file, place->offset, frame_bytes) : NULL;
 
   if (bytes == NULL || disk_frame_check (bytes, frame_bytes) != (int64_t)place->n_bytes)
     {
-      log_event (LOG_LEVEL_ERROR, "disk_record_unreadable", NULL, "look at the disk",
-                 "log-%u at %u", place->file, place->offset);
+      log_event (LOG_LEVEL_ERROR, "disk_record_unreadable", NULL, "check the disk",
+                 "log-%u at offset %u", place->file, place->offset);
       TALLOC_FREE (bytes);
       return NULL;
     }
-  memmove (bytes, bytes + FRAME_HEAD_BYTES, place->n_bytes);
+  memmove (bytes, bytes + FRAME_HEADER_BYTES, place->n_bytes);
   *n_bytes = place->n_bytes;
   return bytes;
 }
@@ -377,7 +377,7 @@
       struct DiskFile *file = &log->files[i];
       char path[DISK_PATH_BYTES];
 
-      /* The last file is the one that is being written. */
+      /* The last file is still being written. */
       if (i + 1 == log->n_files || file->expires_unix_ms > unix_ms)
         {
           log->files[n_kept++] = *file;
@@ -421,7 +421,8 @@
     length = max_bytes + RECORD_MAX_BYTES;
   if (length > max_bytes)
     {
-      /* Room for one record, however long it is; what is cut comes with the next part. */
+      /* Read more than max_bytes only when the first record alone is longer. A frame cut off at the
+       * end is returned with the next call. */
       bytes = file_pread (log, ctx, file, offset, max_bytes);
       if (bytes != NULL && disk_frame_check (bytes, max_bytes) >= 0)
         length = max_bytes;
@@ -430,7 +431,7 @@
   bytes = file_pread (log, ctx, file, offset, length);
   if (bytes == NULL)
     return NULL;
-  *n_bytes = disk_frames_each (bytes, length, file->number, NULL, NULL);
+  *n_bytes = disk_frames_foreach (bytes, length, file->number, NULL, NULL);
   *next = (uint64_t)file->number << 32 | (offset + (uint32_t)*n_bytes);
   return bytes;
 }
@@ -474,6 +475,6 @@
       return NULL;
     }
   *n_bytes = (size_t)disk_frame_check (bytes, n);
-  memmove (bytes, bytes + FRAME_HEAD_BYTES, *n_bytes);
+  memmove (bytes, bytes + FRAME_HEADER_BYTES, *n_bytes);
   return bytes;
 }
--- a/adapters/disk_writer.c
+++ b/adapters/disk_writer.c
@@ -12,7 +12,8 @@
 
 enum
 {
-  /* A file goes when its last record has expired: small files give space back soon. */
+  /* A file that has grown past this size is followed by a new one. A file is deleted only when its
+   * last record has expired, so small files free space sooner. */
   FILE_MAX_BYTES = 8 * 1024 * 1024
 };
 
@@ -26,7 +27,7 @@
   pthread_cond_t wake;
   struct DiskWrite *first, **last;
   bool stop;
-  /* The thread's own. */
+  /* Used by the thread alone. */
   uint32_t file, offset;
   int fd;
 };
@@ -37,7 +38,7 @@
   snprintf (path, DISK_PATH_BYTES, "%s/log-%u", folder, number);
 }
 
-/* The thread. */
+/* Writer thread. */
 
 static bool
 writer_open_next (struct DiskWriter *writer)
@@ -53,7 +54,7 @@
   return writer->fd >= 0;
 }
 
-/* A renamed name may be the old one after a loss of power until its folder is synced. */
+/* Until the folder is synced, a power failure can undo a rename in it. */
 static bool
 folder_sync (const struct DiskWriter *writer)
 {
@@ -66,26 +67,26 @@
 }
 
 static int32_t
-writer_keep (const struct DiskWriter *writer, const struct DiskWrite *w)
+writer_write_kept (const struct DiskWriter *writer, const struct DiskWrite *w)
 {
-  char path[DISK_PATH_BYTES], fresh[DISK_PATH_BYTES];
+  char path[DISK_PATH_BYTES], temp_path[DISK_PATH_BYTES];
   bool written;
   int fd;
 
   snprintf (path, sizeof path, "%s/kept-%s", writer->folder, w->kept_name);
-  snprintf (fresh, sizeof fresh, "%s/fresh-%s", writer->folder, w->kept_name);
-  fd = open (fresh, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+  snprintf (temp_path, sizeof temp_path, "%s/fresh-%s", writer->folder, w->kept_name);
+  fd = open (temp_path, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (fd < 0)
     return ERROR_IO;
-  written = disk_file_put (fd, w->frame, w->frame_bytes) && fdatasync (fd) == 0;
+  written = disk_file_write (fd, w->frame, w->frame_bytes) && fdatasync (fd) == 0;
   close (fd);
-  return written && rename (fresh, path) == 0 && folder_sync (writer) ? ERROR_NONE : ERROR_IO;
+  return written && rename (temp_path, path) == 0 && folder_sync (writer) ? ERROR_NONE : ERROR_IO;
 }
 
-/* Takes the files of their own out of batch, and the rest of it stays: records of the log, for
- * which callers wait, go first. */
+/* Removes the records with their own file from batch and returns them. The log's records stay and
+ * are written first, because callers wait for them. */
 static struct DiskWrite *
-batch_take_kept (struct DiskWrite **batch)
+batch_split_kept (struct DiskWrite **batch)
 {
   struct DiskWrite *kept = NULL, **last = &kept, **at = batch;
 
@@ -106,63 +107,63 @@
   return kept;
 }
 
-/* Writes all of batch and syncs once. After a failure nobody knows what the file holds, so that
- * the next batch starts another one. */
+/* Writes the whole batch and syncs once. After a failure the file's content is unknown, so the next
+ * batch starts a new file. */
 static void
-writer_batch (struct DiskWriter *writer, struct DiskWrite *batch)
+writer_write_batch (struct DiskWriter *writer, struct DiskWrite *batch)
 {
-  bool sound = true;
+  bool ok = true;
 
   if (writer->fd < 0 || writer->offset > FILE_MAX_BYTES)
-    sound = writer_open_next (writer);
-  for (struct DiskWrite *w = batch; w != NULL && sound; w = w->next)
+    ok = writer_open_next (writer);
+  for (struct DiskWrite *w = batch; w != NULL && ok; w = w->next)
     {
       w->place.file = writer->file;
       w->place.offset = writer->offset;
-      w->place.n_bytes = (uint32_t)(w->frame_bytes - FRAME_HEAD_BYTES);
-      sound = disk_file_put (writer->fd, w->frame, w->frame_bytes);
+      w->place.n_bytes = (uint32_t)(w->frame_bytes - FRAME_HEADER_BYTES);
+      ok = disk_file_write (writer->fd, w->frame, w->frame_bytes);
       writer->offset += (uint32_t)w->frame_bytes;
     }
-  sound = sound && fdatasync (writer->fd) == 0;
-  if (!sound && writer->fd >= 0)
+  ok = ok && fdatasync (writer->fd) == 0;
+  if (!ok && writer->fd >= 0)
     {
       close (writer->fd);
       writer->fd = -1;
     }
   for (struct DiskWrite *w = batch; w != NULL; w = w->next)
-    w->error = sound ? ERROR_NONE : ERROR_IO;
+    w->error = ok ? ERROR_NONE : ERROR_IO;
 }
 
 static void
-writer_tell (struct DiskWriter *writer, struct DiskWrite *settled, int64_t started_ms)
+writer_post_done (struct DiskWriter *writer, struct DiskWrite *finished, int64_t started_ms)
 {
   struct DiskMail *mail = talloc_zero (NULL, struct DiskMail);
 
   if (mail == NULL)
-    abort (); /* without it nobody would ever hear of the records */
-  mail->mail.kind = MAIL_DISK_DURABLE;
-  mail->first = settled;
-  mail->took_ms = clock_monotonic_ms () - started_ms;
+    abort (); /* without this message the records' callbacks would never be called */
+  mail->mail.kind = MAIL_DISK_DONE;
+  mail->first = finished;
+  mail->duration_ms = clock_monotonic_ms () - started_ms;
   mailbox_post (writer->mailbox, &mail->mail);
 }
 
 static void
-writer_settle (struct DiskWriter *writer, struct DiskWrite *batch)
+writer_process_batch (struct DiskWriter *writer, struct DiskWrite *batch)
 {
-  struct DiskWrite *kept = batch_take_kept (&batch);
+  struct DiskWrite *kept = batch_split_kept (&batch);
   int64_t started_ms = clock_monotonic_ms ();
 
   if (batch != NULL)
     {
-      writer_batch (writer, batch);
-      writer_tell (writer, batch, started_ms);
+      writer_write_batch (writer, batch);
+      writer_post_done (writer, batch, started_ms);
     }
   if (kept == NULL)
     return;
   started_ms = clock_monotonic_ms ();
   for (struct DiskWrite *w = kept; w != NULL; w = w->next)
-    w->error = writer_keep (writer, w);
-  writer_tell (writer, kept, started_ms);
+    w->error = writer_write_kept (writer, w);
+  writer_post_done (writer, kept, started_ms);
 }
 
 static void *
@@ -183,11 +184,11 @@
       pthread_mutex_unlock (&writer->lock);
       if (batch == NULL)
         return NULL;
-      writer_settle (writer, batch);
+      writer_process_batch (writer, batch);
     }
 }
 
-/* The loop's side. */
+/* Event loop side. */
 
 static int
 writer_free (struct DiskWriter *writer)
@@ -230,15 +231,15 @@
 
   if (write == NULL)
     return NULL;
-  write->frame_bytes = FRAME_HEAD_BYTES + n_bytes;
+  write->frame_bytes = FRAME_HEADER_BYTES + n_bytes;
   write->frame = talloc_array (write, uint8_t, write->frame_bytes);
   if (write->frame == NULL)
     {
       talloc_free (write);
       return NULL;
     }
-  disk_frame_head (write->frame, record, n_bytes);
-  memcpy (write->frame + FRAME_HEAD_BYTES, record, n_bytes);
+  disk_frame_write_header (write->frame, record, n_bytes);
+  memcpy (write->frame + FRAME_HEADER_BYTES, record, n_bytes);
   write->done = done;
   write->data = data;
   return write;
--- a/adapters/disk_writer.h
+++ b/adapters/disk_writer.h
@@ -1,7 +1,7 @@
-/* The thread that writes an archive's records and waits for the disk.
+/* Writer thread: writes an archive's records and waits for the disk.
  *
- * All records that wait when it is free become one batch with one sync. What is settled goes back
- * to the event loop as mail. */
+ * All records that are queued when the thread is idle form one batch with one sync. The results are
+ * posted to the event loop's mailbox. */
 #pragma once
 
 #include "disk_frame.h"
@@ -15,7 +15,7 @@
 
 struct DiskWriter;
 
-/* A record on its way to the disk. */
+/* A record that is queued for writing, and its result. */
 struct DiskWrite
 {
   struct DiskWrite *next;
@@ -26,32 +26,32 @@
   void *data;
   int32_t error;
   struct DiskPlace place;
-  char *kept_name; /* a file of its own; NULL: a record of the log */
+  char *kept_name; /* name of the record's own file; NULL: a record of the log */
 };
 
-/* To the loop: these are settled. */
+/* Message to the loop: the list of finished writes. */
 struct DiskMail
 {
   struct Mail mail;
-  int64_t took_ms;
+  int64_t duration_ms;
   struct DiskWrite *first;
 };
 
-/* Writes to files after last_file in folder, from a thread that ends with the writer; what was
- * submitted before is written first. Posts struct DiskMail of kind MAIL_DISK_DURABLE. NULL without
- * memory. */
+/* Starts a thread that writes to files numbered from last_file + 1 in folder. Freeing the writer
+ * writes what was submitted and joins the thread. Results are posted to mailbox as struct DiskMail
+ * of kind MAIL_DISK_DONE. NULL when out of memory or threads. */
 struct DiskWriter *
 disk_writer_new (TALLOC_CTX *ctx, const char *folder, uint32_t last_file, struct Mailbox *mailbox);
 
-/* A record for the writer, with its frame; the caller sets what else it needs. NULL without
- * memory. */
+/* Allocates a write with record's frame; the caller sets the other fields. NULL when out of memory.
+ */
 struct DiskWrite *
 disk_write_new (const uint8_t *record, size_t n_bytes, DiskLogDone done, void *data);
 
-/* Hands write over. */
+/* Queues write; the writer takes ownership of it. */
 void
 disk_writer_submit (struct DiskWriter *writer, struct DiskWrite *write);
 
-/* Path of a file of records. */
+/* Writes the path of log file number to path. */
 void
 disk_file_path (const char *folder, uint32_t number, char path[DISK_PATH_BYTES]);
--- a/adapters/mailbox.c
+++ b/adapters/mailbox.c
@@ -22,13 +22,13 @@
   struct cds_wfcq_tail tail;
   struct cds_wfcq_node *node, *next;
   uint64_t count;
-  ssize_t got;
+  ssize_t n_read;
 
   (void)events;
   (void)watch;
   (void)flags;
-  got = read (mailbox->wake_fd, &count, sizeof count);
-  (void)got;
+  n_read = read (mailbox->wake_fd, &count, sizeof count);
+  (void)n_read;
   cds_wfcq_init (&head, &tail);
   __cds_wfcq_splice_blocking (&head, &tail, &mailbox->head, &mailbox->tail);
   __cds_wfcq_for_each_blocking_safe (&head, &tail, node, next)
@@ -74,14 +74,14 @@
 mailbox_post (struct Mailbox *mailbox, struct Mail *mail)
 {
   const uint64_t one = 1;
-  ssize_t put;
+  ssize_t n_written;
 
   cds_wfcq_node_init (&mail->node);
   TSAN_RELEASE (mail);
-  /* A box that was not empty has its wake-up under way: the reader empties the counter before it
-   * takes the queue, so whoever finds the queue empty wakes it anew. */
+  /* If the queue was not empty, a wake-up is already pending: the reader resets the counter before
+   * it takes the queue, so the thread that next finds the queue empty writes a new wake-up. */
   if (cds_wfcq_enqueue (&mailbox->head, &mailbox->tail, &mail->node))
     return;
-  put = write (mailbox->wake_fd, &one, sizeof one);
-  (void)put;
+  n_written = write (mailbox->wake_fd, &one, sizeof one);
+  (void)n_written;
 }
--- a/include/buckthornhead/disk_log.h
+++ b/include/buckthornhead/disk_log.h
@@ -1,9 +1,10 @@
-/* Log on this machine's disk: records that are durable when their callback says so.
+/* Append-only log on the local disk; the callback of an append reports whether its record is
+ * durable.
  *
- * Files of some megabytes, <folder>/log-<number>, each a row of frames: four bytes of length, eight
- * of checksum, the record. A thread of its own writes and syncs, one sync for all records that
- * wait, so that the event loop never waits for the disk. Records are read back by place; their
- * content is not kept in memory. */
+ * Files of some megabytes, <folder>/log-<number>, each a sequence of frames: length (4 bytes),
+ * checksum (8 bytes), record. A separate thread writes and syncs, with one sync for all waiting
+ * records, so that the event loop never blocks on the disk. Records are read back by place; their
+ * content is not cached in memory. */
 #pragma once
 
 #include <buckthornhead/error.h>
@@ -16,11 +17,11 @@
 
 struct DiskLog;
 
-/* Where a record lies. */
+/* Location of a record. */
 struct DiskPlace
 {
   uint32_t file;
-  uint32_t offset; /* of its frame */
+  uint32_t offset; /* of the record's frame in the file */
   uint32_t n_bytes;
 };
 
@@ -29,12 +30,12 @@
                            const uint8_t *record,
                            size_t n_bytes);
 
-/* place is valid when error is ERROR_NONE; ERROR_IO: it is not certain that the record is kept. */
+/* place is valid when error is ERROR_NONE; after ERROR_IO the record may or may not be stored. */
 typedef void (*DiskLogDone) (void *data, int32_t error, const struct DiskPlace *place);
 
-/* Opens folder, made if it is missing, and calls fn for each whole record in it, oldest first;
- * *log is set before that. A torn end was never reported durable, and is passed over. ERROR_IO with
- * fault. */
+/* Opens folder, created if missing, and calls fn for each whole record in it, oldest first; *log is
+ * set before the first call. A torn end of a file was never reported durable and is skipped.
+ * ERROR_IO or ERROR_NO_MEMORY, with fault set. */
 int32_t
 disk_log_open (TALLOC_CTX *ctx,
                struct tevent_context *events,
@@ -44,16 +45,16 @@
                struct DiskLog **log,
                struct Fault *fault);
 
-/* True when folder holds the mark that disk_log_mark_complete sets. */
+/* Returns whether folder holds the mark that disk_log_mark_complete writes. */
 bool
 disk_log_is_complete (const struct DiskLog *log);
 
-/* Durably. ERROR_IO. */
+/* Writes and syncs the completeness mark. ERROR_IO. */
 int32_t
 disk_log_mark_complete (struct DiskLog *log);
 
-/* Appends; done is called later, from the loop. expires_unix_ms: the record's file may go once all
- * its records have expired. ERROR_NO_MEMORY. */
+/* Appends record; done is called later, from the loop. A file may be deleted once all its records
+ * are past their expires_unix_ms. ERROR_NO_MEMORY. */
 int32_t
 disk_log_append (struct DiskLog *log,
                  const uint8_t *record,
@@ -62,23 +63,24 @@
                  DiskLogDone done,
                  void *data);
 
-/* The record at place, which belongs to ctx; NULL when it can not be read whole. */
+/* Returns the record at place, belonging to ctx; NULL when it can not be read whole. */
 uint8_t *
 disk_log_read (struct DiskLog *log,
                TALLOC_CTX *ctx,
                const struct DiskPlace *place,
                size_t *n_bytes);
 
-/* The file's records expire later than they said when they were appended. */
+/* Keeps file at least until expires_unix_ms, beyond the expiry given for its records. */
 void
 disk_log_extend (struct DiskLog *log, uint32_t file, int64_t expires_unix_ms);
 
-/* Deletes files in which everything has expired. */
+/* Deletes files in which all records have expired, except the one that is being written. */
 void
 disk_log_drop_expired (struct DiskLog *log, int64_t unix_ms);
 
-/* Whole frames from cursor (0: the first) on, at most about max_bytes, for another archive. *next
- * is the cursor after them; *last: there are no more for now. NULL when a file can not be read. */
+/* Returns whole frames from cursor (0: the first) on, for copying to another archive: at most
+ * max_bytes, more only when the first record alone is longer. *next is the cursor after them; *last
+ * is set when there are no more at present. NULL when a file can not be read. */
 uint8_t *
 disk_log_frames (struct DiskLog *log,
                  TALLOC_CTX *ctx,
@@ -88,12 +90,13 @@
                  uint64_t *next,
                  bool *last);
 
-/* Calls fn for each whole frame in bytes; place is that within bytes. */
+/* Calls fn for each whole frame in bytes; place is relative to bytes, with file 0. */
 void
 disk_log_each_frame (const uint8_t *bytes, size_t n_bytes, DiskLogFn fn, void *data);
 
-/* One record in a file of its own beside the log, replaced as a whole. done is called later, from
- * the loop, with a place that says nothing; the loop never waits for the disk. ERROR_NO_MEMORY. */
+/* Stores one record in its own file beside the log, replacing the previous one atomically. done is
+ * called later, from the loop, with an unset place; the loop never blocks on the disk.
+ * ERROR_NO_MEMORY. */
 int32_t
 disk_log_keep (struct DiskLog *log,
                const char *name,
@@ -102,6 +105,7 @@
                DiskLogDone done,
                void *data);
 
-/* What was kept under name, belonging to ctx; NULL when there is none that is whole. */
+/* Returns the record that disk_log_keep stored under name, belonging to ctx; NULL when it is
+ * missing or torn. */
 uint8_t *
 disk_log_kept (struct DiskLog *log, TALLOC_CTX *ctx, const char *name, size_t *n_bytes);
--- a/include/buckthornhead/mailbox.h
+++ b/include/buckthornhead/mailbox.h
@@ -1,7 +1,7 @@
-/* Mailbox: how other threads hand work to the thread that runs an event loop.
+/* Mailbox: passes messages from other threads to the thread that runs an event loop.
  *
- * Posting is wait-free but for one wake-up write when the box was empty; the loop's thread takes
- * all that waits at once. Built on liburcu's wait-free queue. */
+ * Posting is wait-free, except for one wake-up write when the mailbox was empty; the loop's thread
+ * takes all queued messages at once. Built on liburcu's wait-free queue. */
 #pragma once
 
 #include <stdint.h>
@@ -13,17 +13,17 @@
 enum MailKind
 {
   MAIL_CALLER_REQUEST, /* to the core: a caller's request is complete */
-  MAIL_CALLER_GONE,    /* to the core: its connection closed */
+  MAIL_CALLER_GONE,    /* to the core: the caller's connection closed */
   MAIL_BACKEND_CHUNK,  /* to the core: struct BackendMail */
   MAIL_BACKEND_END,    /* to the core: struct BackendMail */
   MAIL_BACKEND_SUBMIT, /* to a backend thread */
   MAIL_BACKEND_CANCEL, /* to a backend thread */
-  MAIL_DISK_DURABLE,   /* to the loop of a disk log: struct DiskMail */
+  MAIL_DISK_DONE,      /* to a disk log's loop: struct DiskMail */
   MAIL_STOP
 };
 
-/* First member of every message; a message is a talloc object without a parent, and belongs to
- * the receiver from mailbox_post on. */
+/* First member of every message. A message is a talloc object without a parent; mailbox_post passes
+ * its ownership to the receiver. */
 struct Mail
 {
   struct cds_wfcq_node node;
@@ -37,6 +37,6 @@
 struct Mailbox *
 mailbox_new (TALLOC_CTX *ctx, struct tevent_context *events, MailFn receive, void *data);
 
-/* From any thread. */
+/* Queues mail for the mailbox's loop. May be called from any thread. */
 void
 mailbox_post (struct Mailbox *mailbox, struct Mail *mail);
