--- a/adapters/snapshot.c
+++ b/adapters/snapshot.c
@@ -22,7 +22,7 @@
 {
   const struct SnapshotMember *member;
   int32_t rank;
-  uint64_t score; /* rendezvous, so that callers spread and yet agree */
+  uint64_t score; /* rendezvous hash: spreads programs, same order for all callers of one */
 };
 
 static struct Snapshot *published;
@@ -30,16 +30,16 @@
 void
 snapshot_publish (struct Snapshot *snapshot)
 {
-  struct Snapshot *former;
+  struct Snapshot *previous;
 
   TSAN_RELEASE (snapshot);
-  former = rcu_xchg_pointer (&published, snapshot);
+  previous = rcu_xchg_pointer (&published, snapshot);
 
-  if (former == NULL)
+  if (previous == NULL)
     return;
   synchronize_rcu ();
   TSAN_ACQUIRE (&published);
-  talloc_free (former);
+  talloc_free (previous);
 }
 
 static int
@@ -96,7 +96,7 @@
 snapshot_rank (TALLOC_CTX *ctx, const char *program, const char *zone)
 {
   const struct Snapshot *snapshot;
-  json_t *answer = json_object ();
+  json_t *response = json_object ();
   char *text, *copy;
 
   rcu_read_lock ();
@@ -104,14 +104,14 @@
   if (snapshot != NULL)
     {
       TSAN_ACQUIRE (snapshot);
-      json_object_set_new (answer, "addresses", snapshot_addresses (snapshot, program, zone));
-      json_object_set_new (answer, "keep_ms", json_integer (snapshot->keep_ms));
+      json_object_set_new (response, "addresses", snapshot_addresses (snapshot, program, zone));
+      json_object_set_new (response, "keep_ms", json_integer (snapshot->keep_ms));
     }
   TSAN_RELEASE (&published);
   rcu_read_unlock ();
-  text = json_dumps (answer, JSON_COMPACT);
+  text = json_dumps (response, JSON_COMPACT);
   copy = talloc_strdup (ctx, text);
   free (text);
-  json_decref (answer);
+  json_decref (response);
   return copy;
 }
--- a/adapters/timer_tevent.c
+++ b/adapters/timer_tevent.c
@@ -19,15 +19,15 @@
 }
 
 static void
-tevent_timers_on_due (struct tevent_context *events,
-                      struct tevent_timer *due,
-                      struct timeval now,
-                      void *data)
+tevent_timers_on_expired (struct tevent_context *events,
+                          struct tevent_timer *expired,
+                          struct timeval now,
+                          void *data)
 {
   struct Timer *timer = data;
 
   (void)events;
-  (void)due;
+  (void)expired;
   (void)now;
   timer->adapter = NULL;
   timer_fire (timer);
@@ -36,10 +36,10 @@
 static void
 tevent_timers_disarm (struct TimerService *service, struct Timer *timer)
 {
-  struct tevent_timer *due = timer->adapter;
+  struct tevent_timer *armed = timer->adapter;
 
   (void)service;
-  TALLOC_FREE (due);
+  TALLOC_FREE (armed);
   timer->adapter = NULL;
 }
 
@@ -55,7 +55,7 @@
   timer->adapter = tevent_add_timer (
       timers->events, timer,
       tevent_timeval_current_ofs ((uint32_t)(delay_ms / 1000), (uint32_t)(delay_ms % 1000) * 1000),
-      tevent_timers_on_due, timer);
+      tevent_timers_on_expired, timer);
 }
 
 static const struct TimerOps tevent_timer_ops = {
--- a/include/buckthornhead/clock.h
+++ b/include/buckthornhead/clock.h
@@ -1,12 +1,14 @@
-/* The machine's clocks, for adapters and daemons; parts in core/ are given the time. */
+/* System clocks for adapters and daemons. Code in core/ never reads a clock itself: it uses a
+ * TimerService or takes the time as an argument. */
 #pragma once
 
 #include <stdint.h>
 
-/* Milliseconds on the monotonic clock, for waiting and measuring. */
+/* Returns milliseconds on the monotonic clock, for timeouts and durations. */
 int64_t
 clock_monotonic_ms (void);
 
-/* Milliseconds of wall time since 1970, for what another process or machine compares. */
+/* Returns wall-clock milliseconds since 1970, for times that other processes or instances compare.
+ */
 int64_t
 clock_unix_ms (void);
--- a/include/buckthornhead/snapshot.h
+++ b/include/buckthornhead/snapshot.h
@@ -1,7 +1,7 @@
-/* What the HTTP threads may read without asking the core: members and homes, published by RCU.
+/* Members and partition homes, published by RCU for the HTTP threads.
  *
- * The core builds a new snapshot at each change and publishes it; readers on the request path take
- * no lock. */
+ * The core thread builds and publishes a new snapshot after each change; readers on the request
+ * path take no lock and send the core no message. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -22,16 +22,17 @@
   struct SnapshotMember *members;
   size_t n_members;
   uint32_t n_partitions;
-  int32_t *homes;   /* index into members for each partition, -1 for none */
-  uint32_t keep_ms; /* how long a caller may keep an answer */
+  int32_t *homes;   /* for each partition an index into members, -1 for none */
+  uint32_t keep_ms; /* how long a caller may cache the address list */
 };
 
-/* Core thread: publishes snapshot, whose ownership passes; the former one is freed once no reader
- * holds it. */
+/* Publishes snapshot and takes ownership of it; the previous one is freed once no reader uses it.
+ * Core thread only. */
 void
 snapshot_publish (struct Snapshot *snapshot);
 
-/* Addresses for program as a JSON object (belongs to ctx): its home first, then the caller's
- * availability zone, then the others; draining ones left out, suspected ones last. Any thread. */
+/* Returns the members' caller addresses for program as a JSON object (belongs to ctx): its home
+ * first, then members in the caller's availability zone, then the others. Draining members are left
+ * out, suspected members come last. May be called from any thread. */
 char *
 snapshot_rank (TALLOC_CTX *ctx, const char *program, const char *zone);
--- a/include/buckthornhead/timer_tevent.h
+++ b/include/buckthornhead/timer_tevent.h
@@ -1,4 +1,4 @@
-/* Timer service on a tevent loop, with the machine's monotonic clock. */
+/* Timer service on a tevent loop, using the system's monotonic clock. */
 #pragma once
 
 #include <buckthornhead/timer.h>
--- a/include/buckthornhead/tsan.h
+++ b/include/buckthornhead/tsan.h
@@ -1,7 +1,7 @@
-/* What ThreadSanitizer can not see: liburcu orders memory with inline assembly.
+/* ThreadSanitizer annotations: it can not see that liburcu orders memory with inline assembly.
  *
- * A release and an acquire on the same address tell it of the order that the queue or the flag in
- * between makes. Nothing is generated in other builds. */
+ * A release and a later acquire on the same address declare the ordering that the queue or flag
+ * between them provides. Other builds generate no code. */
 #pragma once
 
 #ifdef __SANITIZE_THREAD__
