--- a/adapters/kv_http.c
+++ b/adapters/kv_http.c
@@ -17,7 +17,7 @@
   int64_t timeout_ms;
 };
 
-/* One request on the way. */
+/* A pending request. */
 struct KvCall
 {
   struct KvHttp *kv;
@@ -26,10 +26,10 @@
   void *data;
   struct CurlCall *http;
   struct KvResult result;
-  char *line; /* of a watch's answer, so far */
+  char *line; /* of a watch's response, received so far */
   size_t line_bytes;
-  bool watch_created; /* the service has taken the watch up */
-  bool watch_answered;
+  bool watch_created; /* the service has confirmed the watch */
+  bool watch_completed;
 };
 
 static const char *
@@ -64,7 +64,7 @@
 /* Building requests. */
 
 static json_t *
-bytes_json (const void *bytes, size_t n_bytes)
+base64_json (const void *bytes, size_t n_bytes)
 {
   char *text = base64_text (NULL, bytes, n_bytes);
   json_t *value = json_string (text);
@@ -76,17 +76,17 @@
 static json_t *
 key_json (const char *key)
 {
-  return bytes_json (key, strlen (key));
+  return base64_json (key, strlen (key));
 }
 
-/* The gateway takes and gives 64-bit numbers as strings. */
+/* The etcd JSON gateway encodes 64-bit numbers as strings. */
 static json_t *
 number_json (int64_t number)
 {
   return json_sprintf ("%lld", (long long)number);
 }
 
-/* First key after all that start with prefix; one zero byte means that there is none. */
+/* Returns the first key after all keys with prefix; one zero byte means no upper bound. */
 static json_t *
 prefix_end_json (const char *prefix)
 {
@@ -94,10 +94,10 @@
   char end[KV_KEY_MAX_BYTES + 1] = "";
 
   if (n == 0)
-    return bytes_json ("", 1);
+    return base64_json ("", 1);
   strncpy (end, prefix, sizeof end - 1);
   end[n - 1]++;
-  return bytes_json (end, n);
+  return base64_json (end, n);
 }
 
 static json_t *
@@ -106,7 +106,7 @@
   return json_pack ("{s:o}", "key", key_json (key));
 }
 
-/* One operation that happens only if condition holds; else the key's present state is given. */
+/* Returns a transaction that applies op only if condition holds, and else reads the key. */
 static json_t *
 conditional_json (const char *key, enum KvCondition condition, int64_t mod_revision, json_t *op)
 {
@@ -129,7 +129,7 @@
 {
   json_t *put = get_json (request->put.key);
 
-  json_object_set_new (put, "value", bytes_json (request->put.value, request->put.value_bytes));
+  json_object_set_new (put, "value", base64_json (request->put.value, request->put.value_bytes));
   if (request->put.lease_id != 0)
     json_object_set_new (put, "lease", number_json (request->put.lease_id));
   return conditional_json (request->put.key, request->put.condition, request->put.mod_revision,
@@ -187,7 +187,7 @@
   return NULL;
 }
 
-/* Reading answers. */
+/* Reading responses. */
 
 static int64_t
 json_number (const json_t *object, const char *name)
@@ -214,7 +214,7 @@
   return entry->key != NULL && entry->value != NULL;
 }
 
-/* A range's kvs; they may be missing when there are none. */
+/* Reads the kvs of a range response; the field is missing when there are none. */
 static bool
 range_read (struct KvCall *call, const json_t *range)
 {
@@ -232,25 +232,26 @@
 }
 
 static int32_t
-txn_read (struct KvCall *call, const json_t *answer)
+txn_read (struct KvCall *call, const json_t *response)
 {
-  const json_t *response = json_array_get (json_object_get (answer, "responses"), 0);
+  const json_t *failure = json_array_get (json_object_get (response, "responses"), 0);
 
-  if (json_is_true (json_object_get (answer, "succeeded")))
+  if (json_is_true (json_object_get (response, "succeeded")))
     return ERROR_NONE;
-  if (!range_read (call, json_object_get (response, "response_range")))
+  if (!range_read (call, json_object_get (failure, "response_range")))
     return ERROR_UNKNOWN_EFFECT;
   return ERROR_CONFLICT;
 }
 
-/* The fields of a complete answer; the error when they are not as published. */
+/* Reads the fields of a complete response. Returns error lost when they are not as in etcd's API.
+ */
 static int32_t
-answer_read (struct KvCall *call, const json_t *answer, int32_t lost)
+response_read (struct KvCall *call, const json_t *response, int32_t lost)
 {
-  const json_t *result = answer;
+  const json_t *result = response;
 
   if (call->op == KV_OP_LEASE_KEEPALIVE)
-    result = json_object_get (answer, "result");
+    result = json_object_get (response, "result");
   if (json_object_get (result, "header") == NULL)
     return lost;
   call->result.revision = json_number (json_object_get (result, "header"), "revision");
@@ -277,9 +278,9 @@
   return ERROR_NONE;
 }
 
-/* What an answer's status says of its effect. The gateway answers 503 also for a proposal that
- * timed out inside the service and may be applied yet, so only those statuses count as "not
- * applied" that are decided before anything is proposed. */
+/* Returns the error for an HTTP status. The gateway also sends 503 for a proposal that timed out
+ * inside etcd and may still be applied. So only statuses that are sent before a proposal is made
+ * count as "not applied"; all others return lost. */
 static int32_t
 status_error (uint32_t status, int32_t lost)
 {
@@ -303,7 +304,7 @@
     }
 }
 
-/* A read has no effect to be unknown: without an answer it is as if it had never left. */
+/* A read changes nothing, so one without a response is treated as never sent. */
 static int32_t
 http_error (const struct KvCall *call, const struct HttpResult *http)
 {
@@ -317,7 +318,7 @@
 }
 
 static void
-kv_call_answer (struct KvCall *call, int32_t error)
+kv_call_complete (struct KvCall *call, int32_t error)
 {
   call->http = NULL;
   call->result.error = error;
@@ -334,15 +335,15 @@
   struct KvCall *call = data;
   int32_t lost = kv_op_is_read (call->op) ? ERROR_UNREACHABLE : ERROR_UNKNOWN_EFFECT;
   int32_t error = http_error (call, http);
-  json_t *answer = NULL;
+  json_t *response = NULL;
 
   if (error == ERROR_NONE)
     {
-      answer = json_loadb ((const char *)http->body, http->body_bytes, 0, NULL);
-      error = answer_read (call, answer, lost);
-      json_decref (answer);
+      response = json_loadb ((const char *)http->body, http->body_bytes, 0, NULL);
+      error = response_read (call, response, lost);
+      json_decref (response);
     }
-  kv_call_answer (call, error);
+  kv_call_complete (call, error);
 }
 
 static bool
@@ -365,29 +366,29 @@
   return true;
 }
 
-/* One message of a watch; true when the watch is answered by it. */
+/* Reads one message of a watch. Returns whether it completes the watch. */
 static bool
 watch_read_line (struct KvCall *call)
 {
   json_t *message = json_loadb (call->line, call->line_bytes, 0, NULL);
   const json_t *result = json_object_get (message, "result");
   const json_t *events = json_object_get (result, "events");
-  bool answered = true;
+  bool completed = true;
 
   if (result == NULL)
     call->result.error = ERROR_UNREACHABLE;
   else if (json_is_true (json_object_get (result, "canceled")))
-    call->result.error = ERROR_NOT_FOUND; /* start_revision is no longer kept */
+    call->result.error = ERROR_NOT_FOUND; /* start_revision has been compacted */
   else if (json_array_size (events) > 0)
     call->result.error = watch_read_events (call, events) ? ERROR_NONE : ERROR_UNREACHABLE;
   else
-    answered = false;
+    completed = false;
   call->watch_created = call->watch_created || result != NULL;
   if (result != NULL)
     call->result.revision = json_number (json_object_get (result, "header"), "revision");
   json_decref (message);
   call->line_bytes = 0;
-  return answered;
+  return completed;
 }
 
 static void
@@ -398,32 +399,32 @@
   if (status != 200)
     return;
   call->line = talloc_realloc (call, call->line, char, call->line_bytes + n_bytes);
-  for (size_t i = 0; i < n_bytes && !call->watch_answered; i++)
+  for (size_t i = 0; i < n_bytes && !call->watch_completed; i++)
     {
       if (bytes[i] != '\n')
         call->line[call->line_bytes++] = (char)bytes[i];
       else
-        call->watch_answered = watch_read_line (call);
+        call->watch_completed = watch_read_line (call);
     }
-  if (call->watch_answered)
+  if (call->watch_completed)
     curl_call_stop (call->http);
 }
 
-/* A watch that the service took up and that no change ended is answered empty when its time is
- * over; one that it never took up tells nothing, and must not look like a quiet one. */
+/* A watch that the service confirmed and that saw no change completes empty at its deadline. One
+ * that was never confirmed fails: the caller must not take it for a watch without changes. */
 static void
 watch_on_done (void *data, const struct HttpResult *http)
 {
   struct KvCall *call = data;
   int32_t error = ERROR_UNREACHABLE;
 
-  if (call->watch_answered)
+  if (call->watch_completed)
     error = call->result.error;
   else if (http->timed_out && call->watch_created)
     error = ERROR_NONE;
   else if (http->whole && http->status != 200)
     error = status_error (http->status, ERROR_UNREACHABLE);
-  kv_call_answer (call, error);
+  kv_call_complete (call, error);
 }
 
 static int
--- a/adapters/spool.c
+++ b/adapters/spool.c
@@ -18,7 +18,7 @@
 static const char file_prefix[] = "spool-";
 static const char id_file[] = "disk-id";
 
-/* Number of the entry that seals a file: nothing of its writer is taken any more. */
+/* Number of the entry that seals a file: its writer's later records are refused. */
 static const uint64_t seal_number = UINT64_MAX;
 
 enum
@@ -43,9 +43,9 @@
   char *path;
   int fd;
   bool dirty;
-  off_t good_bytes; /* up to here the file is durable and whole */
+  off_t durable_bytes; /* length of the durable, whole part of the file */
   struct SpoolEntry *entries;
-  size_t n_entries, n_dropped; /* the first n_dropped are forgotten */
+  size_t n_entries, n_dropped; /* the first n_dropped entries are dropped */
 };
 
 struct Spool
@@ -80,7 +80,10 @@
 }
 
 static int32_t
-spool_file_remember (struct SpoolFile *file, uint64_t number, const uint8_t *record, size_t n_bytes)
+spool_file_add_entry (struct SpoolFile *file,
+                      uint64_t number,
+                      const uint8_t *record,
+                      size_t n_bytes)
 {
   struct SpoolEntry *entries =
       talloc_realloc (file, file->entries, struct SpoolEntry, file->n_entries + 1);
@@ -100,9 +103,10 @@
   return ERROR_NONE;
 }
 
-/* Takes one entry out of a file's content. False when it is no whole one. */
+/* Decodes and adds one entry of a file. Returns false when it is malformed or its checksum is
+ * wrong. */
 static bool
-spool_file_take (struct SpoolFile *file, const msgpack_object *object)
+spool_file_load_entry (struct SpoolFile *file, const msgpack_object *object)
 {
   const msgpack_object *items;
 
@@ -116,12 +120,12 @@
                       items[1].via.bin.size)
       != items[2].via.u64)
     return false;
-  return spool_file_remember (file, items[0].via.u64, (const uint8_t *)items[1].via.bin.ptr,
-                              items[1].via.bin.size)
+  return spool_file_add_entry (file, items[0].via.u64, (const uint8_t *)items[1].via.bin.ptr,
+                               items[1].via.bin.size)
          == ERROR_NONE;
 }
 
-/* Reads what is whole and cuts off the rest. */
+/* Loads the whole entries of the file and cuts off the rest. */
 static int32_t
 spool_file_load (struct SpoolFile *file)
 {
@@ -138,19 +142,20 @@
   msgpack_unpacked_init (&unpacked);
   while (msgpack_unpack_next (&unpacked, content, (size_t)status.st_size, &at)
              == MSGPACK_UNPACK_SUCCESS
-         && spool_file_take (file, &unpacked.data))
+         && spool_file_load_entry (file, &unpacked.data))
     {
-      file->good_bytes = (off_t)at;
+      file->durable_bytes = (off_t)at;
       file->entries[file->n_entries - 1].durable = true;
     }
   msgpack_unpacked_destroy (&unpacked);
   talloc_free (content);
-  if (file->good_bytes == status.st_size)
+  if (file->durable_bytes == status.st_size)
     return ERROR_NONE;
   log_event (LOG_LEVEL_WARNING, "spool_torn", NULL,
-             "nothing: what is cut off was never acknowledged", "%s: %lld of %lld bytes are whole",
-             file->path, (long long)file->good_bytes, (long long)status.st_size);
-  return ftruncate (file->fd, file->good_bytes) == 0 ? ERROR_NONE : ERROR_IO;
+             "no action needed: the rest was never acknowledged and is cut off",
+             "%s: %lld of %lld bytes are whole", file->path, (long long)file->durable_bytes,
+             (long long)status.st_size);
+  return ftruncate (file->fd, file->durable_bytes) == 0 ? ERROR_NONE : ERROR_IO;
 }
 
 static struct SpoolFile *
@@ -183,28 +188,28 @@
   return spool->id;
 }
 
-/* Reads the id, or makes one that lasts. */
+/* Loads the disk's id, or generates one and stores it durably. */
 static bool
-spool_load_id (struct Spool *spool)
+spool_load_or_create_id (struct Spool *spool)
 {
   char *path = talloc_asprintf (spool, "%s/%s", spool->folder, id_file);
   int fd = open (path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   uint64_t bits[2];
-  bool good = false;
+  bool loaded = false;
 
   talloc_free (path);
   if (fd < 0)
     return false;
   if (read (fd, spool->id, SPOOL_ID_BYTES) == SPOOL_ID_BYTES)
-    good = true;
+    loaded = true;
   else if (getrandom (bits, sizeof bits, 0) == sizeof bits)
     {
       snprintf (spool->id, sizeof spool->id, "%016" PRIx64 "%016" PRIx64, bits[0], bits[1]);
-      good = pwrite (fd, spool->id, SPOOL_ID_BYTES, 0) == SPOOL_ID_BYTES && fsync (fd) == 0
-             && fsync (spool->folder_fd) == 0;
+      loaded = pwrite (fd, spool->id, SPOOL_ID_BYTES, 0) == SPOOL_ID_BYTES && fsync (fd) == 0
+               && fsync (spool->folder_fd) == 0;
     }
   close (fd);
-  return good;
+  return loaded;
 }
 
 static int
@@ -229,7 +234,7 @@
   if (spool->folder_fd < 0)
     goto fail;
   talloc_set_destructor (spool, spool_free);
-  if (!spool_load_id (spool))
+  if (!spool_load_or_create_id (spool))
     goto fail;
   listing = opendir (folder);
   if (listing == NULL)
@@ -243,8 +248,8 @@
   return ERROR_NONE;
 
 fail:
-  fault_set (fault, ERROR_IO, "check [instance] data_folder and its rights",
-             "the spool in %s can not be opened: %s", folder, strerror (errno));
+  fault_set (fault, ERROR_IO, "check [instance] data_folder and its permissions",
+             "cannot open the spool in %s: %s", folder, strerror (errno));
   if (listing != NULL)
     closedir (listing);
   talloc_free (spool);
@@ -298,14 +303,15 @@
     return ERROR_NONE;
   error = spool_file_write (file, number, record, n_bytes);
   file->dirty = true;
-  return error == ERROR_NONE ? spool_file_remember (file, number, record, n_bytes) : error;
+  return error == ERROR_NONE ? spool_file_add_entry (file, number, record, n_bytes) : error;
 }
 
 int32_t
 spool_seal (struct Spool *spool, const char *writer)
 {
-  /* A former home that was paused may still send records after the taker has read: a seal on all
-   * but one of the disks meets each pair of them, so no such record can be acknowledged. */
+  /* A former home that was paused may still send records after its successor has read the spools. A
+   * record is acknowledged once two disks hold it. With all disks but one sealed, each pair
+   * includes a sealed one, so no such record can be acknowledged. */
   int32_t error = spool_put (spool, writer, seal_number, NULL, 0);
 
   if (error == ERROR_FENCED)
@@ -313,14 +319,14 @@
   return error == ERROR_NONE ? spool_sync (spool) : error;
 }
 
-/* What was put since the last sync may be on the disk or not: it is cut off, so that a later record
- * can not stand behind a torn one. */
+/* Cuts off the records since the last sync, which may or may not be on the disk, so that no later
+ * record follows a torn one. */
 static void
-spool_file_cut (struct SpoolFile *file)
+spool_file_truncate_unsynced (struct SpoolFile *file)
 {
-  if (ftruncate (file->fd, file->good_bytes) != 0)
-    log_event (LOG_LEVEL_ERROR, "spool_failed", NULL, "replace the instance: its disk fails", "%s",
-               file->path);
+  if (ftruncate (file->fd, file->durable_bytes) != 0)
+    log_event (LOG_LEVEL_ERROR, "spool_failed", NULL, "replace the instance: its disk is failing",
+               "%s", file->path);
   while (file->n_entries > 0 && !file->entries[file->n_entries - 1].durable)
     file->n_entries--;
 }
@@ -338,14 +344,14 @@
       if (fdatasync (f->fd) != 0)
         {
           error = ERROR_IO;
-          spool_file_cut (f);
+          spool_file_truncate_unsynced (f);
           continue;
         }
-      f->good_bytes = lseek (f->fd, 0, SEEK_END);
+      f->durable_bytes = lseek (f->fd, 0, SEEK_END);
       for (size_t i = 0; i < f->n_entries; i++)
         f->entries[i].durable = true;
     }
-  /* A new file's name must last as well. */
+  /* Makes the directory entries of new files durable. */
   if (fsync (spool->folder_fd) != 0)
     error = ERROR_IO;
   return error;
--- a/include/buckthornhead/spool.h
+++ b/include/buckthornhead/spool.h
@@ -1,9 +1,10 @@
-/* Spool: journal records kept on this instance's disk for other instances, while the platform's
- * key-value service is down.
+/* Spool: journal records stored on this instance's disk for other instances while the platform's
+ * key-value service is unavailable.
  *
- * One file a writer (an incarnation), <folder>/spool-<writer>, holding msgpack arrays of
- * [number, record, checksum]. A record counts once spool_sync has returned after its put. A tail
- * that a crash tore is cut off when the file is opened again: it was never acknowledged. */
+ * One file per writer (an incarnation), <folder>/spool-<writer>, holding msgpack arrays of
+ * [number, record, checksum]. A record is durable once spool_sync has succeeded after its
+ * spool_put. A tail torn by a crash is cut off when the file is opened again: it was never
+ * acknowledged. */
 #pragma once
 
 #include <buckthornhead/error.h>
@@ -15,18 +16,19 @@
 
 struct Spool;
 
-/* Opens folder, made if it is missing, and checks every file in it. ERROR_IO with the system's
- * words in fault. */
+/* Opens folder, created if missing, and loads every spool file in it. ERROR_IO with the system's
+ * error message in fault. */
 int32_t
 spool_open (TALLOC_CTX *ctx, const char *folder, struct Spool **spool, struct Fault *fault);
 
-/* Id of this disk, made at random when the folder was first opened: a folder that lost its content
- * gets another. */
+/* Returns the id of this disk, generated at random when the folder is first opened. A folder that
+ * lost its content gets a new id. */
 const char *
 spool_id (const struct Spool *spool);
 
-/* Adds record number (ascending for its writer) to what the next spool_sync makes durable. A
- * number that is there already is ERROR_NONE: a resend. ERROR_FENCED once the writer was sealed. */
+/* Writes a record that the next spool_sync makes durable. Numbers ascend for each writer; a number
+ * not above the last one is a resend, and returns ERROR_NONE. ERROR_FENCED once the writer is
+ * sealed. */
 int32_t
 spool_put (struct Spool *spool,
            const char *writer,
@@ -34,16 +36,17 @@
            const uint8_t *record,
            size_t n_bytes);
 
-/* Makes all that was put durable; ERROR_IO when that is not certain, and nothing put since the last
- * sync counts. */
+/* Makes all records since the last sync durable. ERROR_IO when that is not certain: records since
+ * the last sync must then not be acknowledged. */
 int32_t
 spool_sync (struct Spool *spool);
 
-/* A taker reads the writer's spool: from now on, durably, the writer's puts are ERROR_FENCED. */
+/* Seals writer durably, before another instance reads its spool: later puts return ERROR_FENCED. */
 int32_t
 spool_seal (struct Spool *spool, const char *writer);
 
-/* The writer has all up to number in its journal: forgotten, and the file with its last record. */
+/* Drops the records up to number, which writer has moved to its journal, and deletes the file with
+ * its last record. */
 int32_t
 spool_drop (struct Spool *spool, const char *writer, uint64_t number);
 
@@ -52,6 +55,6 @@
 void
 spool_each (const struct Spool *spool, const char *writer, SpoolFn fn, void *data);
 
-/* Records kept now, of all writers. */
+/* Returns the number of stored records of all writers. */
 size_t
 spool_count (const struct Spool *spool);
