--- a/adapters/peer_net.c
+++ b/adapters/peer_net.c
@@ -17,18 +17,19 @@
   FRAME_LENGTH_BYTES = 4,
   READ_CHUNK_BYTES = 64 * 1024,
   DIAL_RETRY_MS = 200,
-  /* A dialled link that is not connected by then is dialled anew. The kernel sends a lost opening
-   * packet again after 1, 2, 4 s: after a partition of some seconds a link that was dialled inside
-   * it would come up that much later. Well over a round trip between regions. */
+  /* A dialled link that is not connected after this time is closed and dialled anew. The kernel
+   * retransmits a lost SYN only after 1, 2 and 4 s, so a link dialled during a network partition of
+   * some seconds would connect that much later. Well above a round trip between regions. */
   DIAL_TIMEOUT_MS = 500,
-  /* Bytes sent and not acknowledged for this long: the link is dead. Longer than a pause of the
-   * other process; silence alone is noticed by heartbeats. */
+  /* TCP_USER_TIMEOUT: the kernel closes a link whose sent bytes are not acknowledged for this long.
+   * Longer than a pause of the other process; heartbeats detect peers that send nothing. */
   USER_TIMEOUT_MS = 10 * 1000,
-  /* A peer that stops reading must not take the instance's memory with it. */
+  /* Limits the bytes queued for one link, so that a peer that stops reading does not exhaust the
+   * instance's memory. */
   WRITE_QUEUE_MAX_BYTES = 64 * 1024 * 1024
 };
 
-/* A frame that waits to be written. */
+/* A frame queued for sending. */
 struct PeerFrame
 {
   struct PeerFrame *next;
@@ -36,17 +37,17 @@
   size_t n_bytes, n_written;
 };
 
-struct PeerKnown;
+struct PeerEntry;
 
 struct PeerLink
 {
   struct PeerNet *net;
-  struct PeerKnown *known; /* that it was dialled to; NULL: accepted, or forgotten since */
+  struct PeerEntry *peer; /* peer that was dialled; NULL: accepted link, or peer removed since */
   uint64_t id;
   int fd;
   bool dialled, connected;
   int64_t dialled_ms;
-  char instance[NAME_MAX_BYTES + 1]; /* "" until an accepted link said hello */
+  char instance[NAME_MAX_BYTES + 1]; /* "" until an accepted link has sent its hello */
   struct tevent_fd *watch;
   uint8_t *input;
   size_t input_bytes, input_size;
@@ -55,19 +56,19 @@
   UT_hash_handle hh; /* in PeerNet.links */
 };
 
-/* Another instance, as membership knows it. */
-struct PeerKnown
+/* Another instance, by its name and address in the membership. */
+struct PeerEntry
 {
   char instance[NAME_MAX_BYTES + 1];
   char address[ADDRESS_MAX_BYTES + 1];
   struct PeerLink *link; /* NULL while not dialled */
-  uint32_t n_refused;    /* attempts in a row */
-  int64_t dialled_ms;    /* last time */
-  int64_t used_ms;       /* last time that something was sent to it */
-  UT_hash_handle hh;     /* in PeerNet.known */
+  uint32_t n_refused;    /* consecutive refused dial attempts */
+  int64_t dialled_ms;    /* time of the last dial */
+  int64_t used_ms;       /* time of the last peer_net_link_to */
+  UT_hash_handle hh;     /* in PeerNet.peers */
 };
 
-/* A message on its way to the own instance. */
+/* A message queued for delivery to the own instance. */
 struct PeerLocal
 {
   struct PeerNet *net;
@@ -84,8 +85,8 @@
   int listen_fd;
   uint64_t next_link;
   struct PeerLink *links;  /* by id */
-  struct PeerKnown *known; /* by instance */
-  uint8_t *scratch;        /* READ_CHUNK_BYTES: what is read lies here unless a frame is in parts */
+  struct PeerEntry *peers; /* by instance */
+  uint8_t *scratch; /* READ_CHUNK_BYTES: received bytes, unless an incomplete frame is buffered */
 };
 
 static void
@@ -95,8 +96,8 @@
 peer_link_free (struct PeerLink *link)
 {
   HASH_DEL (link->net->links, link);
-  if (link->known != NULL)
-    link->known->link = NULL;
+  if (link->peer != NULL)
+    link->peer->link = NULL;
   TALLOC_FREE (link->watch);
   if (link->fd >= 0)
     close (link->fd);
@@ -104,7 +105,7 @@
 }
 
 static struct PeerLink *
-peer_net_find (const struct PeerNet *net, uint64_t id)
+peer_net_find_link (const struct PeerNet *net, uint64_t id)
 {
   struct PeerLink *link;
 
@@ -125,8 +126,8 @@
         break;
       if (n < 0)
         {
-          /* The reader sees the same end and closes; closing here would free the link under
-           * whoever is sending. */
+          /* The read handler gets the end of the stream and closes the link; closing it here would
+           * free it while the caller is still sending. */
           shutdown (link->fd, SHUT_RDWR);
           return;
         }
@@ -170,7 +171,7 @@
 }
 
 static void
-peer_link_say_hello (struct PeerLink *link)
+peer_link_send_hello (struct PeerLink *link)
 {
   struct PeerMessage hello = { .kind = PEER_HELLO };
 
@@ -180,9 +181,9 @@
   peer_link_send (link, &hello);
 }
 
-/* Delivers one frame; false when it is malformed. */
+/* Delivers one frame. Returns false when it is malformed. */
 static bool
-peer_link_deliver (struct PeerLink *link, const uint8_t *bytes, size_t n_bytes)
+peer_link_deliver_frame (struct PeerLink *link, const uint8_t *bytes, size_t n_bytes)
 {
   struct PeerNet *net = link->net;
   struct PeerMessage *message;
@@ -196,10 +197,10 @@
   return true;
 }
 
-/* Delivers the whole frames among n_bytes. Returns how many bytes they were, or -1 when the link
- * must be closed. */
+/* Delivers the whole frames at the start of bytes. Returns their length, or -1 when the link must
+ * be closed. */
 static ssize_t
-peer_link_take_frames (struct PeerLink *link, const uint8_t *bytes, size_t n_bytes)
+peer_link_deliver_frames (struct PeerLink *link, const uint8_t *bytes, size_t n_bytes)
 {
   size_t at = 0;
 
@@ -213,17 +214,17 @@
         return -1;
       if (n_bytes - at - FRAME_LENGTH_BYTES < frame_bytes)
         break;
-      if (!peer_link_deliver (link, head + FRAME_LENGTH_BYTES, frame_bytes))
+      if (!peer_link_deliver_frame (link, head + FRAME_LENGTH_BYTES, frame_bytes))
         return -1;
       at += FRAME_LENGTH_BYTES + frame_bytes;
     }
   return (ssize_t)at;
 }
 
-/* Keeps the part of a frame that has come so far; a link between two frames holds no buffer. With
- * 64 KB for each of 400 links a small machine's memory was full of them. */
+/* Buffers an incomplete frame. A link without one holds no buffer: 64 KB for each of 400 links
+ * filled the memory of a small instance. */
 static bool
-peer_link_keep (struct PeerLink *link, const uint8_t *bytes, size_t n_bytes)
+peer_link_buffer_input (struct PeerLink *link, const uint8_t *bytes, size_t n_bytes)
 {
   size_t total_bytes = link->input_bytes + n_bytes;
 
@@ -240,24 +241,25 @@
 }
 
 static void
-peer_link_keep_rest (struct PeerLink *link, size_t taken_bytes)
+peer_link_consume_input (struct PeerLink *link, size_t n_delivered)
 {
-  link->input_bytes -= taken_bytes;
+  link->input_bytes -= n_delivered;
   if (link->input_bytes > 0)
     {
-      memmove (link->input, link->input + taken_bytes, link->input_bytes);
+      memmove (link->input, link->input + n_delivered, link->input_bytes);
       return;
     }
   TALLOC_FREE (link->input);
   link->input_size = 0;
 }
 
-/* Reads what is there. False when the link must be closed. */
+/* Reads the available bytes and delivers whole frames. Returns false when the link must be closed.
+ */
 static bool
 peer_link_read (struct PeerLink *link)
 {
   uint8_t *scratch = link->net->scratch;
-  ssize_t n = recv (link->fd, scratch, READ_CHUNK_BYTES, MSG_DONTWAIT), taken;
+  ssize_t n = recv (link->fd, scratch, READ_CHUNK_BYTES, MSG_DONTWAIT), n_delivered;
 
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
     return true;
@@ -265,46 +267,47 @@
     return false;
   if (link->input_bytes == 0)
     {
-      taken = peer_link_take_frames (link, scratch, (size_t)n);
-      if (taken < 0)
+      n_delivered = peer_link_deliver_frames (link, scratch, (size_t)n);
+      if (n_delivered < 0)
         return false;
-      return taken == n || peer_link_keep (link, scratch + taken, (size_t)(n - taken));
+      return n_delivered == n
+             || peer_link_buffer_input (link, scratch + n_delivered, (size_t)(n - n_delivered));
     }
-  if (!peer_link_keep (link, scratch, (size_t)n))
+  if (!peer_link_buffer_input (link, scratch, (size_t)n))
     return false;
-  taken = peer_link_take_frames (link, link->input, link->input_bytes);
-  if (taken < 0)
+  n_delivered = peer_link_deliver_frames (link, link->input, link->input_bytes);
+  if (n_delivered < 0)
     return false;
-  peer_link_keep_rest (link, (size_t)taken);
+  peer_link_consume_input (link, (size_t)n_delivered);
   return true;
 }
 
 static void
-peer_link_note_refusal (struct PeerLink *link, bool refused)
+peer_link_report_refused (struct PeerLink *link, bool refused)
 {
   const struct PeerNetOptions *options = &link->net->options;
-  struct PeerKnown *known = link->known;
+  struct PeerEntry *peer = link->peer;
 
-  if (known == NULL || (!refused && known->n_refused == 0))
+  if (peer == NULL || (!refused && peer->n_refused == 0))
     return;
-  known->n_refused = refused ? known->n_refused + 1 : 0;
-  options->refused (options->data, known->instance, known->n_refused);
+  peer->n_refused = refused ? peer->n_refused + 1 : 0;
+  options->refused (options->data, peer->instance, peer->n_refused);
 }
 
 static bool
-peer_link_connect_done (struct PeerLink *link)
+peer_link_finish_connect (struct PeerLink *link)
 {
   int error = net_dial_error (link->fd);
 
   if (error == 0)
     {
       link->connected = true;
-      peer_link_note_refusal (link, false);
+      peer_link_report_refused (link, false);
       if (link->net->options.connected != NULL)
         link->net->options.connected (link->net->options.data, link->instance);
     }
   else if (error == ECONNREFUSED)
-    peer_link_note_refusal (link, true);
+    peer_link_report_refused (link, true);
   return error == 0;
 }
 
@@ -318,7 +321,7 @@
 
   (void)events;
   (void)watch;
-  if (!link->connected && !peer_link_connect_done (link))
+  if (!link->connected && !peer_link_finish_connect (link))
     {
       peer_link_close (link, "connection refused");
       return;
@@ -366,23 +369,23 @@
 }
 
 static void
-peer_net_dial (struct PeerNet *net, struct PeerKnown *known)
+peer_net_dial (struct PeerNet *net, struct PeerEntry *peer)
 {
-  int fd = net_dial (known->address, USER_TIMEOUT_MS);
+  int fd = net_dial (peer->address, USER_TIMEOUT_MS);
 
-  known->dialled_ms = timer_now_ms (net->timers);
+  peer->dialled_ms = timer_now_ms (net->timers);
   if (fd < 0)
     return;
-  known->link = peer_link_new (net, fd, true);
-  if (known->link == NULL)
+  peer->link = peer_link_new (net, fd, true);
+  if (peer->link == NULL)
     {
       close (fd);
       return;
     }
-  known->link->known = known;
-  known->link->dialled_ms = timer_now_ms (net->timers);
-  snprintf (known->link->instance, sizeof known->link->instance, "%s", known->instance);
-  peer_link_say_hello (known->link);
+  peer->link->peer = peer;
+  peer->link->dialled_ms = timer_now_ms (net->timers);
+  snprintf (peer->link->instance, sizeof peer->link->instance, "%s", peer->instance);
+  peer_link_send_hello (peer->link);
 }
 
 static void
@@ -391,16 +394,16 @@
   struct PeerNet *net = data;
 
   int64_t now_ms = timer_now_ms (net->timers);
-  bool on_need = net->options.dial_on_need;
+  bool on_demand = net->options.dial_on_need;
 
-  for (struct PeerKnown *k = net->known; k != NULL; k = k->hh.next)
+  for (struct PeerEntry *p = net->peers; p != NULL; p = p->hh.next)
     {
-      if (k->link != NULL && !k->link->connected && now_ms - k->link->dialled_ms >= DIAL_TIMEOUT_MS)
-        peer_link_close (k->link, "no answer to the dial");
-      else if (k->link != NULL && on_need && now_ms - k->used_ms >= PEER_LINK_IDLE_MS)
-        peer_link_close (k->link, "not needed");
-      if (k->link == NULL && !on_need)
-        peer_net_dial (net, k);
+      if (p->link != NULL && !p->link->connected && now_ms - p->link->dialled_ms >= DIAL_TIMEOUT_MS)
+        peer_link_close (p->link, "connection timed out");
+      else if (p->link != NULL && on_demand && now_ms - p->used_ms >= PEER_LINK_IDLE_MS)
+        peer_link_close (p->link, "idle");
+      if (p->link == NULL && !on_demand)
+        peer_net_dial (net, p);
     }
 }
 
@@ -426,7 +429,7 @@
 {
   while (net->links != NULL)
     talloc_free (net->links);
-  HASH_CLEAR (hh, net->known);
+  HASH_CLEAR (hh, net->peers);
   if (net->listen_fd >= 0)
     close (net->listen_fd);
   return 0;
@@ -475,99 +478,100 @@
   snprintf (net->incarnation, sizeof net->incarnation, "%s", incarnation);
   for (struct PeerLink *l = net->links; l != NULL; l = l->hh.next)
     if (l->dialled)
-      peer_link_say_hello (l);
+      peer_link_send_hello (l);
 }
 
-static struct PeerKnown *
-peer_net_known (const struct PeerNet *net, const char *instance)
+static struct PeerEntry *
+peer_net_find_peer (const struct PeerNet *net, const char *instance)
 {
-  struct PeerKnown *known;
+  struct PeerEntry *peer;
 
-  HASH_FIND_STR (net->known, instance, known);
-  return known;
+  HASH_FIND_STR (net->peers, instance, peer);
+  return peer;
 }
 
 void
 peer_net_know (struct PeerNet *net, const char *instance, const char *address)
 {
-  struct PeerKnown *known = peer_net_known (net, instance);
+  struct PeerEntry *peer = peer_net_find_peer (net, instance);
 
   if (strcmp (instance, net->instance) == 0)
     return;
-  if (known == NULL)
+  if (peer == NULL)
     {
-      known = talloc_zero (net, struct PeerKnown);
-      if (known == NULL)
+      peer = talloc_zero (net, struct PeerEntry);
+      if (peer == NULL)
         return;
-      snprintf (known->instance, sizeof known->instance, "%s", instance);
-      HASH_ADD_STR (net->known, instance, known);
+      snprintf (peer->instance, sizeof peer->instance, "%s", instance);
+      HASH_ADD_STR (net->peers, instance, peer);
     }
-  if (strcmp (known->address, address) == 0)
+  if (strcmp (peer->address, address) == 0)
     return;
-  snprintf (known->address, sizeof known->address, "%s", address);
-  if (known->link != NULL)
-    peer_link_close (known->link, "the instance has another address");
+  snprintf (peer->address, sizeof peer->address, "%s", address);
+  if (peer->link != NULL)
+    peer_link_close (peer->link, "the address of the instance has changed");
   if (!net->options.dial_on_need)
-    peer_net_dial (net, known);
+    peer_net_dial (net, peer);
 }
 
 void
 peer_net_forget (struct PeerNet *net, const char *instance)
 {
-  struct PeerKnown *gone = peer_net_known (net, instance);
+  struct PeerEntry *peer = peer_net_find_peer (net, instance);
 
-  if (gone == NULL)
+  if (peer == NULL)
     return;
-  HASH_DEL (net->known, gone);
-  /* The link itself stays until it closes: a leaving instance still answers over it. */
-  if (gone->link != NULL)
-    gone->link->known = NULL;
-  talloc_free (gone);
+  HASH_DEL (net->peers, peer);
+  /* The link stays open until it closes by itself: an instance that leaves still responds over it.
+   */
+  if (peer->link != NULL)
+    peer->link->peer = NULL;
+  talloc_free (peer);
 }
 
 void
 peer_net_drop (struct PeerNet *net, const char *instance)
 {
-  struct PeerKnown *known = peer_net_known (net, instance);
+  struct PeerEntry *peer = peer_net_find_peer (net, instance);
 
-  if (known != NULL && known->link != NULL)
-    peer_link_close (known->link, "the instance is silent");
+  if (peer != NULL && peer->link != NULL)
+    peer_link_close (peer->link, "no response from the instance");
 }
 
 uint64_t
 peer_net_link_to (struct PeerNet *net, const char *instance)
 {
-  bool on_need = net->options.dial_on_need;
-  struct PeerKnown *known;
+  bool on_demand = net->options.dial_on_need;
+  struct PeerEntry *peer;
   int64_t now_ms;
 
   if (strcmp (instance, net->instance) == 0)
     return PEER_LINK_SELF;
-  known = peer_net_known (net, instance);
-  if (known == NULL)
+  peer = peer_net_find_peer (net, instance);
+  if (peer == NULL)
     return PEER_LINK_NONE;
   now_ms = timer_now_ms (net->timers);
-  known->used_ms = now_ms;
-  if (known->link == NULL && on_need
-      && (known->dialled_ms == 0 || now_ms - known->dialled_ms >= DIAL_RETRY_MS))
-    peer_net_dial (net, known);
-  if (known->link == NULL || !(known->link->connected || on_need))
+  peer->used_ms = now_ms;
+  if (peer->link == NULL && on_demand
+      && (peer->dialled_ms == 0 || now_ms - peer->dialled_ms >= DIAL_RETRY_MS))
+    peer_net_dial (net, peer);
+  if (peer->link == NULL || !(peer->link->connected || on_demand))
     return PEER_LINK_NONE;
-  return known->link->id;
+  return peer->link->id;
 }
 
 bool
 peer_net_has_link (const struct PeerNet *net, const char *instance)
 {
-  const struct PeerKnown *known = peer_net_known (net, instance);
+  const struct PeerEntry *peer = peer_net_find_peer (net, instance);
 
-  return known != NULL && known->link != NULL;
+  return peer != NULL && peer->link != NULL;
 }
 
 bool
 peer_net_is_dialled (const struct PeerNet *net, uint64_t link_id)
 {
-  const struct PeerLink *link = peer_net_find (net, link_id);
+  const struct PeerLink *link = peer_net_find_link (net, link_id);
 
   return link != NULL && link->dialled;
 }
@@ -575,7 +579,7 @@
 size_t
 peer_net_queued_bytes (const struct PeerNet *net, uint64_t link_id)
 {
-  const struct PeerLink *link = peer_net_find (net, link_id);
+  const struct PeerLink *link = peer_net_find_link (net, link_id);
 
   return link != NULL ? link->queued_bytes : 0;
 }
@@ -592,9 +596,10 @@
   talloc_free (event);
 }
 
-/* Later and with a copy, as over the wire: no module is entered again from inside its own call. */
+/* Delivers a copy of message later from the loop, as if received over a link, so that no module is
+ * re-entered from inside its own call. */
 static int32_t
-peer_net_send_self (struct PeerNet *net, const struct PeerMessage *message)
+peer_net_send_local (struct PeerNet *net, const struct PeerMessage *message)
 {
   struct PeerLocal *local = talloc_zero (net, struct PeerLocal);
   struct tevent_immediate *event = tevent_create_immediate (net);
@@ -628,8 +633,8 @@
   struct PeerLink *link;
 
   if (link_id == PEER_LINK_SELF)
-    return peer_net_send_self (net, message);
-  link = peer_net_find (net, link_id);
+    return peer_net_send_local (net, message);
+  link = peer_net_find_link (net, link_id);
   if (link == NULL)
     return ERROR_UNREACHABLE;
   return peer_link_send (link, message);
