--- a/tests/test_kv_http.c
+++ b/tests/test_kv_http.c
@@ -12,11 +12,11 @@
 
 enum
 {
-  TIMEOUT_MS = 400, /* of one call: only the tests of a hanging service wait for it */
+  TIMEOUT_MS = 400, /* call timeout of tests that run into it */
   LONG_MS = 60000
 };
 
-struct Bench
+struct Fixture
 {
   struct Platform *platform;
   struct tevent_context *events;
@@ -24,83 +24,83 @@
   struct KvPort *port;
   char url[64];
   bool answered, controlled;
-  int32_t error; /* of the last answer */
+  int32_t error; /* of the last result */
   int64_t revision, lease_id, entry_revision;
   size_t n_entries;
-  char key[32], value[32]; /* of its last entry */
+  char key[32], value[32]; /* of the last result's last entry */
   bool deleted, more;
 };
 
-static struct Bench *
-bench_new (int64_t timeout_ms)
+static struct Fixture *
+fixture_new (int64_t timeout_ms)
 {
   struct PlatformOptions options = { .listen = "127.0.0.1:0" };
-  struct Bench *b = talloc_zero (NULL, struct Bench);
-
-  b->platform = platform_start (&options);
-  b->events = tevent_context_init (b);
-  b->loop = curl_loop_new (b, b->events);
-  snprintf (b->url, sizeof b->url, "http://127.0.0.1:%u", (unsigned)platform_port (b->platform));
-  b->port = kv_http_new (b, b->loop, b->url, timeout_ms);
-  return b;
+  struct Fixture *f = talloc_zero (NULL, struct Fixture);
+
+  f->platform = platform_start (&options);
+  f->events = tevent_context_init (f);
+  f->loop = curl_loop_new (f, f->events);
+  snprintf (f->url, sizeof f->url, "http://127.0.0.1:%u", (unsigned)platform_port (f->platform));
+  f->port = kv_http_new (f, f->loop, f->url, timeout_ms);
+  return f;
 }
 
 static void
-bench_free (struct Bench *b)
+fixture_free (struct Fixture *f)
 {
-  TALLOC_FREE (b->loop);
-  platform_stop (b->platform);
-  talloc_free (b);
+  TALLOC_FREE (f->loop);
+  platform_stop (f->platform);
+  talloc_free (f);
 }
 
 static void
-bench_on_done (void *data, const struct KvResult *result)
+fixture_on_done (void *data, const struct KvResult *result)
 {
-  struct Bench *b = data;
-
-  b->answered = true;
-  b->error = result->error;
-  b->revision = result->revision;
-  b->lease_id = result->lease_id;
-  b->n_entries = result->n_entries;
-  b->more = result->more;
+  struct Fixture *f = data;
+
+  f->answered = true;
+  f->error = result->error;
+  f->revision = result->revision;
+  f->lease_id = result->lease_id;
+  f->n_entries = result->n_entries;
+  f->more = result->more;
   if (result->n_entries > 0)
     {
       const struct KvEntry *last = &result->entries[result->n_entries - 1];
 
-      snprintf (b->key, sizeof b->key, "%s", last->key);
-      snprintf (b->value, sizeof b->value, "%.*s", (int)last->value_bytes,
+      snprintf (f->key, sizeof f->key, "%s", last->key);
+      snprintf (f->value, sizeof f->value, "%.*s", (int)last->value_bytes,
                 (const char *)last->value);
-      b->entry_revision = last->mod_revision;
-      b->deleted = last->deleted;
+      f->entry_revision = last->mod_revision;
+      f->deleted = last->deleted;
     }
 }
 
 static void
-bench_start (struct Bench *b, const struct KvRequest *request)
+fixture_start (struct Fixture *f, const struct KvRequest *request)
 {
-  b->answered = false;
-  CU_ASSERT_EQUAL (kv_submit (b->port, request, bench_on_done, b), ERROR_NONE);
-  CU_ASSERT_FALSE (b->answered);
+  f->answered = false;
+  CU_ASSERT_EQUAL (kv_submit (f->port, request, fixture_on_done, f), ERROR_NONE);
+  CU_ASSERT_FALSE (f->answered);
 }
 
 static int32_t
-bench_wait (struct Bench *b)
+fixture_wait (struct Fixture *f)
 {
-  while (!b->answered)
-    tevent_loop_once (b->events);
-  return b->error;
+  while (!f->answered)
+    tevent_loop_once (f->events);
+  return f->error;
 }
 
 static int32_t
-bench_do (struct Bench *b, struct KvRequest request)
+fixture_call (struct Fixture *f, struct KvRequest request)
 {
-  bench_start (b, &request);
-  return bench_wait (b);
+  fixture_start (f, &request);
+  return fixture_wait (f);
 }
 
 static struct KvRequest
-put_of (const char *key, const char *value, enum KvCondition condition, int64_t mod_revision)
+put_request (const char *key, const char *value, enum KvCondition condition, int64_t mod_revision)
 {
   struct KvRequest request = { .op = KV_OP_PUT };
 
@@ -113,13 +113,13 @@
 }
 
 static struct KvRequest
-get_of (const char *key)
+get_request (const char *key)
 {
   return (struct KvRequest){ .op = KV_OP_GET, .get.key = key };
 }
 
 static struct KvRequest
-watch_of (const char *prefix, int64_t start_revision, int64_t wait_ms)
+watch_request (const char *prefix, int64_t start_revision, int64_t wait_ms)
 {
   struct KvRequest request = { .op = KV_OP_WATCH };
 
@@ -130,180 +130,183 @@
 }
 
 static void
-bench_on_control (void *data, const struct HttpResult *result)
+fixture_on_control (void *data, const struct HttpResult *result)
 {
-  struct Bench *b = data;
+  struct Fixture *f = data;
 
-  b->controlled = true;
+  f->controlled = true;
   CU_ASSERT_EQUAL (result->status, 200);
 }
 
 static void
-bench_control (struct Bench *b, const char *json)
+fixture_control (struct Fixture *f, const char *json)
 {
   char url[96];
   struct HttpRequest request = { .method = "POST", .url = url };
 
-  snprintf (url, sizeof url, "%s/control", b->url);
+  snprintf (url, sizeof url, "%s/control", f->url);
   request.body = (const uint8_t *)json;
   request.body_bytes = strlen (json);
-  b->controlled = false;
-  curl_loop_submit (b->loop, &request, NULL, bench_on_control, b);
-  while (!b->controlled)
-    tevent_loop_once (b->events);
+  f->controlled = false;
+  curl_loop_submit (f->loop, &request, NULL, fixture_on_control, f);
+  while (!f->controlled)
+    tevent_loop_once (f->events);
 }
 
 static void
 test_conditions_and_their_conflicts (void)
 {
-  struct Bench *b = bench_new (LONG_MS);
+  struct Fixture *f = fixture_new (LONG_MS);
   struct KvRequest delete_key = { .op = KV_OP_DELETE };
   int64_t first = 0;
 
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("a")), ERROR_NOT_FOUND);
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("a", "1", KV_IF_ABSENT, 0)), ERROR_NONE);
-  first = b->revision;
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("a", "2", KV_IF_ABSENT, 0)), ERROR_CONFLICT);
-  CU_ASSERT_EQUAL (b->n_entries, 1);
-  CU_ASSERT_STRING_EQUAL (b->value, "1");
-  CU_ASSERT_EQUAL (b->entry_revision, first);
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("a", "3", KV_IF_MOD_REVISION, first)), ERROR_NONE);
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("a", "4", KV_IF_MOD_REVISION, first)), ERROR_CONFLICT);
-  CU_ASSERT_STRING_EQUAL (b->value, "3");
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("b", "4", KV_IF_MOD_REVISION, 9)), ERROR_CONFLICT);
-  CU_ASSERT_EQUAL (b->n_entries, 0);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("a")), ERROR_NOT_FOUND);
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("a", "1", KV_IF_ABSENT, 0)), ERROR_NONE);
+  first = f->revision;
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("a", "2", KV_IF_ABSENT, 0)), ERROR_CONFLICT);
+  CU_ASSERT_EQUAL (f->n_entries, 1);
+  CU_ASSERT_STRING_EQUAL (f->value, "1");
+  CU_ASSERT_EQUAL (f->entry_revision, first);
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("a", "3", KV_IF_MOD_REVISION, first)), ERROR_NONE);
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("a", "4", KV_IF_MOD_REVISION, first)),
+                   ERROR_CONFLICT);
+  CU_ASSERT_STRING_EQUAL (f->value, "3");
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("b", "4", KV_IF_MOD_REVISION, 9)), ERROR_CONFLICT);
+  CU_ASSERT_EQUAL (f->n_entries, 0);
   delete_key.delete_key.key = "a";
   delete_key.delete_key.condition = KV_IF_MOD_REVISION;
   delete_key.delete_key.mod_revision = first;
-  CU_ASSERT_EQUAL (bench_do (b, delete_key), ERROR_CONFLICT);
+  CU_ASSERT_EQUAL (fixture_call (f, delete_key), ERROR_CONFLICT);
   delete_key.delete_key.condition = KV_IF_ALWAYS;
-  CU_ASSERT_EQUAL (bench_do (b, delete_key), ERROR_NONE);
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("a")), ERROR_NOT_FOUND);
-  bench_free (b);
+  CU_ASSERT_EQUAL (fixture_call (f, delete_key), ERROR_NONE);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("a")), ERROR_NOT_FOUND);
+  fixture_free (f);
 }
 
 static void
 test_range_is_ordered_and_cut (void)
 {
-  struct Bench *b = bench_new (LONG_MS);
+  struct Fixture *f = fixture_new (LONG_MS);
   struct KvRequest range = { .op = KV_OP_RANGE };
 
   range.range.prefix = "p/";
-  CU_ASSERT_EQUAL (bench_do (b, range), ERROR_NONE);
-  CU_ASSERT_EQUAL (b->n_entries, 0);
-  bench_do (b, put_of ("p/2", "two", KV_IF_ALWAYS, 0));
-  bench_do (b, put_of ("p/1", "one", KV_IF_ALWAYS, 0));
-  bench_do (b, put_of ("q", "other", KV_IF_ALWAYS, 0));
-  bench_do (b, put_of ("p/3", "", KV_IF_ALWAYS, 0));
-  CU_ASSERT_EQUAL (bench_do (b, range), ERROR_NONE);
-  CU_ASSERT_EQUAL (b->n_entries, 3);
-  CU_ASSERT_STRING_EQUAL (b->key, "p/3");
-  CU_ASSERT_STRING_EQUAL (b->value, "");
+  CU_ASSERT_EQUAL (fixture_call (f, range), ERROR_NONE);
+  CU_ASSERT_EQUAL (f->n_entries, 0);
+  fixture_call (f, put_request ("p/2", "two", KV_IF_ALWAYS, 0));
+  fixture_call (f, put_request ("p/1", "one", KV_IF_ALWAYS, 0));
+  fixture_call (f, put_request ("q", "other", KV_IF_ALWAYS, 0));
+  fixture_call (f, put_request ("p/3", "", KV_IF_ALWAYS, 0));
+  CU_ASSERT_EQUAL (fixture_call (f, range), ERROR_NONE);
+  CU_ASSERT_EQUAL (f->n_entries, 3);
+  CU_ASSERT_STRING_EQUAL (f->key, "p/3");
+  CU_ASSERT_STRING_EQUAL (f->value, "");
   range.range.limit = 2;
   range.range.start = "p/2";
   range.range.keys_only = true;
-  CU_ASSERT_EQUAL (bench_do (b, range), ERROR_NONE);
-  CU_ASSERT_EQUAL (b->n_entries, 2);
-  CU_ASSERT_FALSE (b->more);
+  CU_ASSERT_EQUAL (fixture_call (f, range), ERROR_NONE);
+  CU_ASSERT_EQUAL (f->n_entries, 2);
+  CU_ASSERT_FALSE (f->more);
   range.range.start = NULL;
-  CU_ASSERT_EQUAL (bench_do (b, range), ERROR_NONE);
-  CU_ASSERT_TRUE (b->more);
-  CU_ASSERT_STRING_EQUAL (b->key, "p/2");
-  bench_free (b);
+  CU_ASSERT_EQUAL (fixture_call (f, range), ERROR_NONE);
+  CU_ASSERT_TRUE (f->more);
+  CU_ASSERT_STRING_EQUAL (f->key, "p/2");
+  fixture_free (f);
 }
 
 static void
 test_values_up_to_the_limit (void)
 {
-  struct Bench *b = bench_new (LONG_MS);
-  uint8_t *value = talloc_zero_array (b, uint8_t, KV_VALUE_MAX_BYTES + 1);
+  struct Fixture *f = fixture_new (LONG_MS);
+  uint8_t *value = talloc_zero_array (f, uint8_t, KV_VALUE_MAX_BYTES + 1);
   struct KvRequest put = { .op = KV_OP_PUT, .put.key = "a", .put.value = value };
 
   put.put.value_bytes = KV_VALUE_MAX_BYTES;
-  CU_ASSERT_EQUAL (bench_do (b, put), ERROR_NONE);
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("a")), ERROR_NONE);
+  CU_ASSERT_EQUAL (fixture_call (f, put), ERROR_NONE);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("a")), ERROR_NONE);
   put.put.value_bytes++;
-  CU_ASSERT_EQUAL (kv_submit (b->port, &put, bench_on_done, b), ERROR_TOO_LARGE);
-  bench_free (b);
+  CU_ASSERT_EQUAL (kv_submit (f->port, &put, fixture_on_done, f), ERROR_TOO_LARGE);
+  fixture_free (f);
 }
 
 static void
 test_lease_and_its_keys (void)
 {
-  struct Bench *b = bench_new (LONG_MS);
+  struct Fixture *f = fixture_new (LONG_MS);
   struct KvRequest grant = { .op = KV_OP_LEASE_GRANT, .lease_grant.ttl_s = 600 };
-  struct KvRequest put = put_of ("a", "1", KV_IF_ABSENT, 0);
+  struct KvRequest put = put_request ("a", "1", KV_IF_ABSENT, 0);
   struct KvRequest keepalive = { .op = KV_OP_LEASE_KEEPALIVE };
   struct KvRequest revoke = { .op = KV_OP_LEASE_REVOKE };
 
-  CU_ASSERT_EQUAL (bench_do (b, grant), ERROR_NONE);
+  CU_ASSERT_EQUAL (fixture_call (f, grant), ERROR_NONE);
   put.put.lease_id = keepalive.lease_keepalive.lease_id = revoke.lease_revoke.lease_id =
-      b->lease_id;
-  CU_ASSERT_EQUAL (bench_do (b, put), ERROR_NONE);
-  CU_ASSERT_EQUAL (bench_do (b, keepalive), ERROR_NONE);
-  CU_ASSERT_EQUAL (bench_do (b, revoke), ERROR_NONE);
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("a")), ERROR_NOT_FOUND);
-  CU_ASSERT_EQUAL (bench_do (b, keepalive), ERROR_NOT_FOUND);
-  CU_ASSERT_EQUAL (bench_do (b, revoke), ERROR_NOT_FOUND);
-  CU_ASSERT_EQUAL (bench_do (b, put), ERROR_NOT_FOUND);
-  bench_free (b);
+      f->lease_id;
+  CU_ASSERT_EQUAL (fixture_call (f, put), ERROR_NONE);
+  CU_ASSERT_EQUAL (fixture_call (f, keepalive), ERROR_NONE);
+  CU_ASSERT_EQUAL (fixture_call (f, revoke), ERROR_NONE);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("a")), ERROR_NOT_FOUND);
+  CU_ASSERT_EQUAL (fixture_call (f, keepalive), ERROR_NOT_FOUND);
+  CU_ASSERT_EQUAL (fixture_call (f, revoke), ERROR_NOT_FOUND);
+  CU_ASSERT_EQUAL (fixture_call (f, put), ERROR_NOT_FOUND);
+  fixture_free (f);
 }
 
-/* An operator saves a change, is told that somebody else made it first, and that somebody is the
- * operator. The service applies the write and closes the kept connection without an answer; the
- * HTTP library sends the same write again by itself, and its condition no longer holds. */
+/* The service applies a conditional write and closes the kept-alive connection without a response.
+ * If the HTTP library then sent the write again by itself, its condition would no longer hold, and
+ * an operator would get a conflict with their own change. */
 static void
-test_lost_answer_is_unknown_and_not_sent_again (void)
+test_lost_response_is_unknown_and_write_not_sent_again (void)
 {
-  struct Bench *b = bench_new (LONG_MS);
+  struct Fixture *f = fixture_new (LONG_MS);
   int64_t before = 0;
 
-  bench_do (b, put_of ("warm", "1", KV_IF_ALWAYS, 0)); /* leaves a kept connection */
-  before = b->revision;
-  bench_control (b, "{\"lose_answers\":1}");
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("a", "1", KV_IF_ABSENT, 0)), ERROR_UNKNOWN_EFFECT);
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("a")), ERROR_NONE);
-  CU_ASSERT_EQUAL (b->revision, before + 1);
-  bench_control (b, "{\"lose_writes\":1}");
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("b", "1", KV_IF_ABSENT, 0)), ERROR_UNKNOWN_EFFECT);
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("b")), ERROR_NOT_FOUND);
-  bench_free (b);
+  /* Leaves an idle kept-alive connection. */
+  fixture_call (f, put_request ("warm", "1", KV_IF_ALWAYS, 0));
+  before = f->revision;
+  fixture_control (f, "{\"lose_answers\":1}");
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("a", "1", KV_IF_ABSENT, 0)), ERROR_UNKNOWN_EFFECT);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("a")), ERROR_NONE);
+  CU_ASSERT_EQUAL (f->revision, before + 1);
+  fixture_control (f, "{\"lose_writes\":1}");
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("b", "1", KV_IF_ABSENT, 0)), ERROR_UNKNOWN_EFFECT);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("b")), ERROR_NOT_FOUND);
+  fixture_free (f);
 }
 
 static void
 test_rate_limit_is_not_applied (void)
 {
-  struct Bench *b = bench_new (LONG_MS);
+  struct Fixture *f = fixture_new (LONG_MS);
 
-  bench_control (b, "{\"writes_per_s\":1}");
-  while (bench_do (b, put_of ("a", "1", KV_IF_ALWAYS, 0)) == ERROR_NONE)
+  fixture_control (f, "{\"writes_per_s\":1}");
+  while (fixture_call (f, put_request ("a", "1", KV_IF_ALWAYS, 0)) == ERROR_NONE)
     continue;
-  CU_ASSERT_EQUAL (b->error, ERROR_RATE_LIMITED);
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("b", "1", KV_IF_ALWAYS, 0)), ERROR_RATE_LIMITED);
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("b")), ERROR_NOT_FOUND);
-  bench_free (b);
+  CU_ASSERT_EQUAL (f->error, ERROR_RATE_LIMITED);
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("b", "1", KV_IF_ALWAYS, 0)), ERROR_RATE_LIMITED);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("b")), ERROR_NOT_FOUND);
+  fixture_free (f);
 }
 
-/* A service that hangs: a write may have arrived, a read never had an effect. */
+/* The service hangs: a write may have been applied, a read has no effect. */
 static void
 test_hanging_service (void)
 {
-  struct Bench *b = bench_new (TIMEOUT_MS);
-
-  bench_control (b, "{\"down\":{\"mode\":\"hang\"}}");
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("a", "1", KV_IF_ALWAYS, 0)), ERROR_UNKNOWN_EFFECT);
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("a")), ERROR_UNREACHABLE);
-  CU_ASSERT_EQUAL (bench_do (b, watch_of ("a", 1, TIMEOUT_MS)), ERROR_UNREACHABLE);
-  bench_control (b, "{\"down\":null}");
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("a")), ERROR_NOT_FOUND);
-  bench_free (b);
+  struct Fixture *f = fixture_new (TIMEOUT_MS);
+
+  fixture_control (f, "{\"down\":{\"mode\":\"hang\"}}");
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("a", "1", KV_IF_ALWAYS, 0)), ERROR_UNKNOWN_EFFECT);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("a")), ERROR_UNREACHABLE);
+  CU_ASSERT_EQUAL (fixture_call (f, watch_request ("a", 1, TIMEOUT_MS)), ERROR_UNREACHABLE);
+  fixture_control (f, "{\"down\":null}");
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("a")), ERROR_NOT_FOUND);
+  fixture_free (f);
 }
 
-/* Nobody listens: the request certainly never left, so "not applied" is the truth. */
+/* No process listens on the port: the request was never sent, so the error must mean that it
+ * was not applied. */
 static void
 test_closed_port_is_unreachable (void)
 {
-  struct Bench *b = bench_new (LONG_MS);
+  struct Fixture *f = fixture_new (LONG_MS);
   struct sockaddr_in address = { .sin_family = AF_INET };
   socklen_t bytes = sizeof address;
   int fd = socket (AF_INET, SOCK_STREAM, 0);
@@ -311,44 +314,44 @@
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   CU_ASSERT_EQUAL_FATAL (bind (fd, (struct sockaddr *)&address, bytes), 0);
   getsockname (fd, (struct sockaddr *)&address, &bytes);
-  snprintf (b->url, sizeof b->url, "http://127.0.0.1:%u", (unsigned)ntohs (address.sin_port));
-  b->port = kv_http_new (b, b->loop, b->url, LONG_MS);
-  CU_ASSERT_EQUAL (bench_do (b, put_of ("a", "1", KV_IF_ALWAYS, 0)), ERROR_UNREACHABLE);
-  CU_ASSERT_EQUAL (bench_do (b, get_of ("a")), ERROR_UNREACHABLE);
-  CU_ASSERT_EQUAL (bench_do (b, watch_of ("a", 1, LONG_MS)), ERROR_UNREACHABLE);
+  snprintf (f->url, sizeof f->url, "http://127.0.0.1:%u", (unsigned)ntohs (address.sin_port));
+  f->port = kv_http_new (f, f->loop, f->url, LONG_MS);
+  CU_ASSERT_EQUAL (fixture_call (f, put_request ("a", "1", KV_IF_ALWAYS, 0)), ERROR_UNREACHABLE);
+  CU_ASSERT_EQUAL (fixture_call (f, get_request ("a")), ERROR_UNREACHABLE);
+  CU_ASSERT_EQUAL (fixture_call (f, watch_request ("a", 1, LONG_MS)), ERROR_UNREACHABLE);
   close (fd);
-  bench_free (b);
+  fixture_free (f);
 }
 
 static void
 test_watch (void)
 {
-  struct Bench *b = bench_new (LONG_MS);
-  struct KvPort *writer = kv_http_new (b, b->loop, b->url, LONG_MS);
-  struct KvRequest watch = watch_of ("a", 2, LONG_MS);
-  struct KvRequest put = put_of ("a1", "1", KV_IF_ALWAYS, 0);
+  struct Fixture *f = fixture_new (LONG_MS);
+  struct KvPort *writer = kv_http_new (f, f->loop, f->url, LONG_MS);
+  struct KvRequest watch = watch_request ("a", 2, LONG_MS);
+  struct KvRequest put = put_request ("a1", "1", KV_IF_ALWAYS, 0);
   struct KvRequest delete_key = { .op = KV_OP_DELETE, .delete_key.key = "a1" };
-  struct Bench other = { 0 };
-
-  CU_ASSERT_EQUAL (bench_do (b, watch_of ("a", 2, TIMEOUT_MS)), ERROR_NONE);
-  CU_ASSERT_EQUAL (b->n_entries, 0);
-  bench_start (b, &watch);
-  kv_submit (writer, &put, bench_on_done, &other);
-  CU_ASSERT_EQUAL (bench_wait (b), ERROR_NONE);
-  CU_ASSERT_EQUAL (b->n_entries, 1);
-  CU_ASSERT_STRING_EQUAL (b->key, "a1");
-  CU_ASSERT_FALSE (b->deleted);
-  bench_do (b, delete_key);
-  CU_ASSERT_EQUAL (bench_do (b, watch_of ("a", b->revision, LONG_MS)), ERROR_NONE);
-  CU_ASSERT_TRUE (b->deleted);
-  /* Cut while it is held: not to be taken for a quiet one. */
-  bench_start (b, &watch);
-  bench_wait (b);
-  watch.watch.start_revision = b->revision + 1;
-  bench_start (b, &watch);
-  bench_control (b, "{\"down\":{\"mode\":\"refuse\"}}");
-  CU_ASSERT_EQUAL (bench_wait (b), ERROR_UNREACHABLE);
-  bench_free (b);
+  struct Fixture other = { 0 };
+
+  CU_ASSERT_EQUAL (fixture_call (f, watch_request ("a", 2, TIMEOUT_MS)), ERROR_NONE);
+  CU_ASSERT_EQUAL (f->n_entries, 0);
+  fixture_start (f, &watch);
+  kv_submit (writer, &put, fixture_on_done, &other);
+  CU_ASSERT_EQUAL (fixture_wait (f), ERROR_NONE);
+  CU_ASSERT_EQUAL (f->n_entries, 1);
+  CU_ASSERT_STRING_EQUAL (f->key, "a1");
+  CU_ASSERT_FALSE (f->deleted);
+  fixture_call (f, delete_key);
+  CU_ASSERT_EQUAL (fixture_call (f, watch_request ("a", f->revision, LONG_MS)), ERROR_NONE);
+  CU_ASSERT_TRUE (f->deleted);
+  /* A watch whose connection is cut must fail, and not look like one without changes. */
+  fixture_start (f, &watch);
+  fixture_wait (f);
+  watch.watch.start_revision = f->revision + 1;
+  fixture_start (f, &watch);
+  fixture_control (f, "{\"down\":{\"mode\":\"refuse\"}}");
+  CU_ASSERT_EQUAL (fixture_wait (f), ERROR_UNREACHABLE);
+  fixture_free (f);
 }
 
 const char test_suite_name[] = "kv_http";
@@ -357,7 +360,8 @@
   { "range is ordered and cut", test_range_is_ordered_and_cut },
   { "values up to the limit", test_values_up_to_the_limit },
   { "lease and its keys", test_lease_and_its_keys },
-  { "lost answer is unknown and not sent again", test_lost_answer_is_unknown_and_not_sent_again },
+  { "lost response is unknown and the write not sent again",
+    test_lost_response_is_unknown_and_write_not_sent_again },
   { "rate limit is not applied", test_rate_limit_is_not_applied },
   { "hanging service", test_hanging_service },
   { "closed port is unreachable", test_closed_port_is_unreachable },
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 static struct HttpExchange
-exchange_of (const char *method, const char *target, struct HttpHeader *items, size_t n_items)
+exchange_make (const char *method, const char *target, struct HttpHeader *items, size_t n_items)
 {
   struct HttpExchange exchange = { .method = method, .target = target };
 
@@ -29,7 +29,7 @@
     { "X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250" },
     { "X-Deadline-Ms", "4000" },
   };
-  struct HttpExchange exchange = exchange_of ("POST", "/a/b", items, 8);
+  struct HttpExchange exchange = exchange_make ("POST", "/a/b", items, 8);
   struct CallerRequest request;
   struct Fault fault;
 
@@ -48,8 +48,8 @@
 test_a_request_needs_one_id (void)
 {
   struct HttpHeader items[] = { { "Host", "x" }, { "X-Request-Id", "1" }, { "X-Request-Id", "2" } };
-  struct HttpExchange none = exchange_of ("GET", "/", items, 1);
-  struct HttpExchange two = exchange_of ("GET", "/", items, 3);
+  struct HttpExchange none = exchange_make ("GET", "/", items, 1);
+  struct HttpExchange two = exchange_make ("GET", "/", items, 3);
   struct CallerRequest request;
   struct Fault fault;
 
@@ -57,8 +57,8 @@
   CU_ASSERT_EQUAL (platform_dialect.read_request (NULL, &two, &request, &fault), ERROR_INVALID);
 }
 
-/* A caller asks for another program's memory, or for a place that only the system gives. What a
- * server gets is the system's word alone; all else passes on as it came. */
+/* A caller sends headers that would request another program's cache or a slot. The server must
+ * receive only the gateway's own values for them; all other headers are forwarded unchanged. */
 static void
 test_only_the_system_sets_its_headers (void)
 {
@@ -77,7 +77,7 @@
     { "Content-Length", "4" },
     { "X-Session-Id", "77d20b" },
   };
-  struct HttpExchange exchange = exchange_of ("POST", "/a?b=c", items, 13);
+  struct HttpExchange exchange = exchange_make ("POST", "/a?b=c", items, 13);
   const struct UpstreamTarget target = {
     .replica = "i-7f3a91c2", .address = "10.0.0.2:80", .left_ms = 1200, .body_bytes = 9
   };
@@ -91,13 +91,13 @@
 
 struct CredentialCase
 {
-  const char *first, *second; /* values of the header; NULL: it is not there */
+  const char *first, *second; /* values of the header; NULL: the header is absent */
   enum CredentialKind kind;
   const char *key;
 };
 
 static void
-test_one_credential_has_one_answer (void)
+test_credentials_are_classified (void)
 {
   static const struct CredentialCase cases[] = {
     { NULL, NULL, CREDENTIAL_NONE, NULL },
@@ -124,7 +124,7 @@
                                     { "authorization", cases[i].first },
                                     { "Authorization", cases[i].second } };
       size_t n = 2 + (cases[i].first != NULL) + (cases[i].second != NULL);
-      struct HttpExchange exchange = exchange_of ("GET", "/", items, n);
+      struct HttpExchange exchange = exchange_make ("GET", "/", items, n);
       struct CallerRequest request;
       struct Fault fault;
 
@@ -138,11 +138,11 @@
     }
 }
 
-/* A caller says that it is another customer, in every spelling that a server might take for the
- * header. The server hears one name, that of the key's owner, and never the key; on a public route
- * it hears neither. */
+/* A caller sends another customer's name, in each spelling that a server might accept for the
+ * header. The server must receive only the name of the customer that the key belongs to, and never
+ * the key; on a public route it receives neither. */
 static void
-test_only_the_key_says_whose_a_request_is (void)
+test_only_the_key_determines_the_customer (void)
 {
   struct HttpHeader items[] = {
     { "Host", "x" },
@@ -153,7 +153,7 @@
     { "AUTHORIZATION", "Bearer k3y" },
     { "Connection", "X-Tenant" },
   };
-  struct HttpExchange exchange = exchange_of ("GET", "/a", items, 7);
+  struct HttpExchange exchange = exchange_make ("GET", "/a", items, 7);
   struct UpstreamTarget target = {
     .replica = "i-7", .address = "10.0.0.2:80", .left_ms = 1200, .customer = "alma"
   };
@@ -168,7 +168,7 @@
   CU_ASSERT_PTR_NULL (strstr (head, "enant"));
   CU_ASSERT_PTR_NULL (strstr (head, "k3y"));
   talloc_free (head);
-  /* Without customers a credential is the caller's and the server's own matter. */
+  /* Without a customer list, credentials are forwarded to the server like other headers. */
   target.customer = NULL;
   head = platform_dialect.write_request (NULL, &exchange, &target);
   CU_ASSERT_PTR_NULL (strstr (head, "enant"));
@@ -210,22 +210,22 @@
   platform_dialect.read_routes (NULL, (const uint8_t *)none, strlen (none), &table, &fault);
   CU_ASSERT_PTR_NULL (table->customers);
   talloc_free (table);
-  /* All customers were taken away, which does not open the doors. */
+  /* An empty customer list must not make requests possible without a key. */
   platform_dialect.read_routes (NULL, (const uint8_t *)empty, strlen (empty), &table, &fault);
   CU_ASSERT_PTR_NOT_NULL (table->customers);
   talloc_free (table);
 }
 
-/* A caller's connection broke after the third event, and it asks for the rest. On a route that may
- * be resumed the server hears of it; on any other it would hand out half a stream as a whole one.
- */
+/* A caller's connection broke after the third event, and it requests the rest. Only on a resumable
+ * route may the server receive the event id; on any other route it would send the rest of the
+ * stream, and the caller would get that as the whole. */
 static void
-test_a_stream_goes_on_only_where_it_may (void)
+test_a_stream_is_resumed_only_on_resumable_routes (void)
 {
   struct HttpHeader items[] = { { "Host", "x" },
                                 { "X-Request-Id", "1" },
                                 { "Last-Event-Id", "3" } };
-  struct HttpExchange exchange = exchange_of ("POST", "/a", items, 3);
+  struct HttpExchange exchange = exchange_make ("POST", "/a", items, 3);
   struct UpstreamTarget target = { .replica = "i-7", .address = "10.0.0.2:80", .left_ms = 1200 };
   struct CallerRequest request;
   struct Fault fault;
@@ -244,7 +244,7 @@
 }
 
 static void
-test_answers_say_whether_they_ran (void)
+test_responses_tell_whether_the_request_ran (void)
 {
   struct HttpHeader sealed[] = { { "X-Response-Seal", "3e1b.07" }, { "X-Server-Load", "3,1,8" } };
   struct HttpHeader refused[] = { { "X-Not-Executed", "1" } };
@@ -298,10 +298,10 @@
   CU_ASSERT_EQUAL (table->routes[0].retention_ms, 60500);
   CU_ASSERT_TRUE (table->routes[0].keeps_turns);
   CU_ASSERT_TRUE (table->routes[0].resumable);
-  /* The word means something on streams alone. */
+  /* "resumable" applies to streams only. */
   CU_ASSERT_FALSE (table->routes[1].resumable);
   CU_ASSERT_EQUAL (table->routes[1].kind, ROUTE_REPEATABLE);
-  /* What is not known to be repeatable runs once. */
+  /* Requests of a route of unknown kind are run at most once. */
   CU_ASSERT_EQUAL (table->routes[2].kind, ROUTE_ONCE);
   CU_ASSERT_EQUAL (route_table_service (table, "s1")->tokens_per_event, 19);
   CU_ASSERT_EQUAL (table->limits.idle_timeout_ms, 400);
@@ -309,7 +309,7 @@
 }
 
 static void
-test_a_malformed_configuration_says_so (void)
+test_a_malformed_configuration_is_rejected (void)
 {
   static const char *const texts[] = {
     "",
@@ -355,11 +355,11 @@
       ERROR_INVALID);
 }
 
-/* Another program writes where the servers' entries lie: fields are missing or of another type, a
- * state is new, or the bytes are no text at all. Such an entry names no server, whatever the rest
- * of it says; a guessed slot count or zone would draw requests to it. */
+/* Another program writes to the prefix of the server entries: fields are missing or of another
+ * type, a state is unknown, or the bytes are not text. Such an entry must be rejected as a whole;
+ * with a default slot count or zone it would receive requests. */
 static void
-test_an_entry_that_can_not_be_read_names_no_server (void)
+test_a_malformed_server_entry_is_rejected (void)
 {
   static const char whole[] = "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\","
                               "\"version\":\"v1\",\"slots\":8,"
@@ -415,7 +415,7 @@
 }
 
 static void
-test_own_paths_and_the_directory (void)
+test_own_paths_and_the_gateway_directory (void)
 {
   const char *const addresses[] = { "10.1.0.38:8149", "10.1.0.39:8149" };
   char zone[NAME_MAX_BYTES + 1];
@@ -435,7 +435,7 @@
 }
 
 static void
-test_the_operators_hear_of_an_emptied_machine (void)
+test_a_completed_retirement_is_reported (void)
 {
   struct RetireNote note;
 
@@ -449,17 +449,17 @@
   { "a turn's headers are read", test_a_turns_headers_are_read },
   { "a request needs one id", test_a_request_needs_one_id },
   { "only the system sets its headers", test_only_the_system_sets_its_headers },
-  { "a stream goes on only where it may", test_a_stream_goes_on_only_where_it_may },
-  { "answers say whether they ran", test_answers_say_whether_they_ran },
+  { "a stream is resumed only on resumable routes",
+    test_a_stream_is_resumed_only_on_resumable_routes },
+  { "responses tell whether the request ran", test_responses_tell_whether_the_request_ran },
   { "a configuration is read", test_a_configuration_is_read },
-  { "a malformed configuration says so", test_a_malformed_configuration_says_so },
+  { "a malformed configuration is rejected", test_a_malformed_configuration_is_rejected },
   { "a server's entry is read", test_a_servers_entry_is_read },
-  { "an entry that can not be read names no server",
-    test_an_entry_that_can_not_be_read_names_no_server },
-  { "own paths and the directory", test_own_paths_and_the_directory },
-  { "the operators hear of an emptied machine", test_the_operators_hear_of_an_emptied_machine },
-  { "one credential has one answer", test_one_credential_has_one_answer },
-  { "only the key says whose a request is", test_only_the_key_says_whose_a_request_is },
+  { "a malformed server entry is rejected", test_a_malformed_server_entry_is_rejected },
+  { "own paths and the gateway directory", test_own_paths_and_the_gateway_directory },
+  { "a completed retirement is reported", test_a_completed_retirement_is_reported },
+  { "credentials are classified", test_credentials_are_classified },
+  { "only the key determines the customer", test_only_the_key_determines_the_customer },
   { "customers are read", test_customers_are_read },
   { NULL, NULL },
 };
--- a/tests/test_platform_store.c
+++ b/tests/test_platform_store.c
@@ -14,184 +14,186 @@
   TIMEOUT_MS = 400
 };
 
-struct Bench
+struct Fixture
 {
   struct tevent_context *events;
   struct KvPort *store;
   int listen_fd, fd;
-  char request[4096]; /* as the store gets it */
+  char request[4096]; /* as received by the store */
   bool answered;
   struct KvResult result;
   char key[64], value[64]; /* of the last entry */
 };
 
-static struct Bench *
-bench_new (void)
+static struct Fixture *
+fixture_new (void)
 {
-  struct Bench *b = talloc_zero (NULL, struct Bench);
+  struct Fixture *f = talloc_zero (NULL, struct Fixture);
   uint16_t port;
   char url[64];
 
-  b->events = tevent_context_init (b);
-  b->listen_fd = raw_listen (&port);
-  b->fd = -1;
+  f->events = tevent_context_init (f);
+  f->listen_fd = raw_listen (&port);
+  f->fd = -1;
   snprintf (url, sizeof url, "http://127.0.0.1:%u", port);
-  b->store = platform_store_new (b, curl_loop_new (b, b->events), url, TIMEOUT_MS);
-  return b;
+  f->store = platform_store_new (f, curl_loop_new (f, f->events), url, TIMEOUT_MS);
+  return f;
 }
 
 static void
-bench_free (struct Bench *b)
+fixture_free (struct Fixture *f)
 {
-  if (b->fd >= 0)
-    close (b->fd);
-  close (b->listen_fd);
-  talloc_free (b);
+  if (f->fd >= 0)
+    close (f->fd);
+  close (f->listen_fd);
+  talloc_free (f);
 }
 
 static void
-bench_on_done (void *data, const struct KvResult *result)
+fixture_on_done (void *data, const struct KvResult *result)
 {
-  struct Bench *b = data;
+  struct Fixture *f = data;
 
-  b->answered = true;
-  b->result = *result;
+  f->answered = true;
+  f->result = *result;
   if (result->n_entries == 0)
     return;
-  snprintf (b->key, sizeof b->key, "%s", result->entries[result->n_entries - 1].key);
-  snprintf (b->value, sizeof b->value, "%.*s",
+  snprintf (f->key, sizeof f->key, "%s", result->entries[result->n_entries - 1].key);
+  snprintf (f->value, sizeof f->value, "%.*s",
             (int)result->entries[result->n_entries - 1].value_bytes,
             (const char *)result->entries[result->n_entries - 1].value);
 }
 
-/* Submits request and waits until the store has read it up to wanted. */
+/* Submits request and waits until the store has received it up to the text wanted. */
 static void
-bench_ask (struct Bench *b, const struct KvRequest *request, const char *wanted)
+fixture_submit (struct Fixture *f, const struct KvRequest *request, const char *wanted)
 {
-  b->answered = false;
-  b->request[0] = '\0';
-  CU_ASSERT_EQUAL (kv_submit (b->store, request, bench_on_done, b), ERROR_NONE);
-  if (b->fd < 0)
-    b->fd = raw_accept (b->listen_fd, b->events);
-  CU_ASSERT_TRUE (raw_read_until (b->fd, b->events, wanted, b->request, sizeof b->request));
+  f->answered = false;
+  f->request[0] = '\0';
+  CU_ASSERT_EQUAL (kv_submit (f->store, request, fixture_on_done, f), ERROR_NONE);
+  if (f->fd < 0)
+    f->fd = raw_accept (f->listen_fd, f->events);
+  CU_ASSERT_TRUE (raw_read_until (f->fd, f->events, wanted, f->request, sizeof f->request));
 }
 
 static void
-bench_answer (struct Bench *b, const char *status, const char *body)
+fixture_respond (struct Fixture *f, const char *status, const char *body)
 {
   char text[1024];
 
   snprintf (text, sizeof text,
             "HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %zu\r\n\r\n%s",
             status, strlen (body), body);
-  raw_send (b->fd, text);
-  CU_ASSERT_TRUE (events_until (b->events, &b->answered));
+  raw_send (f->fd, text);
+  CU_ASSERT_TRUE (events_until (f->events, &f->answered));
 }
 
 static void
 test_keys_and_ranges_are_read (void)
 {
-  struct Bench *b = bench_new ();
+  struct Fixture *f = fixture_new ();
   struct KvRequest get = { .op = KV_OP_GET, .get.key = "my/a b" };
   struct KvRequest range = { .op = KV_OP_RANGE, .range.prefix = "my/" };
 
-  bench_ask (b, &get, "GET /-/kv-key?key=my/a%20b HTTP/1.1");
-  bench_answer (b, "200 OK",
-                "{\"key\":\"my/a b\",\"value\":\"bm9kZS0x\",\"revision\":412,\"at\":530}");
-  CU_ASSERT_EQUAL (b->result.error, ERROR_NONE);
-  CU_ASSERT_EQUAL (b->result.revision, 530);
-  CU_ASSERT_STRING_EQUAL (b->value, "node-1");
-  bench_ask (b, &get, "kv-key");
-  bench_answer (b, "404 Not Found", "{}");
-  CU_ASSERT_EQUAL (b->result.error, ERROR_NOT_FOUND);
-  bench_ask (b, &range, "GET /-/kv-range?prefix=my/ HTTP/1.1");
-  bench_answer (b, "200 OK",
-                "{\"items\":[{\"key\":\"my/x\",\"value\":\"\",\"revision\":1},{\"key\":\"my/y\","
-                "\"value\":\"eQ==\",\"revision\":2}],\"has_more\":true,\"at\":9}");
-  CU_ASSERT_EQUAL (b->result.n_entries, 2);
-  CU_ASSERT_TRUE (b->result.more);
-  CU_ASSERT_STRING_EQUAL (b->key, "my/y");
-  bench_free (b);
+  fixture_submit (f, &get, "GET /-/kv-key?key=my/a%20b HTTP/1.1");
+  fixture_respond (f, "200 OK",
+                   "{\"key\":\"my/a b\",\"value\":\"bm9kZS0x\",\"revision\":412,\"at\":530}");
+  CU_ASSERT_EQUAL (f->result.error, ERROR_NONE);
+  CU_ASSERT_EQUAL (f->result.revision, 530);
+  CU_ASSERT_STRING_EQUAL (f->value, "node-1");
+  fixture_submit (f, &get, "kv-key");
+  fixture_respond (f, "404 Not Found", "{}");
+  CU_ASSERT_EQUAL (f->result.error, ERROR_NOT_FOUND);
+  fixture_submit (f, &range, "GET /-/kv-range?prefix=my/ HTTP/1.1");
+  fixture_respond (f, "200 OK",
+                   "{\"items\":[{\"key\":\"my/x\",\"value\":\"\",\"revision\":1},{\"key\":\"my/y\","
+                   "\"value\":\"eQ==\",\"revision\":2}],\"has_more\":true,\"at\":9}");
+  CU_ASSERT_EQUAL (f->result.n_entries, 2);
+  CU_ASSERT_TRUE (f->result.more);
+  CU_ASSERT_STRING_EQUAL (f->key, "my/y");
+  fixture_free (f);
 }
 
 static void
 test_conditions_are_written_and_conflicts_read (void)
 {
-  struct Bench *b = bench_new ();
+  struct Fixture *f = fixture_new ();
   struct KvRequest put = { .op = KV_OP_PUT };
 
   put.put.key = "my/k";
   put.put.value = (const uint8_t *)"node-1";
   put.put.value_bytes = 6;
   put.put.condition = KV_IF_ABSENT;
-  bench_ask (b, &put, "\"remove\":[]}");
-  CU_ASSERT_PTR_NOT_NULL (strstr (b->request, "POST /-/kv-txn HTTP/1.1"));
+  fixture_submit (f, &put, "\"remove\":[]}");
+  CU_ASSERT_PTR_NOT_NULL (strstr (f->request, "POST /-/kv-txn HTTP/1.1"));
   CU_ASSERT_PTR_NOT_NULL (
-      strstr (b->request, "\"expected_revision\":[{\"key\":\"my/k\",\"revision\":0}]"));
-  CU_ASSERT_PTR_NOT_NULL (strstr (b->request, "{\"key\":\"my/k\",\"value\":\"bm9kZS0x\"}"));
-  bench_answer (b, "200 OK", "{\"revision\":412}");
-  CU_ASSERT_EQUAL (b->result.revision, 412);
+      strstr (f->request, "\"expected_revision\":[{\"key\":\"my/k\",\"revision\":0}]"));
+  CU_ASSERT_PTR_NOT_NULL (strstr (f->request, "{\"key\":\"my/k\",\"value\":\"bm9kZS0x\"}"));
+  fixture_respond (f, "200 OK", "{\"revision\":412}");
+  CU_ASSERT_EQUAL (f->result.revision, 412);
   put.put.condition = KV_IF_MOD_REVISION;
   put.put.mod_revision = 400;
-  bench_ask (b, &put, "\"revision\":400");
-  bench_answer (b, "412 Precondition Failed",
-                "{\"items\":[{\"key\":\"my/k\",\"value\":\"eQ==\",\"revision\":412}]}");
-  CU_ASSERT_EQUAL (b->result.error, ERROR_CONFLICT);
-  CU_ASSERT_STRING_EQUAL (b->value, "y");
-  bench_free (b);
+  fixture_submit (f, &put, "\"revision\":400");
+  fixture_respond (f, "412 Precondition Failed",
+                   "{\"items\":[{\"key\":\"my/k\",\"value\":\"eQ==\",\"revision\":412}]}");
+  CU_ASSERT_EQUAL (f->result.error, ERROR_CONFLICT);
+  CU_ASSERT_STRING_EQUAL (f->value, "y");
+  fixture_free (f);
 }
 
-/* What is known of a write decides what may be done next: refused means not applied, an answer that
- * never came may be either. */
+/* Callers decide by the error whether to repeat a write: a rejected write was not applied, one with
+ * a missing or malformed response may have been applied. */
 static void
-test_errors_say_what_is_known_of_a_write (void)
+test_errors_distinguish_rejected_and_unknown_writes (void)
 {
-  struct Bench *b = bench_new ();
+  struct Fixture *f = fixture_new ();
   struct KvRequest delete_key = { .op = KV_OP_DELETE };
 
   delete_key.delete_key.key = "my/k";
-  bench_ask (b, &delete_key, "\"remove\":[\"my/k\"]");
-  bench_answer (b, "503 Service Unavailable", "{}");
-  CU_ASSERT_EQUAL (b->result.error, ERROR_UNREACHABLE);
-  bench_ask (b, &delete_key, "\"remove\"");
-  bench_answer (b, "429 Too Many Requests", "{}");
-  CU_ASSERT_EQUAL (b->result.error, ERROR_RATE_LIMITED);
-  bench_ask (b, &delete_key, "\"remove\"");
-  bench_answer (b, "200 OK", "no JSON");
-  CU_ASSERT_EQUAL (b->result.error, ERROR_UNKNOWN_EFFECT);
-  bench_ask (b, &delete_key, "\"remove\"");
-  CU_ASSERT_TRUE (events_until (b->events, &b->answered));
-  CU_ASSERT_EQUAL (b->result.error, ERROR_UNKNOWN_EFFECT);
-  bench_free (b);
+  fixture_submit (f, &delete_key, "\"remove\":[\"my/k\"]");
+  fixture_respond (f, "503 Service Unavailable", "{}");
+  CU_ASSERT_EQUAL (f->result.error, ERROR_UNREACHABLE);
+  fixture_submit (f, &delete_key, "\"remove\"");
+  fixture_respond (f, "429 Too Many Requests", "{}");
+  CU_ASSERT_EQUAL (f->result.error, ERROR_RATE_LIMITED);
+  fixture_submit (f, &delete_key, "\"remove\"");
+  fixture_respond (f, "200 OK", "no JSON");
+  CU_ASSERT_EQUAL (f->result.error, ERROR_UNKNOWN_EFFECT);
+  fixture_submit (f, &delete_key, "\"remove\"");
+  CU_ASSERT_TRUE (events_until (f->events, &f->answered));
+  CU_ASSERT_EQUAL (f->result.error, ERROR_UNKNOWN_EFFECT);
+  fixture_free (f);
 }
 
 static void
-test_watches_go_on_from_what_was_seen (void)
+test_watches_continue_after_last_revision_seen (void)
 {
-  struct Bench *b = bench_new ();
+  struct Fixture *f = fixture_new ();
   struct KvRequest watch = { .op = KV_OP_WATCH };
 
   watch.watch.prefix = "op/";
   watch.watch.start_revision = 412;
   watch.watch.wait_ms = 1000;
-  bench_ask (b, &watch, "GET /-/kv-watch?prefix=op/&after=411&wait_ms=1000 HTTP/1.1");
-  bench_answer (
-      b, "200 OK",
+  fixture_submit (f, &watch, "GET /-/kv-watch?prefix=op/&after=411&wait_ms=1000 HTTP/1.1");
+  fixture_respond (
+      f, "200 OK",
       "{\"events\":[{\"key\":\"op/config\",\"revision\":413,\"deleted\":true}],\"at\":413}");
-  CU_ASSERT_EQUAL (b->result.error, ERROR_NONE);
-  CU_ASSERT_EQUAL (b->result.revision, 413);
-  CU_ASSERT_STRING_EQUAL (b->key, "op/config");
-  bench_ask (b, &watch, "kv-watch");
-  bench_answer (b, "410 Gone", "{}");
-  CU_ASSERT_EQUAL (b->result.error, ERROR_NOT_FOUND);
-  bench_free (b);
+  CU_ASSERT_EQUAL (f->result.error, ERROR_NONE);
+  CU_ASSERT_EQUAL (f->result.revision, 413);
+  CU_ASSERT_STRING_EQUAL (f->key, "op/config");
+  fixture_submit (f, &watch, "kv-watch");
+  fixture_respond (f, "410 Gone", "{}");
+  CU_ASSERT_EQUAL (f->result.error, ERROR_NOT_FOUND);
+  fixture_free (f);
 }
 
 const char test_suite_name[] = "platform_store";
 const struct TestCase test_cases[] = {
   { "keys and ranges are read", test_keys_and_ranges_are_read },
   { "conditions are written, conflicts read", test_conditions_are_written_and_conflicts_read },
-  { "errors say what is known of a write", test_errors_say_what_is_known_of_a_write },
-  { "watches go on from what was seen", test_watches_go_on_from_what_was_seen },
+  { "errors distinguish rejected and unknown writes",
+    test_errors_distinguish_rejected_and_unknown_writes },
+  { "watches continue after the last revision seen",
+    test_watches_continue_after_last_revision_seen },
   { NULL, NULL },
 };
--- a/tests/test_spool.c
+++ b/tests/test_spool.c
@@ -9,7 +9,7 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-/* What spool_each gave, as text. */
+/* The records that spool_each passed, as text. */
 struct Seen
 {
   char text[256];
@@ -18,7 +18,7 @@
 static char folder[64];
 
 static void
-note (void *data, uint64_t number, const uint8_t *record, size_t n_bytes)
+record_seen (void *data, uint64_t number, const uint8_t *record, size_t n_bytes)
 {
   struct Seen *seen = data;
   size_t used = strlen (seen->text);
@@ -57,18 +57,18 @@
 }
 
 static void
-put (struct Spool *spool, uint64_t number, const char *text)
+put_record (struct Spool *spool, uint64_t number, const char *text)
 {
   CU_ASSERT_EQUAL (spool_put (spool, "malda-1.7", number, (const uint8_t *)text, strlen (text)),
                    ERROR_NONE);
 }
 
 static void
-expect (struct Spool *spool, const char *text)
+expect_records (struct Spool *spool, const char *text)
 {
   struct Seen seen = { "" };
 
-  spool_each (spool, "malda-1.7", note, &seen);
+  spool_each (spool, "malda-1.7", record_seen, &seen);
   CU_ASSERT_STRING_EQUAL (seen.text, text);
 }
 
@@ -79,21 +79,21 @@
 
   new_folder ();
   spool = open_spool ();
-  put (spool, 1, "one");
-  put (spool, 2, "two");
-  expect (spool, ""); /* not durable yet: must not be given to anyone */
+  put_record (spool, 1, "one");
+  put_record (spool, 2, "two");
+  expect_records (spool, ""); /* not durable yet: must not be passed on */
   CU_ASSERT_EQUAL (spool_sync (spool), ERROR_NONE);
-  put (spool, 2, "two"); /* a resend */
+  put_record (spool, 2, "two"); /* a resend */
   talloc_free (spool);
   spool = open_spool ();
-  expect (spool, "1=one 2=two ");
+  expect_records (spool, "1=one 2=two ");
   talloc_free (spool);
   remove_folder ();
 }
 
-/* A disk-bearing instance loses power while it writes a third record: the file ends in the middle
- * of it. After the restart a taker reads the spool: it must get the two acknowledged records and
- * nothing of the third, and a record that comes later must be readable too. */
+/* An instance loses power while it writes a third record, so the file ends in the middle of it.
+ * After a restart the two acknowledged records must be readable and the third must be absent, and
+ * records written later must be readable too. */
 static void
 test_torn_tail_is_cut_off (void)
 {
@@ -106,30 +106,30 @@
     {
       struct Spool *spool = open_spool ();
 
-      put (spool, 1, "one");
-      put (spool, 2, "two");
+      put_record (spool, 1, "one");
+      put_record (spool, 2, "two");
       CU_ASSERT_EQUAL (spool_sync (spool), ERROR_NONE);
       CU_ASSERT_EQUAL (stat (path, &status), 0);
-      put (spool, 3, "three");
+      put_record (spool, 3, "three");
       talloc_free (spool);
       CU_ASSERT_EQUAL (truncate (path, status.st_size + torn), 0);
       spool = open_spool ();
-      expect (spool, "1=one 2=two ");
-      put (spool, 4, "four");
+      expect_records (spool, "1=one 2=two ");
+      put_record (spool, 4, "four");
       CU_ASSERT_EQUAL (spool_sync (spool), ERROR_NONE);
       talloc_free (spool);
       spool = open_spool ();
-      expect (spool, "1=one 2=two 4=four ");
+      expect_records (spool, "1=one 2=two 4=four ");
       talloc_free (spool);
       unlink (path);
     }
   remove_folder ();
 }
 
-/* A disk returns other bytes than were written: nothing behind the changed record may be trusted.
- */
+/* The disk returns other bytes than were written: the changed record and all after it must be
+ * rejected. */
 static void
-test_changed_byte_is_noticed (void)
+test_changed_byte_is_detected (void)
 {
   char path[128];
   struct Spool *spool;
@@ -138,44 +138,44 @@
   new_folder ();
   snprintf (path, sizeof path, "%s/spool-malda-1.7", folder);
   spool = open_spool ();
-  put (spool, 1, "one");
-  put (spool, 2, "two");
+  put_record (spool, 1, "one");
+  put_record (spool, 2, "two");
   CU_ASSERT_EQUAL (spool_sync (spool), ERROR_NONE);
   talloc_free (spool);
   fd = open (path, O_WRONLY);
   CU_ASSERT_EQUAL (pwrite (fd, "x", 1, 4), 1);
   close (fd);
   spool = open_spool ();
-  expect (spool, "");
+  expect_records (spool, "");
   talloc_free (spool);
   remove_folder ();
 }
 
 static void
-test_drained_records_are_forgotten (void)
+test_dropped_records_are_removed (void)
 {
   struct Spool *spool;
 
   new_folder ();
   spool = open_spool ();
-  put (spool, 1, "one");
-  put (spool, 2, "two");
+  put_record (spool, 1, "one");
+  put_record (spool, 2, "two");
   spool_sync (spool);
   spool_drop (spool, "malda-1.7", 1);
-  expect (spool, "2=two ");
+  expect_records (spool, "2=two ");
   spool_drop (spool, "malda-1.7", 2);
   CU_ASSERT_EQUAL (spool_count (spool), 0);
   talloc_free (spool);
   spool = open_spool ();
-  expect (spool, "");
+  expect_records (spool, "");
   talloc_free (spool);
   remove_folder ();
 }
 
-/* A home is paused in an outage; the platform comes back and another instance takes over: it seals
- * and reads the spool. The former home wakes, still believes in the outage and sends another
- * outcome. It must be refused, also after a restart of the holder, or its caller would be told of
- * an outcome that the new home does not know. */
+/* A home is paused during an outage of the platform. After the outage another instance takes over,
+ * seals the spool and reads it. Then the former home resumes and sends another outcome, not yet
+ * aware that the outage is over. The spool must refuse it, also after a restart of the instance
+ * that holds the spool; else a caller would receive an outcome that the new home does not have. */
 static void
 test_sealed_writer_is_refused (void)
 {
@@ -183,22 +183,21 @@
 
   new_folder ();
   spool = open_spool ();
-  put (spool, 1, "one");
+  put_record (spool, 1, "one");
   CU_ASSERT_EQUAL (spool_sync (spool), ERROR_NONE);
   CU_ASSERT_EQUAL (spool_seal (spool, "malda-1.7"), ERROR_NONE);
   CU_ASSERT_EQUAL (spool_put (spool, "malda-1.7", 2, (const uint8_t *)"two", 3), ERROR_FENCED);
   talloc_free (spool);
   spool = open_spool ();
-  expect (spool, "1=one ");
+  expect_records (spool, "1=one ");
   CU_ASSERT_EQUAL (spool_put (spool, "malda-1.7", 2, (const uint8_t *)"two", 3), ERROR_FENCED);
   CU_ASSERT_EQUAL (spool_seal (spool, "malda-1.7"), ERROR_NONE);
   talloc_free (spool);
   remove_folder ();
 }
 
-/* A disk-bearing instance is replaced with an empty disk under its old name. A taker that counted
- * it as having answered would miss what only the lost disk held: the new disk must have another id.
- */
+/* An instance is replaced under its old name with an empty disk. A new home that accepted its empty
+ * spool would miss records that only the lost disk held, so the new disk must have another id. */
 static void
 test_emptied_disk_has_another_id (void)
 {
@@ -224,8 +223,8 @@
 const struct TestCase test_cases[] = {
   { "records survive a restart", test_records_survive_a_restart },
   { "torn tail is cut off", test_torn_tail_is_cut_off },
-  { "changed byte is noticed", test_changed_byte_is_noticed },
-  { "drained records are forgotten", test_drained_records_are_forgotten },
+  { "changed byte is detected", test_changed_byte_is_detected },
+  { "dropped records are removed", test_dropped_records_are_removed },
   { "emptied disk has another id", test_emptied_disk_has_another_id },
   { "sealed writer is refused", test_sealed_writer_is_refused },
   { NULL, NULL },
