--- a/ctl/check_config.c
+++ b/ctl/check_config.c
@@ -11,7 +11,7 @@
   FILES_MAX = 256
 };
 
-/* What a file is, by a section that only files of its kind have. */
+/* Kind of a file, detected by a section that only files of this kind have. */
 enum FileKind
 {
   FILE_SETTINGS,
@@ -20,7 +20,7 @@
 };
 
 static void
-note_section (void *data, const struct IniLine *line)
+detect_kind_from_line (void *data, const struct IniLine *line)
 {
   enum FileKind *kind = data;
 
@@ -33,13 +33,13 @@
 }
 
 static enum FileKind
-file_kind (const char *file, const char *text)
+detect_file_kind (const char *file, const char *text)
 {
   struct ConfigFaults *ignored = talloc_zero (NULL, struct ConfigFaults);
   enum FileKind kind = FILE_SETTINGS;
 
   if (ignored != NULL)
-    ini_text_each (file, text, note_section, &kind, ignored);
+    ini_text_each (file, text, detect_kind_from_line, &kind, ignored);
   talloc_free (ignored);
   return kind;
 }
@@ -54,7 +54,7 @@
 
   if (text == NULL)
     return ERROR_INVALID;
-  switch (file_kind (file, text))
+  switch (detect_file_kind (file, text))
     {
     case FILE_PROFILE:
       return profile_parse (file, text, &profile, faults);
@@ -83,7 +83,7 @@
         }
       if (check_file (ctx, files[i], faults) == ERROR_NONE)
         {
-          fprintf (io->out, "%s: sound\n", files[i]);
+          fprintf (io->out, "%s: valid\n", files[i]);
           continue;
         }
       fputs (config_faults_render (ctx, faults), io->err);
@@ -96,7 +96,7 @@
 int
 command_check_config (int argc, char **argv, const struct CommandIo *io)
 {
-  static const struct CommandWords words = {
+  static const struct CommandWords usage = {
     "buckthornhead check-config", "Checks settings and profiles and shows every fault of each file."
   };
   struct CommandStandard standard = { 0 };
@@ -105,7 +105,7 @@
   void *argtable[] = { files, standard.help, standard.version, standard.end };
   int exit_code = EXIT_CODE_FAILED;
 
-  if (complete && command_parse (&words, &standard, argtable, argc, argv, io, &exit_code))
+  if (complete && command_parse (&usage, &standard, argtable, argc, argv, io, &exit_code))
     exit_code = check_files (files->filename, files->count, io);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return exit_code;
--- a/ctl/command.c
+++ b/ctl/command.c
@@ -19,7 +19,7 @@
   fputs ("Usage: buckthornhead COMMAND [ARGUMENTS]\n\nCommands:\n", out);
   for (const struct Command *c = commands; c->name != NULL; c++)
     fprintf (out, "  %-14s %s\n", c->name, c->summary);
-  fputs ("\n'buckthornhead COMMAND --help' says more; so does 'man buckthornhead'.\n", out);
+  fputs ("\nSee 'buckthornhead COMMAND --help' or 'man buckthornhead' for details.\n", out);
 }
 
 int
@@ -58,16 +58,16 @@
 }
 
 static void
-print_usage (const struct CommandWords *words, void **argtable, FILE *out)
+print_usage (const struct CommandWords *usage, void **argtable, FILE *out)
 {
-  fprintf (out, "Usage: %s", words->name);
+  fprintf (out, "Usage: %s", usage->name);
   arg_print_syntax (out, argtable, "\n");
-  fprintf (out, "\n%s\n\n", words->summary);
+  fprintf (out, "\n%s\n\n", usage->summary);
   arg_print_glossary (out, argtable, "  %-28s %s\n");
 }
 
 bool
-command_parse (const struct CommandWords *words,
+command_parse (const struct CommandWords *usage,
                const struct CommandStandard *standard,
                void **argtable,
                int argc,
@@ -86,7 +86,7 @@
   n_errors = arg_parse (argc, argv, argtable);
   if (standard->help->count > 0)
     {
-      print_usage (words, argtable, io->out);
+      print_usage (usage, argtable, io->out);
       *exit_code = EXIT_CODE_OK;
       return false;
     }
@@ -98,8 +98,8 @@
     }
   if (n_errors == 0)
     return true;
-  arg_print_errors (io->err, standard->end, words->name);
-  fprintf (io->err, "'%s --help' says more\n", words->name);
+  arg_print_errors (io->err, standard->end, usage->name);
+  fprintf (io->err, "see '%s --help' for details\n", usage->name);
   *exit_code = EXIT_CODE_USAGE;
   return false;
 }
--- a/ctl/command.h
+++ b/ctl/command.h
@@ -1,5 +1,5 @@
-/* The explicit command table of the one binary, and what all commands share: --help, --version
- * and the exit codes. */
+/* Command table of the buckthornhead binary, and what all commands share: --help, --version and
+ * the exit codes. */
 #pragma once
 
 #include <argtable2.h>
@@ -8,25 +8,25 @@
 #include <stdint.h>
 #include <stdio.h>
 
-/* Exit codes; also in buckthornhead(1). */
+/* Exit codes; documented in buckthornhead(1). */
 enum ExitCode
 {
   EXIT_CODE_OK = 0,
   EXIT_CODE_FAILED = 1,
-  EXIT_CODE_USAGE = 2,          /* wrong command line or bad input */
-  EXIT_CODE_CONFLICT = 3,       /* another change came first */
-  EXIT_CODE_UNREACHABLE = 4,    /* no instance answered: nothing was applied */
-  EXIT_CODE_EFFECT_UNKNOWN = 5, /* the answer was lost and could not be settled */
+  EXIT_CODE_USAGE = 2,          /* invalid command line or input */
+  EXIT_CODE_CONFLICT = 3,       /* another change was applied first */
+  EXIT_CODE_UNREACHABLE = 4,    /* no instance could be reached: nothing was applied */
+  EXIT_CODE_EFFECT_UNKNOWN = 5, /* the response was lost and the result not determined in time */
 };
 
-/* Where a command writes: tests take it from memory. */
+/* Output streams of a command; tests use memory streams. */
 struct CommandIo
 {
   FILE *out;
   FILE *err;
 };
 
-/* argv[0] is the command's own name. Returns an enum ExitCode. */
+/* argv[0] is the name of the command. Returns an enum ExitCode. */
 typedef int (*CommandFn) (int argc, char **argv, const struct CommandIo *io);
 
 struct Command
@@ -36,21 +36,21 @@
   CommandFn run;
 };
 
-/* Runs the command that argv[1] names, or answers --help and --version. */
+/* Runs the command named by argv[1], or handles --help and --version. */
 int
 command_dispatch (const struct Command *commands,
                   int argc,
                   char **argv,
                   const struct CommandIo *io);
 
-/* Words of a command for its usage text. */
+/* Name and summary of a command for its usage text. */
 struct CommandWords
 {
-  const char *name; /* whole: "buckthornhead check-config" */
+  const char *name; /* in full: "buckthornhead check-config" */
   const char *summary;
 };
 
-/* The arguments that every command takes; both stand in its argtable. */
+/* Options that every command takes; all of them are entries of its argtable. */
 struct CommandStandard
 {
   struct arg_lit *help;
@@ -61,9 +61,10 @@
 bool
 command_standard_new (struct CommandStandard *standard);
 
-/* Parses into argtable. True: go on. False: *exit_code is to be returned, all is printed. */
+/* Parses argv into argtable. Returns true if the command should run. Otherwise the help, version or
+ * error text has been printed and the command must return *exit_code. */
 bool
-command_parse (const struct CommandWords *words,
+command_parse (const struct CommandWords *usage,
                const struct CommandStandard *standard,
                void **argtable,
                int argc,
@@ -71,7 +72,7 @@
                const struct CommandIo *io,
                int *exit_code);
 
-/* The commands of the product's table. */
+/* Commands of the buckthornhead binary. */
 int
 command_serve (int argc, char **argv, const struct CommandIo *io);
 int
--- a/ctl/serve.c
+++ b/ctl/serve.c
@@ -3,7 +3,7 @@
 #include <buckthornhead/daemon.h>
 
 static int
-serve (const char *file, const struct CommandIo *io)
+run_instance (const char *file, const struct CommandIo *io)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct ConfigFaults *faults = talloc_zero (ctx, struct ConfigFaults);
@@ -28,7 +28,7 @@
 int
 command_serve (int argc, char **argv, const struct CommandIo *io)
 {
-  static const struct CommandWords words = {
+  static const struct CommandWords usage = {
     "buckthornhead serve", "Runs one instance until SIGTERM, which is a planned stop."
   };
   struct CommandStandard standard = { 0 };
@@ -37,8 +37,8 @@
   void *argtable[] = { config, standard.help, standard.version, standard.end };
   int exit_code = EXIT_CODE_FAILED;
 
-  if (complete && command_parse (&words, &standard, argtable, argc, argv, io, &exit_code))
-    exit_code = serve (config->filename[0], io);
+  if (complete && command_parse (&usage, &standard, argtable, argc, argv, io, &exit_code))
+    exit_code = run_instance (config->filename[0], io);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return exit_code;
 }
--- a/tests/test_command.c
+++ b/tests/test_command.c
@@ -3,7 +3,7 @@
 #include "fakes/ctl_run.h"
 
 static void
-test_check_config_tells_settings_from_profiles (void)
+test_check_config_detects_the_kind_of_file (void)
 {
   static const struct FakeReply replies[] = { { 0, NULL } };
   struct CtlRun *r =
@@ -13,9 +13,9 @@
                    "/examples/alergomeni.ini");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
-  CU_ASSERT (contains (r->out, "alergomeni.ini: sound\n"));
-  CU_ASSERT (contains (r->out, "gateway.ini: sound\n"));
-  CU_ASSERT (contains (r->out, "archive.ini: sound\n"));
+  CU_ASSERT (contains (r->out, "alergomeni.ini: valid\n"));
+  CU_ASSERT (contains (r->out, "gateway.ini: valid\n"));
+  CU_ASSERT (contains (r->out, "archive.ini: valid\n"));
   talloc_free (r);
   r = run_command (replies, command_check_config, "check-config /dev/null /nonexistent.ini");
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_USAGE);
@@ -33,20 +33,20 @@
 static int
 run_named (int argc, char **argv, const struct CommandIo *io)
 {
-  fprintf (io->out, "%s of %d\n", argv[0], argc);
+  fprintf (io->out, "%s, argc %d\n", argv[0], argc);
   return EXIT_CODE_CONFLICT;
 }
 
 static int
 run_table (int argc, char **argv, const struct CommandIo *io)
 {
-  static const struct Command table[] = { { "named", "is run", run_named }, { NULL, NULL, NULL } };
+  static const struct Command table[] = { { "named", "runs", run_named }, { NULL, NULL, NULL } };
 
   return command_dispatch (table, argc, argv, io);
 }
 
 static void
-test_table_dispatches (void)
+test_command_table_dispatches (void)
 {
   static const struct
   {
@@ -54,7 +54,7 @@
     int exit_code;
     const char *out;
   } cases[] = {
-    { "buckthornhead named a b", EXIT_CODE_CONFLICT, "named of 3\n" },
+    { "buckthornhead named a b", EXIT_CODE_CONFLICT, "named, argc 3\n" },
     { "buckthornhead --version", EXIT_CODE_OK, "buckthornhead " PRODUCT_VERSION "\n" },
     { "buckthornhead --help", EXIT_CODE_OK, "Usage: buckthornhead COMMAND" },
     { "buckthornhead", EXIT_CODE_USAGE, "" },
@@ -74,7 +74,7 @@
 
 const char test_suite_name[] = "command";
 const struct TestCase test_cases[] = {
-  { "check-config tells settings from profiles", test_check_config_tells_settings_from_profiles },
-  { "table dispatches", test_table_dispatches },
+  { "check-config detects the kind of file", test_check_config_detects_the_kind_of_file },
+  { "command table dispatches", test_command_table_dispatches },
   { NULL, NULL },
 };
