--- a/ctl/text_table.c
+++ b/ctl/text_table.c
@@ -13,7 +13,7 @@
 };
 
 static void
-make_safe (char *text)
+replace_control_characters (char *text)
 {
   for (char *c = text; *c != '\0'; c++)
     if ((unsigned char)*c < 0x20 || *c == 0x7f)
@@ -39,7 +39,7 @@
 
   if (value == NULL || json_is_null (value))
     snprintf (out, CELL_BYTES, "-");
-  else if (column->kind == TEXT_COLUMN_YES && json_is_boolean (value))
+  else if (column->kind == TEXT_COLUMN_BOOLEAN && json_is_boolean (value))
     snprintf (out, CELL_BYTES, "%s", json_is_true (value) ? "yes" : "no");
   else if (column->kind == TEXT_COLUMN_TIME && json_is_integer (value))
     format_time (value, out);
@@ -51,11 +51,11 @@
       snprintf (out, CELL_BYTES, "%s", text != NULL ? text : "-");
       free (text);
     }
-  make_safe (out);
+  replace_control_characters (out);
 }
 
 static void
-measure (const struct TextColumn *columns, const json_t *rows, int widths[COLUMNS_MAX])
+measure_columns (const struct TextColumn *columns, const json_t *rows, int widths[COLUMNS_MAX])
 {
   char cell[CELL_BYTES];
 
@@ -90,7 +90,7 @@
   int widths[COLUMNS_MAX] = { 0 };
   char cell[CELL_BYTES];
 
-  measure (columns, rows, widths);
+  measure_columns (columns, rows, widths);
   for (int i = 0; i < COLUMNS_MAX && columns[i].title != NULL; i++)
     print_cell (out, columns, i, widths[i], columns[i].title);
   fputc ('\n', out);
--- a/ctl/view_status.c
+++ b/ctl/view_status.c
@@ -18,13 +18,13 @@
   { "PROGRAMS", "programs", TEXT_COLUMN_NUMBER },
   { "IN FLIGHT", "in_flight", TEXT_COLUMN_NUMBER },
   { "WAITING", "waiting", TEXT_COLUMN_NUMBER },
-  { "PLATFORM", "platform_up", TEXT_COLUMN_YES },
-  { "SUSPECTED", "suspected", TEXT_COLUMN_YES },
+  { "PLATFORM", "platform_up", TEXT_COLUMN_BOOLEAN },
+  { "SUSPECTED", "suspected", TEXT_COLUMN_BOOLEAN },
   { NULL, NULL, TEXT_COLUMN_TEXT },
 };
 
 static json_int_t
-number (const json_t *object, const char *key)
+get_integer (const json_t *object, const char *key)
 {
   return json_integer_value (json_object_get (object, key));
 }
@@ -32,20 +32,21 @@
 static void
 print_outcomes (FILE *out, const json_t *outcomes)
 {
-  double prefix = (double)number (outcomes, "prefix_tokens");
-  double cached = (double)number (outcomes, "cached_tokens");
+  double prefix = (double)get_integer (outcomes, "prefix_tokens");
+  double cached = (double)get_integer (outcomes, "cached_tokens");
   double mean_ms = json_number_value (json_object_get (outcomes, "program_ms_mean"));
 
   fprintf (out,
            "Programs       created %" JSON_INTEGER_FORMAT ", finished %" JSON_INTEGER_FORMAT
            ", late %" JSON_INTEGER_FORMAT ", over budget %" JSON_INTEGER_FORMAT
            ", cancelled %" JSON_INTEGER_FORMAT "\n",
-           number (outcomes, "created"), number (outcomes, "done"), number (outcomes, "late"),
-           number (outcomes, "over_budget"), number (outcomes, "cancelled"));
+           get_integer (outcomes, "created"), get_integer (outcomes, "done"),
+           get_integer (outcomes, "late"), get_integer (outcomes, "over_budget"),
+           get_integer (outcomes, "cancelled"));
   fprintf (out,
            "Calls          refused %" JSON_INTEGER_FORMAT
            " (not run), may have run %" JSON_INTEGER_FORMAT "\n",
-           number (outcomes, "refused"), number (outcomes, "may_have_run"));
+           get_integer (outcomes, "refused"), get_integer (outcomes, "may_have_run"));
   fprintf (out, "Latency        %.1f s a program, mean\n", mean_ms / MS_PER_SECOND);
   if (prefix > 0)
     fprintf (out, "Wasted cache   %.1f%% of the prompt tokens were not found cached\n",
@@ -58,16 +59,16 @@
 print_configuration (FILE *out, const json_t *body)
 {
   const json_t *instances = json_object_get (body, "instances");
-  json_int_t revision = number (body, "config_revision");
+  json_int_t revision = get_integer (body, "config_revision");
   size_t n_current = 0;
 
   for (size_t i = 0; i < json_array_size (instances); i++)
-    if (number (json_array_get (instances, i), "config_revision") >= revision)
+    if (get_integer (json_array_get (instances, i), "config_revision") >= revision)
       n_current++;
   fprintf (out,
            "Configuration  revision %" JSON_INTEGER_FORMAT
            " in force on %zu of %zu instances, the oldest is %" JSON_INTEGER_FORMAT "\n",
-           revision, n_current, json_array_size (instances), number (body, "oldest_revision"));
+           revision, n_current, json_array_size (instances), get_integer (body, "oldest_revision"));
 }
 
 static void
@@ -120,7 +121,7 @@
       fputs ("  - ", out);
       text_print_safe (out, what != NULL ? what : "?");
       fputs ("; ", out);
-      text_print_safe (out, remedy != NULL ? remedy : "look at the instance's log");
+      text_print_safe (out, remedy != NULL ? remedy : "check the log of the instance");
       fputc ('\n', out);
     }
 }
--- a/ctl/views.c
+++ b/ctl/views.c
@@ -89,7 +89,7 @@
   text_table_print (out, service_columns, json_object_get (body, "services"));
 }
 
-/* Text with each line indented. */
+/* Prints title, then text with each line indented. */
 static void
 print_block (FILE *out, const char *title, const char *text)
 {
--- a/ctl/views.h
+++ b/ctl/views.h
@@ -1,4 +1,4 @@
-/* What each operators' answer looks like to a person. */
+/* Print the responses of the operators' interface as text. */
 #pragma once
 
 #include <jansson.h>
@@ -16,7 +16,8 @@
 view_programs (FILE *out, const json_t *body);
 void
 view_profiles (FILE *out, const json_t *body);
-/* The profile's text as it was applied, so that it can be edited and applied again. */
+/* Prints the text of the profile as it was applied, below a comment with its revision, so that it
+ * can be edited and applied again. */
 void
 view_profile (FILE *out, const json_t *body);
 void
--- a/tests/test_ctl.c
+++ b/tests/test_ctl.c
@@ -37,7 +37,7 @@
     "  - 1 call may have run; ask the service\n";
 
 static void
-test_status_is_one_screen (void)
+test_status_prints_one_screen (void)
 {
   static const struct FakeReply replies[] = { { 200, status_json }, { 0, NULL } };
   struct CtlRun *r = run_ctl (replies, "ctl --operator @ status");
@@ -50,7 +50,7 @@
 }
 
 static void
-test_text_of_a_server_can_not_steer_the_terminal (void)
+test_server_text_cannot_control_the_terminal (void)
 {
   static const struct FakeReply replies[] = {
     { 200, "{\"name\":\"a\",\"revision\":3,\"text\":\"[profile]\\u001b[2J\\nname = a\\n\"}" },
@@ -65,7 +65,7 @@
 }
 
 static void
-test_json_is_printed_as_it_came (void)
+test_json_is_printed_unchanged (void)
 {
   static const struct FakeReply replies[] = {
     { 200, "{\"services\":[{\"name\":\"hiring-agents\",\"profile\":\"hiring\"}]}" }, { 0, NULL }
@@ -79,7 +79,7 @@
 }
 
 static void
-test_lists_are_tables (void)
+test_lists_are_printed_as_tables (void)
 {
   static const struct FakeReply replies[] = {
     { 200, "{\"changes\":[{\"revision\":7,\"kind\":\"service\",\"name\":\"menu-agents\","
@@ -128,7 +128,7 @@
 }
 
 static void
-test_unreachable_is_4_and_the_next_instance_is_tried (void)
+test_unreachable_exits_with_4_and_the_next_instance_is_tried (void)
 {
   static const struct FakeReply replies[] = { { 200, "{\"backends\":[]}" }, { 0, NULL } };
   struct CtlRun *r = run_ctl (replies, "ctl --operator " CTL_NOWHERE " backends");
@@ -144,7 +144,7 @@
 }
 
 static void
-test_refusals_have_their_exit_codes (void)
+test_errors_have_their_exit_codes (void)
 {
   static const struct
   {
@@ -195,9 +195,9 @@
   talloc_free (r);
 }
 
-/* Whoever watches through an outage wants to see its end: a failed look does not end the watch. */
+/* A failed request must not end the watch, so that operators see the end of an outage. */
 static void
-test_watch_goes_on_after_a_failure (void)
+test_watch_continues_after_a_failure (void)
 {
   static const struct FakeReply replies[] = {
     { 503, CTL_PLATFORM_DOWN }, { 200, status_json }, { 200, "{}" }, { 0, NULL }
@@ -212,7 +212,7 @@
 }
 
 static void
-test_wrong_command_lines_are_2_and_send_nothing (void)
+test_invalid_command_lines_exit_with_2_and_send_nothing (void)
 {
   static const char apply_settings[] =
       "ctl profile apply " SOURCE_FOLDER "/examples/alergomeni.ini --operator @";
@@ -289,18 +289,18 @@
 
 const char test_suite_name[] = "ctl";
 const struct TestCase test_cases[] = {
-  { "status is one screen", test_status_is_one_screen },
-  { "text of a server can not steer the terminal",
-    test_text_of_a_server_can_not_steer_the_terminal },
-  { "JSON is printed as it came", test_json_is_printed_as_it_came },
-  { "lists are tables", test_lists_are_tables },
+  { "status prints one screen", test_status_prints_one_screen },
+  { "server text cannot control the terminal", test_server_text_cannot_control_the_terminal },
+  { "JSON is printed unchanged", test_json_is_printed_unchanged },
+  { "lists are printed as tables", test_lists_are_printed_as_tables },
   { "programs and counters", test_programs_and_counters },
-  { "unreachable is 4 and the next instance is tried",
-    test_unreachable_is_4_and_the_next_instance_is_tried },
-  { "refusals have their exit codes", test_refusals_have_their_exit_codes },
+  { "unreachable exits with 4 and the next instance is tried",
+    test_unreachable_exits_with_4_and_the_next_instance_is_tried },
+  { "errors have their exit codes", test_errors_have_their_exit_codes },
   { "token is sent", test_token_is_sent },
-  { "watch goes on after a failure", test_watch_goes_on_after_a_failure },
-  { "wrong command lines are 2 and send nothing", test_wrong_command_lines_are_2_and_send_nothing },
+  { "watch continues after a failure", test_watch_continues_after_a_failure },
+  { "invalid command lines exit with 2 and send nothing",
+    test_invalid_command_lines_exit_with_2_and_send_nothing },
   { "every command has help and version", test_every_command_has_help_and_version },
   { NULL, NULL },
 };
