--- a/ctl/change.c
+++ b/ctl/change.c
@@ -9,7 +9,7 @@
 enum
 {
   UUID_BYTES = 16,
-  SETTLE_PAUSE_MS = 500,
+  SETTLE_RETRY_INTERVAL_MS = 500,
   MS_PER_SECOND = 1000,
   NS_PER_MS = 1000000
 };
@@ -46,50 +46,51 @@
                             change->name, "text", change->text, "change_id", change->change_id,
                             "who", change->who, "reason", change->reason);
 
-  if (body != NULL && change->expects)
+  if (body != NULL && change->has_expected_revision)
     json_object_set_new (body, "expected_revision",
                          json_integer ((json_int_t)change->expected_revision));
   return body;
 }
 
-/* An operator's change is sent and the connection breaks before the answer: the change may be in
- * force, so neither "failed" nor a new change would be right. The id settles it: an instance that
- * knows it tells the revision; one that does not may be sent the same change again, for the log
- * takes an id once. Only 200 and a conflict are final here: any other answer to a second try says
- * nothing about the first. */
-static struct OperatorAnswer *
-settle (TALLOC_CTX *ctx,
-        const struct OperatorClient *client,
-        const struct ChangeRequest *change,
-        const json_t *body,
-        struct OperatorAnswer *lost)
+/* Determines the result of a change whose response was lost. The change may be in force, so both
+ * reporting a failure and sending a new change would be wrong. The result is queried by the change
+ * id: an instance that has the change returns its revision. If the instance does not have it, the
+ * same change is sent again, which is safe because the log applies an id only once. Only 200 and a
+ * conflict are final: any other response to a retry leaves the result of the first attempt
+ * unknown. */
+static struct OperatorResponse *
+settle_lost_change (TALLOC_CTX *ctx,
+                    const struct OperatorClient *client,
+                    const struct ChangeRequest *change,
+                    const json_t *body,
+                    struct OperatorResponse *lost_response)
 {
   const char *path =
       talloc_asprintf (ctx, "/operator/changes/%s", ctl_escape (ctx, change->change_id));
-  int64_t end_ms = now_ms () + (int64_t)change->settle_ms;
-  const struct timespec pause = { 0, (long)SETTLE_PAUSE_MS * NS_PER_MS };
+  int64_t deadline_ms = now_ms () + (int64_t)change->settle_ms;
+  const struct timespec interval = { 0, (long)SETTLE_RETRY_INTERVAL_MS * NS_PER_MS };
 
   for (;;)
     {
-      struct OperatorAnswer *answer = operator_get (ctx, client, path);
-
-      if (answer != NULL && answer->error == ERROR_NOT_FOUND)
-        answer = operator_post (ctx, client, "/operator/changes", body);
-      if (answer != NULL && (answer->error == ERROR_NONE || answer->error == ERROR_CONFLICT))
-        return answer;
-      if (now_ms () >= end_ms)
-        return lost;
-      nanosleep (&pause, NULL);
+      struct OperatorResponse *response = operator_get (ctx, client, path);
+
+      if (response != NULL && response->error == ERROR_NOT_FOUND)
+        response = operator_post (ctx, client, "/operator/changes", body);
+      if (response != NULL && (response->error == ERROR_NONE || response->error == ERROR_CONFLICT))
+        return response;
+      if (now_ms () >= deadline_ms)
+        return lost_response;
+      nanosleep (&interval, NULL);
     }
 }
 
 static int
-show_applied (const struct OperatorAnswer *answer,
-              const struct ChangeRequest *change,
-              bool json,
-              const struct CommandIo *io)
+print_applied_change (const struct OperatorResponse *response,
+                      const struct ChangeRequest *change,
+                      bool json,
+                      const struct CommandIo *io)
 {
-  json_int_t revision = json_integer_value (json_object_get (answer->body, "revision"));
+  json_int_t revision = json_integer_value (json_object_get (response->body, "revision"));
 
   if (json)
     fprintf (io->out, "{\"revision\":%" JSON_INTEGER_FORMAT ",\"change_id\":\"%s\"}\n", revision,
@@ -108,21 +109,21 @@
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   json_t *body = change_to_json (change);
-  struct OperatorAnswer *answer = NULL;
+  struct OperatorResponse *response = NULL;
   int exit_code;
 
   fprintf (io->err, "change id %s\n", change->change_id);
   fflush (io->err);
   if (body != NULL)
-    answer = operator_post (ctx, client, "/operator/changes", body);
-  if (answer != NULL && answer->error == ERROR_UNKNOWN_EFFECT)
-    answer = settle (ctx, client, change, body, answer);
-  if (answer != NULL && answer->error == ERROR_NONE)
-    exit_code = show_applied (answer, change, json, io);
+    response = operator_post (ctx, client, "/operator/changes", body);
+  if (response != NULL && response->error == ERROR_UNKNOWN_EFFECT)
+    response = settle_lost_change (ctx, client, change, body, response);
+  if (response != NULL && response->error == ERROR_NONE)
+    exit_code = print_applied_change (response, change, json, io);
   else
-    exit_code = ctl_show (answer, json, NULL, io);
+    exit_code = ctl_print_response (response, json, NULL, io);
   if (exit_code == EXIT_CODE_EFFECT_UNKNOWN)
-    fprintf (io->err, "ask again with: buckthornhead ctl change %s\n", change->change_id);
+    fprintf (io->err, "query the result with: buckthornhead ctl change %s\n", change->change_id);
   json_decref (body);
   talloc_free (ctx);
   return exit_code;
--- a/ctl/change.h
+++ b/ctl/change.h
@@ -1,4 +1,4 @@
-/* Sending one change of the configuration, and settling it when its answer is lost. */
+/* Sends one configuration change and determines its result when the response is lost. */
 #pragma once
 
 #include "ctl.h"
@@ -18,16 +18,16 @@
   const char *who;
   const char *reason;
   char change_id[NAME_MAX_BYTES + 1];
-  bool expects;               /* false: whatever the present revision is */
-  uint64_t expected_revision; /* 0: it must not exist yet */
-  uint64_t settle_ms;         /* how long a lost answer is asked for */
+  bool has_expected_revision; /* false: replaces any revision */
+  uint64_t expected_revision; /* 0: the entry must not exist yet */
+  uint64_t settle_ms;         /* how long to query the result after a lost response */
 };
 
-/* A random version 4 UUID. */
+/* Generates a random version 4 UUID. */
 int32_t
 change_id_new (char change_id[NAME_MAX_BYTES + 1]);
 
-/* Prints the id, then sends. Returns the exit code. */
+/* Prints the change id to io->err, then sends the change. Returns an enum ExitCode. */
 int
 change_send (const struct OperatorClient *client,
              const struct ChangeRequest *change,
--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -9,76 +9,77 @@
 enum
 {
   TOKEN_MAX_BYTES = 128,
-  WORDS_BYTES = 64
+  COMMAND_NAME_BYTES = 64
 };
 
 static const struct CtlCommand commands[] = {
-  { .words = "status",
+  { .name = "status",
     .summary = "outcomes, configuration, draining, platform, what needs a person",
     .run = ctl_run_read,
     .path = "/operator/status",
     .view = view_status },
-  { .words = "watch", .summary = "status, kept fresh", .run = ctl_run_watch },
-  { .words = "instances",
-    .summary = "instances and what they hold",
+  { .name = "watch", .summary = "status, refreshed periodically", .run = ctl_run_watch },
+  { .name = "instances",
+    .summary = "instances, their state and load",
     .run = ctl_run_read,
     .path = "/operator/instances",
     .view = view_instances },
-  { .words = "backends",
+  { .name = "backends",
     .summary = "backend servers, their owners and queues",
     .run = ctl_run_read,
     .path = "/operator/backends",
     .view = view_backends },
-  { .words = "programs", .summary = "programs, or all about one", .run = ctl_run_programs },
-  { .words = "profile list",
+  { .name = "programs", .summary = "programs, or the details of one", .run = ctl_run_programs },
+  { .name = "profile list",
     .summary = "profiles",
     .run = ctl_run_read,
     .path = "/operator/profiles",
     .view = view_profiles },
-  { .words = "profile show",
+  { .name = "profile show",
     .summary = "a profile's text",
     .run = ctl_run_read,
     .path = "/operator/profiles/",
     .argument = "NAME",
     .view = view_profile },
-  { .words = "profile apply",
+  { .name = "profile apply",
     .summary = "check a profile and put it in force",
     .run = ctl_run_profile_apply },
-  { .words = "profile history",
+  { .name = "profile history",
     .summary = "all changes of a profile",
     .run = ctl_run_read,
     .path = "/operator/audit?kind=profile&name=",
     .argument = "NAME",
     .view = view_audit,
     .kind = "profile" },
-  { .words = "service list",
+  { .name = "service list",
     .summary = "services and the profiles they run under",
     .run = ctl_run_read,
     .path = "/operator/services",
     .view = view_services },
-  { .words = "service set",
+  { .name = "service set",
     .summary = "set the profile that a service runs under",
     .run = ctl_run_service_set },
-  { .words = "drain",
-    .summary = "take an instance out of service as planned, or back",
+  { .name = "drain",
+    .summary = "drain an instance, or return it to service",
     .run = ctl_run_drain },
-  { .words = "audit", .summary = "every change of the configuration", .run = ctl_run_audit },
-  { .words = "change",
-    .summary = "what became of the change with this id",
+  { .name = "audit", .summary = "every change of the configuration", .run = ctl_run_audit },
+  { .name = "change",
+    .summary = "result of the change with this id",
     .run = ctl_run_read,
     .path = "/operator/changes/",
     .argument = "ID",
     .view = view_object },
-  { .words = "counters", .summary = "counters of one instance", .run = ctl_run_counters },
-  { .words = NULL },
+  { .name = "counters", .summary = "counters of one instance", .run = ctl_run_counters },
+  { .name = NULL },
 };
 
 bool
 ctl_options_new (struct CtlOptions *options)
 {
-  options->operators = arg_strn (NULL, "operator", "IP:PORT", 0, OPERATOR_ADDRESSES_MAX,
-                                 "operators' address of an instance; several are tried in order "
-                                 "(else $BUCKTHORNHEAD_OPERATOR, else " CTL_DEFAULT_OPERATOR ")");
+  options->addresses =
+      arg_strn (NULL, "operator", "IP:PORT", 0, OPERATOR_ADDRESSES_MAX,
+                "operators' address of an instance; several are tried in order "
+                "(default: $BUCKTHORNHEAD_OPERATOR, then " CTL_DEFAULT_OPERATOR ")");
   options->token_file = arg_file0 (NULL, "token-file", "FILE", "file with the operators' token");
   options->json = arg_lit0 (NULL, "json", "print JSON");
   return command_standard_new (&options->standard);
@@ -107,7 +108,7 @@
 
   if (address_parse (address, ip, &port) != ERROR_NONE)
     {
-      fprintf (io->err, "'%s' is no IP number with a port; write it as " CTL_DEFAULT_OPERATOR "\n",
+      fprintf (io->err, "'%s' is not an IP address with a port, such as " CTL_DEFAULT_OPERATOR "\n",
                address);
       return false;
     }
@@ -123,8 +124,8 @@
 
   if (client == NULL)
     return NULL;
-  for (int i = 0; i < options->operators->count; i++)
-    if (!add_address (client, options->operators->sval[i], io))
+  for (int i = 0; i < options->addresses->count; i++)
+    if (!add_address (client, options->addresses->sval[i], io))
       return NULL;
   if (client->n_addresses == 0
       && !add_address (client, environment != NULL ? environment : CTL_DEFAULT_OPERATOR, io))
@@ -134,7 +135,7 @@
   client->token = read_token (client, options->token_file->filename[0]);
   if (client->token == NULL)
     {
-      fprintf (io->err, "'%s' holds no token that can be read; name another file\n",
+      fprintf (io->err, "cannot read a token from the first line of '%s'; specify another file\n",
                options->token_file->filename[0]);
       return NULL;
     }
@@ -142,7 +143,7 @@
 }
 
 static int
-exit_code_of (int32_t error)
+exit_code_from_error (int32_t error)
 {
   switch (error)
     {
@@ -161,9 +162,9 @@
     }
 }
 
-/* How the present state differs from the one that a refused change was made for. */
+/* Prints how the current state differs from the one that a conflicting change expected. */
 static void
-print_differs (const json_t *body, const struct CommandIo *io)
+print_differences (const json_t *body, const struct CommandIo *io)
 {
   const json_t *differs = json_object_get (json_object_get (body, "error"), "differs");
   char *text;
@@ -177,17 +178,17 @@
 }
 
 int
-ctl_fail (const struct OperatorAnswer *answer, const struct CommandIo *io)
+ctl_print_error (const struct OperatorResponse *response, const struct CommandIo *io)
 {
-  if (answer == NULL)
+  if (response == NULL)
     {
       fputs ("out of memory\n", io->err);
       return EXIT_CODE_FAILED;
     }
-  fprintf (io->err, "%s: %s; %s\n", error_name (answer->error), answer->fault.message,
-           answer->fault.remedy);
-  print_differs (answer->body, io);
-  return exit_code_of (answer->error);
+  fprintf (io->err, "%s: %s; %s\n", error_name (response->error), response->fault.message,
+           response->fault.remedy);
+  print_differences (response->body, io);
+  return exit_code_from_error (response->error);
 }
 
 static void
@@ -198,23 +199,28 @@
 }
 
 int
-ctl_show (const struct OperatorAnswer *answer, bool json, ViewFn view, const struct CommandIo *io)
+ctl_print_response (const struct OperatorResponse *response,
+                    bool json,
+                    ViewFn view,
+                    const struct CommandIo *io)
 {
-  if (answer == NULL || answer->error != ERROR_NONE)
+  if (response == NULL || response->error != ERROR_NONE)
     {
-      if (json && answer != NULL && answer->body != NULL)
-        print_json (answer->body, io->out);
-      return ctl_fail (answer, io);
+      if (json && response != NULL && response->body != NULL)
+        print_json (response->body, io->out);
+      return ctl_print_error (response, io);
     }
-  if (answer->body == NULL)
+  if (response->body == NULL)
     {
-      fputs ("the answer is no JSON; is this the operators' address of an instance?\n", io->err);
+      fputs ("the response is not JSON; check that the address is the operators' address of an "
+             "instance\n",
+             io->err);
       return EXIT_CODE_FAILED;
     }
   if (json)
-    print_json (answer->body, io->out);
+    print_json (response->body, io->out);
   else
-    view (io->out, answer->body);
+    view (io->out, response->body);
   return EXIT_CODE_OK;
 }
 
@@ -234,26 +240,27 @@
   fputs ("Usage: buckthornhead ctl [--operator IP:PORT] [--token-file FILE] [--json] COMMAND "
          "[ARGUMENTS]\n\nCommands:\n",
          out);
-  for (const struct CtlCommand *c = commands; c->words != NULL; c++)
-    fprintf (out, "  %-16s %s\n", c->words, c->summary);
-  fputs ("\n'buckthornhead ctl COMMAND --help' says more; so does 'man buckthornhead-ctl'.\n", out);
+  for (const struct CtlCommand *c = commands; c->name != NULL; c++)
+    fprintf (out, "  %-16s %s\n", c->name, c->summary);
+  fputs ("\nSee 'buckthornhead ctl COMMAND --help' or 'man buckthornhead-ctl' for details.\n", out);
 }
 
 static bool
-takes_value (const char *option)
+option_takes_value (const char *option)
 {
   return strcmp (option, "--operator") == 0 || strcmp (option, "--token-file") == 0;
 }
 
-/* Index of the next word that is neither an option nor an option's value; argc when none. */
+/* Returns the index of the next argument that is neither an option nor the value of an option, or
+ * argc if there is none. */
 static int
-next_word (int argc, char **argv, int from)
+next_positional (int argc, char **argv, int from)
 {
   for (int i = from; i < argc; i++)
     {
       if (argv[i][0] != '-')
         return i;
-      if (takes_value (argv[i]))
+      if (option_takes_value (argv[i]))
         i++;
     }
   return argc;
@@ -262,16 +269,17 @@
 static const struct CtlCommand *
 find_command (const char *first, const char *second)
 {
-  char both[WORDS_BYTES];
+  char two_words_name[COMMAND_NAME_BYTES];
 
-  snprintf (both, sizeof both, "%s %s", first, second);
-  for (const struct CtlCommand *c = commands; c->words != NULL; c++)
-    if (strcmp (c->words, first) == 0 || strcmp (c->words, both) == 0)
+  snprintf (two_words_name, sizeof two_words_name, "%s %s", first, second);
+  for (const struct CtlCommand *c = commands; c->name != NULL; c++)
+    if (strcmp (c->name, first) == 0 || strcmp (c->name, two_words_name) == 0)
       return c;
   return NULL;
 }
 
-/* Runs command with argv freed of its words, so that options may stand on either side. */
+/* Runs command with the words of its name removed from argv, so that options may precede or follow
+ * them. */
 static int
 run_command (const struct CtlCommand *command,
              int argc,
@@ -281,14 +289,14 @@
              const struct CommandIo *io)
 {
   char **rest = talloc_array (NULL, char *, (size_t)argc + 1);
-  bool two_words = strchr (command->words, ' ') != NULL;
+  bool has_two_words = strchr (command->name, ' ') != NULL;
   int n_rest = 0;
   int exit_code;
 
   if (rest == NULL)
-    return ctl_fail (NULL, io);
+    return ctl_print_error (NULL, io);
   for (int i = 0; i < argc; i++)
-    if (i != first && !(two_words && i == second))
+    if (i != first && !(has_two_words && i == second))
       rest[n_rest++] = argv[i];
   rest[n_rest] = NULL;
   exit_code = command->run (command, n_rest, rest, io);
@@ -299,8 +307,8 @@
 int
 command_ctl (int argc, char **argv, const struct CommandIo *io)
 {
-  int first = next_word (argc, argv, 1);
-  int second = next_word (argc, argv, first + 1);
+  int first = next_positional (argc, argv, 1);
+  int second = next_positional (argc, argv, first + 1);
   const struct CtlCommand *command;
 
   if (first == argc)
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -1,4 +1,4 @@
-/* What the commands below `buckthornhead ctl` share. */
+/* Shared by the commands of `buckthornhead ctl`. */
 #pragma once
 
 #include "command.h"
@@ -7,10 +7,10 @@
 
 #define CTL_DEFAULT_OPERATOR "127.0.0.1:8701"
 
-/* The options that every ctl command takes; they stand in its argtable. */
+/* Options that every ctl command takes; all of them are entries of its argtable. */
 struct CtlOptions
 {
-  struct arg_str *operators;
+  struct arg_str *addresses;
   struct arg_file *token_file;
   struct arg_lit *json;
   struct CommandStandard standard;
@@ -19,32 +19,37 @@
 bool
 ctl_options_new (struct CtlOptions *options);
 
-/* Client of the instances that the options name. Prints what is wrong and gives NULL. */
+/* Creates a client for the addresses in options. Returns NULL if the options are invalid, after
+ * printing the reason, or if out of memory. */
 struct OperatorClient *
 ctl_client_new (TALLOC_CTX *ctx, const struct CtlOptions *options, const struct CommandIo *io);
 
-/* Says what failed, as a line or as JSON, and gives the exit code. answer may be NULL. */
+/* Prints the error of response to io->err and returns its exit code. response is NULL if out of
+ * memory. */
 int
-ctl_fail (const struct OperatorAnswer *answer, const struct CommandIo *io);
+ctl_print_error (const struct OperatorResponse *response, const struct CommandIo *io);
 
-/* Prints an answer's body, as JSON or by view. */
+/* Prints the body of response, as JSON or with view, or its error. Returns an enum ExitCode. */
 int
-ctl_show (const struct OperatorAnswer *answer, bool json, ViewFn view, const struct CommandIo *io);
+ctl_print_response (const struct OperatorResponse *response,
+                    bool json,
+                    ViewFn view,
+                    const struct CommandIo *io);
 
-/* text escaped for a URL; belongs to ctx. */
+/* Returns text escaped for a URL; allocated on ctx. */
 const char *
 ctl_escape (TALLOC_CTX *ctx, const char *text);
 
-/* One command of ctl: one or two words, then its arguments. */
+/* A ctl command: a name of one or two words, then its arguments. */
 struct CtlCommand
 {
-  const char *words; /* "profile apply"; NULL ends the table */
+  const char *name; /* "profile apply"; NULL ends the table */
   const char *summary;
   int (*run) (const struct CtlCommand *command, int argc, char **argv, const struct CommandIo *io);
-  const char *path;     /* reads: what is read; the escaped argument is put after it */
-  const char *argument; /* reads: what the argument is; NULL: none */
-  ViewFn view;          /* reads */
-  const char *kind;     /* reads of the audit trail: changes of this kind only; NULL: of all */
+  const char *path;     /* read commands: URL path; the escaped argument is appended */
+  const char *argument; /* read commands: name of the argument; NULL: none */
+  ViewFn view;          /* read commands */
+  const char *kind;     /* audit trail: only changes of this kind; NULL: all */
 };
 
 int
--- a/ctl/ctl_read.c
+++ b/ctl/ctl_read.c
@@ -9,34 +9,35 @@
 
 enum
 {
-  NAME_BYTES = 64,
-  PROGRAMS_LIMIT = 100,
+  COMMAND_NAME_BYTES = 64,
+  PROGRAMS_DEFAULT_LIMIT = 100,
   MS_PER_SECOND = 1000,
   NS_PER_MS = 1000000,
-  WATCH_EVERY_MS = 2000
+  WATCH_DEFAULT_INTERVAL_MS = 2000
 };
 
-/* Usage words of one command of ctl. */
-struct CtlWords
+/* Usage text of a ctl command, with storage for its full name. */
+struct CtlUsage
 {
-  char name[NAME_BYTES];
-  struct CommandWords words;
+  char name[COMMAND_NAME_BYTES];
+  struct CommandWords text;
 };
 
 static const struct CommandWords *
-command_words (struct CtlWords *words, const struct CtlCommand *command)
+ctl_usage (struct CtlUsage *usage, const struct CtlCommand *command)
 {
-  snprintf (words->name, sizeof words->name, "buckthornhead ctl %s", command->words);
-  words->words.name = words->name;
-  words->words.summary = command->summary;
-  return &words->words;
+  snprintf (usage->name, sizeof usage->name, "buckthornhead ctl %s", command->name);
+  usage->text.name = usage->name;
+  usage->text.summary = command->summary;
+  return &usage->text;
 }
 
-/* What of a list is wanted; instances of an earlier version send all of it. */
+/* Filter for the entries of a list. It is applied here as well because instances of an earlier
+ * version ignore the query and return the whole list. */
 struct ListFilter
 {
-  const char *kind; /* of changes; NULL: all */
-  size_t limit;     /* of programs; 0: none */
+  const char *kind; /* only changes of this kind; NULL: all */
+  size_t limit;     /* maximum number of programs; 0: unlimited */
 };
 
 static void
@@ -57,9 +58,8 @@
     json_array_remove (programs, json_array_size (programs) - 1);
 }
 
-/* Reads path and shows it. */
 static int
-read_and_show (const struct CtlOptions *options,
+show_response (const struct CtlOptions *options,
                const char *path,
                const struct ListFilter *filter,
                ViewFn view,
@@ -67,25 +67,25 @@
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct OperatorClient *client = ctl_client_new (ctx, options, io);
-  struct OperatorAnswer *answer;
+  struct OperatorResponse *response;
   int exit_code = EXIT_CODE_USAGE;
 
   if (client == NULL)
     goto out;
-  answer = operator_get (ctx, client, path);
-  if (answer != NULL && answer->error == ERROR_NONE)
-    filter_lists (answer->body, filter);
-  exit_code = ctl_show (answer, options->json->count > 0, view, io);
+  response = operator_get (ctx, client, path);
+  if (response != NULL && response->error == ERROR_NONE)
+    filter_lists (response->body, filter);
+  exit_code = ctl_print_response (response, options->json->count > 0, view, io);
 out:
   talloc_free (ctx);
   return exit_code;
 }
 
 static int
-read_argument (const struct CtlCommand *command,
-               const struct CtlOptions *options,
-               const struct arg_str *argument,
-               const struct CommandIo *io)
+show_path (const struct CtlCommand *command,
+           const struct CtlOptions *options,
+           const struct arg_str *argument,
+           const struct CommandIo *io)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   const struct ListFilter filter = { .kind = command->kind };
@@ -94,7 +94,7 @@
 
   if (argument != NULL)
     path = talloc_asprintf (ctx, "%s%s", path, ctl_escape (ctx, argument->sval[0]));
-  exit_code = read_and_show (options, path, &filter, command->view, io);
+  exit_code = show_response (options, path, &filter, command->view, io);
   talloc_free (ctx);
   return exit_code;
 }
@@ -107,21 +107,23 @@
   bool takes_argument = command->argument != NULL;
   struct arg_str *argument =
       takes_argument ? arg_str1 (NULL, NULL, command->argument, "whose") : NULL;
-  struct CtlWords words;
-  void *with[] = { options.operators,     options.token_file,       options.json,
-                   options.standard.help, options.standard.version, argument,
-                   options.standard.end };
-  void *without[] = { options.operators,     options.token_file,       options.json,
-                      options.standard.help, options.standard.version, options.standard.end };
-  void **argtable = takes_argument ? with : without;
-  size_t n_entries =
-      takes_argument ? sizeof with / sizeof with[0] : sizeof without / sizeof without[0];
+  struct CtlUsage usage;
+  void *with_argument[] = { options.addresses,     options.token_file,       options.json,
+                            options.standard.help, options.standard.version, argument,
+                            options.standard.end };
+  void *without_argument[] = {
+    options.addresses,     options.token_file,       options.json,
+    options.standard.help, options.standard.version, options.standard.end
+  };
+  void **argtable = takes_argument ? with_argument : without_argument;
+  size_t n_entries = takes_argument ? sizeof with_argument / sizeof with_argument[0]
+                                    : sizeof without_argument / sizeof without_argument[0];
   int exit_code = EXIT_CODE_FAILED;
 
   if (complete
-      && command_parse (command_words (&words, command), &options.standard, argtable, argc, argv,
-                        io, &exit_code))
-    exit_code = read_argument (command, &options, argument, io);
+      && command_parse (ctl_usage (&usage, command), &options.standard, argtable, argc, argv, io,
+                        &exit_code))
+    exit_code = show_path (command, &options, argument, io);
   arg_freetable (argtable, n_entries);
   return exit_code;
 }
@@ -134,7 +136,7 @@
                const struct CommandIo *io)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
-  int n = limit->count > 0 ? limit->ival[0] : PROGRAMS_LIMIT;
+  int n = limit->count > 0 ? limit->ival[0] : PROGRAMS_DEFAULT_LIMIT;
   const struct ListFilter filter = { .limit = n > 0 ? (size_t)n : 0 };
   const char *path;
   int exit_code;
@@ -147,7 +149,7 @@
   else
     path = talloc_asprintf (ctx, "/operator/programs?limit=%d", n);
   exit_code =
-      read_and_show (options, path, &filter, id->count > 0 ? view_object : view_programs, io);
+      show_response (options, path, &filter, id->count > 0 ? view_object : view_programs, io);
   talloc_free (ctx);
   return exit_code;
 }
@@ -161,10 +163,11 @@
   struct CtlOptions options = { 0 };
   bool complete = ctl_options_new (&options);
   struct arg_str *service = arg_str0 (NULL, "service", "NAME", "programs of this service only");
-  struct arg_int *limit = arg_int0 (NULL, "limit", "N", "at most this many (100)");
-  struct arg_str *id = arg_str0 (NULL, NULL, "ID", "all about this program");
-  struct CtlWords words;
-  void *argtable[] = { options.operators,
+  struct arg_int *limit =
+      arg_int0 (NULL, "limit", "N", "maximum number of programs (default: 100)");
+  struct arg_str *id = arg_str0 (NULL, NULL, "ID", "show the details of this program");
+  struct CtlUsage usage;
+  void *argtable[] = { options.addresses,
                        options.token_file,
                        options.json,
                        options.standard.help,
@@ -176,8 +179,8 @@
   int exit_code = EXIT_CODE_FAILED;
 
   if (complete
-      && command_parse (command_words (&words, command), &options.standard, argtable, argc, argv,
-                        io, &exit_code))
+      && command_parse (ctl_usage (&usage, command), &options.standard, argtable, argc, argv, io,
+                        &exit_code))
     exit_code = show_programs (&options, id, service, limit, io);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return exit_code;
@@ -199,7 +202,7 @@
   if (name->count > 0)
     path = talloc_asprintf_append (path, "%sname=%s", kind->count > 0 ? "&" : "?",
                                    ctl_escape (ctx, name->sval[0]));
-  exit_code = read_and_show (options, path, &filter, view_audit, io);
+  exit_code = show_response (options, path, &filter, view_audit, io);
   talloc_free (ctx);
   return exit_code;
 }
@@ -211,8 +214,8 @@
   bool complete = ctl_options_new (&options);
   struct arg_str *name = arg_str0 (NULL, "name", "NAME", "changes of this name only");
   struct arg_str *kind = arg_str0 (NULL, "kind", "KIND", "profile, service or drain only");
-  struct CtlWords words;
-  void *argtable[] = { options.operators,
+  struct CtlUsage usage;
+  void *argtable[] = { options.addresses,
                        options.token_file,
                        options.json,
                        options.standard.help,
@@ -223,14 +226,14 @@
   int exit_code = EXIT_CODE_FAILED;
 
   if (complete
-      && command_parse (command_words (&words, command), &options.standard, argtable, argc, argv,
-                        io, &exit_code))
+      && command_parse (ctl_usage (&usage, command), &options.standard, argtable, argc, argv, io,
+                        &exit_code))
     exit_code = show_audit (&options, name, kind, io);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return exit_code;
 }
 
-/* Text exposition as {"name": value}; comments are left out. */
+/* Converts the metrics text format to {"name": value}, without comments. */
 static json_t *
 counters_to_json (const char *text)
 {
@@ -269,18 +272,18 @@
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct OperatorClient *client = ctl_client_new (ctx, options, io);
-  struct OperatorAnswer *answer;
+  struct OperatorResponse *response;
   int exit_code = EXIT_CODE_USAGE;
 
   if (client == NULL)
     goto out;
-  answer = operator_get (ctx, client, "/metrics");
-  if (answer != NULL && answer->error == ERROR_NONE)
+  response = operator_get (ctx, client, "/metrics");
+  if (response != NULL && response->error == ERROR_NONE)
     {
-      json_decref (answer->body);
-      answer->body = counters_to_json (answer->text);
+      json_decref (response->body);
+      response->body = counters_to_json (response->text);
     }
-  exit_code = ctl_show (answer, options->json->count > 0, view_counters, io);
+  exit_code = ctl_print_response (response, options->json->count > 0, view_counters, io);
 out:
   talloc_free (ctx);
   return exit_code;
@@ -294,42 +297,45 @@
 {
   struct CtlOptions options = { 0 };
   bool complete = ctl_options_new (&options);
-  struct CtlWords words;
-  void *argtable[] = { options.operators,     options.token_file,       options.json,
+  struct CtlUsage usage;
+  void *argtable[] = { options.addresses,     options.token_file,       options.json,
                        options.standard.help, options.standard.version, options.standard.end };
   int exit_code = EXIT_CODE_FAILED;
 
   if (complete
-      && command_parse (command_words (&words, command), &options.standard, argtable, argc, argv,
-                        io, &exit_code))
+      && command_parse (ctl_usage (&usage, command), &options.standard, argtable, argc, argv, io,
+                        &exit_code))
     exit_code = show_counters (&options, io);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return exit_code;
 }
 
 static void
-pause_ms (uint64_t ms)
+sleep_ms (uint64_t ms)
 {
   struct timespec pause = { (time_t)(ms / MS_PER_SECOND), (long)(ms % MS_PER_SECOND) * NS_PER_MS };
 
   nanosleep (&pause, NULL);
 }
 
-/* A screen a round. A failure is shown and the next round tries again: whoever watches wants to
- * see the end of an outage, too. */
+/* Prints the status at each interval. A failed request is reported and does not end the watch, so
+ * that operators also see the end of an outage. */
 static int
-watch (const struct CtlOptions *options, uint64_t every_ms, int count, const struct CommandIo *io)
+watch (const struct CtlOptions *options,
+       uint64_t interval_ms,
+       int count,
+       const struct CommandIo *io)
 {
-  const struct ListFilter everything = { 0 };
+  const struct ListFilter no_filter = { 0 };
   const char *clear = isatty (fileno (io->out)) == 1 ? "\033[H\033[2J" : "";
   int exit_code = EXIT_CODE_OK;
 
   for (int round = 0; count == 0 || round < count; round++)
     {
       if (round > 0)
-        pause_ms (every_ms);
+        sleep_ms (interval_ms);
       fputs (clear, io->out);
-      exit_code = read_and_show (options, "/operator/status", &everything, view_status, io);
+      exit_code = show_response (options, "/operator/status", &no_filter, view_status, io);
       if (exit_code == EXIT_CODE_USAGE)
         break;
       fflush (io->out);
@@ -342,10 +348,11 @@
 {
   struct CtlOptions options = { 0 };
   bool complete = ctl_options_new (&options);
-  struct arg_str *every = arg_str0 (NULL, "every", "TIME", "pause between two looks (2s)");
-  struct arg_int *count = arg_int0 (NULL, "count", "N", "end after N looks (never)");
-  struct CtlWords words;
-  void *argtable[] = { options.operators,
+  struct arg_str *every = arg_str0 (NULL, "every", "TIME", "refresh interval (default: 2s)");
+  struct arg_int *count =
+      arg_int0 (NULL, "count", "N", "exit after N refreshes (default: unlimited)");
+  struct CtlUsage usage;
+  void *argtable[] = { options.addresses,
                        options.token_file,
                        options.json,
                        options.standard.help,
@@ -353,20 +360,21 @@
                        every,
                        count,
                        options.standard.end };
-  uint64_t every_ms = WATCH_EVERY_MS;
+  uint64_t interval_ms = WATCH_DEFAULT_INTERVAL_MS;
   int exit_code = EXIT_CODE_FAILED;
 
   if (!complete
-      || !command_parse (command_words (&words, command), &options.standard, argtable, argc, argv,
-                         io, &exit_code))
+      || !command_parse (ctl_usage (&usage, command), &options.standard, argtable, argc, argv, io,
+                         &exit_code))
     goto out;
-  if (every->count > 0 && units_parse (UNIT_TIME, every->sval[0], &every_ms) != ERROR_NONE)
+  if (every->count > 0 && units_parse (UNIT_TIME, every->sval[0], &interval_ms) != ERROR_NONE)
     {
-      fprintf (io->err, "'%s' is no time; write %s\n", every->sval[0], units_describe (UNIT_TIME));
+      fprintf (io->err, "'%s' is not a time; specify %s\n", every->sval[0],
+               units_describe (UNIT_TIME));
       exit_code = EXIT_CODE_USAGE;
       goto out;
     }
-  exit_code = watch (&options, every_ms, count->count > 0 ? count->ival[0] : 0, io);
+  exit_code = watch (&options, interval_ms, count->count > 0 ? count->ival[0] : 0, io);
 out:
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return exit_code;
--- a/ctl/operator_client.c
+++ b/ctl/operator_client.c
@@ -9,7 +9,7 @@
 {
   CONNECT_TIMEOUT_MS = 2000,
   REQUEST_TIMEOUT_MS = 15000,
-  ANSWER_MAX_BYTES = 64 * 1024 * 1024,
+  RESPONSE_MAX_BYTES = 64 * 1024 * 1024,
   STATUS_OK = 200
 };
 
@@ -19,7 +19,7 @@
   int32_t error;
 };
 
-/* For answers that name no kind of error. */
+/* Errors for responses that do not name a kind of error. */
 static const struct StatusError status_errors[] = {
   { 400, ERROR_INVALID },      { 401, ERROR_UNAUTHORIZED },  { 403, ERROR_UNAUTHORIZED },
   { 404, ERROR_NOT_FOUND },    { 409, ERROR_CONFLICT },      { 413, ERROR_TOO_LARGE },
@@ -27,42 +27,42 @@
 };
 
 static int
-free_answer (struct OperatorAnswer *answer)
+free_response (struct OperatorResponse *response)
 {
-  json_decref (answer->body);
+  json_decref (response->body);
   return 0;
 }
 
-static struct OperatorAnswer *
-answer_new (TALLOC_CTX *ctx)
+static struct OperatorResponse *
+response_new (TALLOC_CTX *ctx)
 {
-  struct OperatorAnswer *answer = talloc_zero (ctx, struct OperatorAnswer);
+  struct OperatorResponse *response = talloc_zero (ctx, struct OperatorResponse);
 
-  if (answer == NULL)
+  if (response == NULL)
     return NULL;
-  answer->text = talloc_strdup (answer, "");
-  talloc_set_destructor (answer, free_answer);
-  return answer;
+  response->text = talloc_strdup (response, "");
+  talloc_set_destructor (response, free_response);
+  return response;
 }
 
 static size_t
-take_bytes (char *bytes, size_t size, size_t n, void *data)
+append_body (char *bytes, size_t size, size_t n, void *data)
 {
-  struct OperatorAnswer *answer = data;
+  struct OperatorResponse *response = data;
   size_t n_bytes = size * n;
   char *text;
 
-  if (talloc_get_size (answer->text) + n_bytes > ANSWER_MAX_BYTES)
+  if (talloc_get_size (response->text) + n_bytes > RESPONSE_MAX_BYTES)
     return 0;
-  text = talloc_strndup_append_buffer (answer->text, bytes, n_bytes);
+  text = talloc_strndup_append_buffer (response->text, bytes, n_bytes);
   if (text == NULL)
     return 0;
-  answer->text = text;
+  response->text = text;
   return n_bytes;
 }
 
 static int32_t
-error_of_kind (const char *kind)
+error_from_kind (const char *kind)
 {
   for (int32_t error = ERROR_UNKNOWN_CALL; error < ERROR_NONE; error++)
     if (strcmp (error_name (error), kind) == 0)
@@ -71,7 +71,7 @@
 }
 
 static int32_t
-error_of_status (long status)
+error_from_status (long status)
 {
   for (size_t i = 0; i < sizeof status_errors / sizeof status_errors[0]; i++)
     if (status_errors[i].status == status)
@@ -79,49 +79,51 @@
   return ERROR_IO;
 }
 
-/* An answer other than 200: {"error":{"kind","message","remedy"}}, or anything else from what may
- * be no instance at all. */
+/* Parses a response with a status other than 200. Its body is
+ * {"error":{"kind","message","remedy"}}, or anything else if the address does not belong to an
+ * instance. */
 static void
-read_error (struct OperatorAnswer *answer, long status)
+parse_error (struct OperatorResponse *response, long status)
 {
   const char *kind = NULL;
   const char *message = NULL;
   const char *remedy = NULL;
   int32_t error = ERROR_NONE;
 
-  if (answer->body != NULL)
-    json_unpack (answer->body, "{s?{s?s, s?s, s?s}}", "error", "kind", &kind, "message", &message,
+  if (response->body != NULL)
+    json_unpack (response->body, "{s?{s?s, s?s, s?s}}", "error", "kind", &kind, "message", &message,
                  "remedy", &remedy);
   if (kind != NULL)
-    error = error_of_kind (kind);
+    error = error_from_kind (kind);
   if (error == ERROR_NONE)
-    error = error_of_status (status);
+    error = error_from_status (status);
   if (message != NULL)
-    answer->error = fault_set (&answer->fault, error, remedy, "%s", message);
+    response->error = fault_set (&response->fault, error, remedy, "%s", message);
   else
-    answer->error = fault_set (&answer->fault, error, remedy, "answered with status %ld", status);
+    response->error =
+        fault_set (&response->fault, error, remedy, "responded with status %ld", status);
 }
 
 static void
-read_answer (struct OperatorAnswer *answer, CURL *curl)
+parse_response (struct OperatorResponse *response, CURL *curl)
 {
   long status = 0;
 
   curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &status);
-  answer->body = json_loads (answer->text, 0, NULL);
+  response->body = json_loads (response->text, 0, NULL);
   if (status != STATUS_OK)
-    read_error (answer, status);
+    parse_error (response, status);
 }
 
-/* True when no byte of the request was sent: only then may it go to another instance. libcurl's
- * pretransfer time stays 0 until it begins to send. */
+/* Returns true if no byte of the request was sent: only then may it be sent to another instance.
+ * libcurl's pretransfer time stays 0 until it starts to send. */
 static bool
-never_left (CURL *curl)
+nothing_was_sent (CURL *curl)
 {
-  curl_off_t begun_us = 0;
+  curl_off_t send_start_us = 0;
 
-  curl_easy_getinfo (curl, CURLINFO_PRETRANSFER_TIME_T, &begun_us);
-  return begun_us == 0;
+  curl_easy_getinfo (curl, CURLINFO_PRETRANSFER_TIME_T, &send_start_us);
+  return send_start_us == 0;
 }
 
 static void
@@ -129,7 +131,7 @@
              struct curl_slist *headers,
              const char *url,
              const char *post,
-             struct OperatorAnswer *answer)
+             struct OperatorResponse *response)
 {
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_PROTOCOLS_STR, "http");
@@ -138,8 +140,8 @@
   curl_easy_setopt (curl, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, (long)REQUEST_TIMEOUT_MS);
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, headers);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, take_bytes);
-  curl_easy_setopt (curl, CURLOPT_WRITEDATA, answer);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, append_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEDATA, response);
   if (post != NULL)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, post);
 }
@@ -148,88 +150,88 @@
 make_headers (TALLOC_CTX *ctx, const struct OperatorClient *client, bool post)
 {
   struct curl_slist *headers = NULL;
-  const char *bearer;
+  const char *authorization;
 
   if (post)
     headers = curl_slist_append (headers, "Content-Type: application/json");
   if (client->token == NULL)
     return headers;
-  bearer = talloc_asprintf (ctx, "Authorization: Bearer %s", client->token);
-  return bearer != NULL ? curl_slist_append (headers, bearer) : headers;
+  authorization = talloc_asprintf (ctx, "Authorization: Bearer %s", client->token);
+  return authorization != NULL ? curl_slist_append (headers, authorization) : headers;
 }
 
-/* One request to one instance. */
-static struct OperatorAnswer *
-request (TALLOC_CTX *ctx,
-         const struct OperatorClient *client,
-         const char *address,
-         const char *path,
-         const char *post)
+/* Sends one request to one instance. */
+static struct OperatorResponse *
+send_request (TALLOC_CTX *ctx,
+              const struct OperatorClient *client,
+              const char *address,
+              const char *path,
+              const char *post)
 {
-  struct OperatorAnswer *answer = answer_new (ctx);
+  struct OperatorResponse *response = response_new (ctx);
   struct curl_slist *headers = NULL;
   CURL *curl = curl_easy_init ();
-  const char *url = talloc_asprintf (answer, "http://%s%s", address, path);
+  const char *url = talloc_asprintf (response, "http://%s%s", address, path);
   CURLcode code;
 
-  if (answer == NULL || answer->text == NULL || curl == NULL || url == NULL)
+  if (response == NULL || response->text == NULL || curl == NULL || url == NULL)
     {
-      TALLOC_FREE (answer);
+      TALLOC_FREE (response);
       goto out;
     }
-  headers = make_headers (answer, client, post != NULL);
-  set_options (curl, headers, url, post, answer);
+  headers = make_headers (response, client, post != NULL);
+  set_options (curl, headers, url, post, response);
   code = curl_easy_perform (curl);
   if (code == CURLE_OK)
-    read_answer (answer, curl);
-  else if (post == NULL || never_left (curl))
-    answer->error = fault_set (&answer->fault, ERROR_UNREACHABLE,
-                               "name another instance with --operator IP:PORT", "%s: %s", address,
-                               curl_easy_strerror (code));
+    parse_response (response, curl);
+  else if (post == NULL || nothing_was_sent (curl))
+    response->error = fault_set (&response->fault, ERROR_UNREACHABLE,
+                                 "specify another instance with --operator IP:PORT", "%s: %s",
+                                 address, curl_easy_strerror (code));
   else
-    answer->error = fault_set (&answer->fault, ERROR_UNKNOWN_EFFECT, NULL, "%s: %s", address,
-                               curl_easy_strerror (code));
+    response->error = fault_set (&response->fault, ERROR_UNKNOWN_EFFECT, NULL, "%s: %s", address,
+                                 curl_easy_strerror (code));
 out:
   curl_slist_free_all (headers);
   curl_easy_cleanup (curl);
-  return answer;
+  return response;
 }
 
-static struct OperatorAnswer *
-request_any (TALLOC_CTX *ctx,
-             const struct OperatorClient *client,
-             const char *path,
-             const char *post)
+static struct OperatorResponse *
+request_first_reachable (TALLOC_CTX *ctx,
+                         const struct OperatorClient *client,
+                         const char *path,
+                         const char *post)
 {
-  struct OperatorAnswer *answer = NULL;
+  struct OperatorResponse *response = NULL;
 
   for (size_t i = 0; i < client->n_addresses; i++)
     {
-      talloc_free (answer);
-      answer = request (ctx, client, client->addresses[i], path, post);
-      if (answer == NULL || answer->error != ERROR_UNREACHABLE)
+      talloc_free (response);
+      response = send_request (ctx, client, client->addresses[i], path, post);
+      if (response == NULL || response->error != ERROR_UNREACHABLE)
         break;
     }
-  return answer;
+  return response;
 }
 
-struct OperatorAnswer *
+struct OperatorResponse *
 operator_get (TALLOC_CTX *ctx, const struct OperatorClient *client, const char *path)
 {
-  return request_any (ctx, client, path, NULL);
+  return request_first_reachable (ctx, client, path, NULL);
 }
 
-struct OperatorAnswer *
+struct OperatorResponse *
 operator_post (TALLOC_CTX *ctx,
                const struct OperatorClient *client,
                const char *path,
                const json_t *body)
 {
   char *post = json_dumps (body, JSON_COMPACT);
-  struct OperatorAnswer *answer = NULL;
+  struct OperatorResponse *response = NULL;
 
   if (post != NULL)
-    answer = request_any (ctx, client, path, post);
+    response = request_first_reachable (ctx, client, path, post);
   free (post);
-  return answer;
+  return response;
 }
--- a/ctl/operator_client.h
+++ b/ctl/operator_client.h
@@ -1,4 +1,4 @@
-/* HTTP client of the operators' interface that each instance serves. */
+/* HTTP client for the operators' interface, which each instance serves. */
 #pragma once
 
 #include <buckthornhead/error.h>
@@ -16,26 +16,26 @@
 {
   const char *addresses[OPERATOR_ADDRESSES_MAX]; /* IP:port, tried in this order */
   size_t n_addresses;
-  const char *token; /* NULL: none is sent */
+  const char *token; /* NULL: no token is sent */
 };
 
-/* error: ERROR_NONE (an answer with status 200), ERROR_UNREACHABLE (no instance took the request),
- * ERROR_UNKNOWN_EFFECT (a POST left, its answer is lost), else the error that the answer names or
- * its status means. fault has the words. */
-struct OperatorAnswer
+/* error is ERROR_NONE (status 200), ERROR_UNREACHABLE (no instance received the request, or the
+ * response to a GET was lost), ERROR_UNKNOWN_EFFECT (a POST was sent, but its response was lost),
+ * or the error that the response names or its status maps to. fault has the message and remedy. */
+struct OperatorResponse
 {
   int32_t error;
   struct Fault fault;
-  json_t *body; /* NULL when there is none or it is no JSON; owned by the answer */
-  char *text;   /* the raw body, talloc'd */
+  json_t *body; /* NULL if the response has no JSON body; owned by the response */
+  char *text;   /* raw body, allocated with talloc */
 };
 
-/* Reads path from the first instance that answers. */
-struct OperatorAnswer *
+/* Sends a GET request for path to each instance in turn until one responds. */
+struct OperatorResponse *
 operator_get (TALLOC_CTX *ctx, const struct OperatorClient *client, const char *path);
 
-/* Sends body to the first instance that can be connected to, and to no other after that. */
-struct OperatorAnswer *
+/* Sends body to the first instance that accepts a connection, and to no other afterwards. */
+struct OperatorResponse *
 operator_post (TALLOC_CTX *ctx,
                const struct OperatorClient *client,
                const char *path,
--- a/tests/test_ctl_change.c
+++ b/tests/test_ctl_change.c
@@ -9,7 +9,7 @@
 #define APPLY "ctl profile apply " SOURCE_FOLDER "/examples/hiring.ini --operator @"
 
 static void
-test_apply_sends_what_was_seen (void)
+test_apply_sends_the_expected_revision (void)
 {
   static const struct FakeReply replies[] = { { 200, "{\"revision\":42}" }, { 0, NULL } };
   struct CtlRun *r = run_ctl (replies, APPLY " --reason dawn --expect 41 --json");
@@ -30,10 +30,11 @@
   talloc_free (r);
 }
 
-/* What `profile show` prints is edited and applied: the revision that was shown goes with it, so
- * that a change which came in between is not overwritten unseen, and the mark is not kept. */
+/* The output of `profile show` is edited and applied. The change must expect the revision that was
+ * shown, so that it does not silently overwrite a change made in between, and the comment with the
+ * revision must not become part of the profile. */
 static void
-test_shown_profile_carries_its_revision (void)
+test_shown_profile_is_applied_against_its_revision (void)
 {
   static const struct FakeReply shown[] = {
     { 200, "{\"name\":\"a\",\"revision\":41,\"text\":\"[profile]\\nname = a\\n\"}" }, { 0, NULL }
@@ -57,29 +58,28 @@
   talloc_free (r);
 }
 
-/* Two shifts edit one profile. The second one's change was made from a text that is no longer in
- * force; applied, it would undo the first one's unseen. The operator is told what differs. */
+/* Two operators edit the same profile. The second change is based on a text that is no longer in
+ * force and would silently undo the first one. It must fail and show the differences. */
 static void
-test_conflict_is_3_and_says_what_differs (void)
+test_conflict_exits_with_3_and_shows_the_differences (void)
 {
   static const struct FakeReply replies[] = {
     { 409, "{\"error\":{\"kind\":\"conflict\",\"message\":\"revision 9 came first\","
-           "\"remedy\":\"look at it\",\"differs\":\"- share = 10\\n+ share = 20\"}}" },
+           "\"remedy\":\"check it\",\"differs\":\"- share = 10\\n+ share = 20\"}}" },
     { 0, NULL }
   };
   struct CtlRun *r = run_ctl (replies, APPLY " --expect 8");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_CONFLICT);
-  CU_ASSERT (contains (r->err, "conflict: revision 9 came first; look at it\n"
+  CU_ASSERT (contains (r->err, "conflict: revision 9 came first; check it\n"
                                "what differs:\n- share = 10\n+ share = 20\n"));
   talloc_free (r);
 }
 
-/* An operator applies a profile. The instance writes it and dies before it answers. The operator
- * must neither hear "failed" nor apply it twice: ctl asks by the change id and hears the revision.
- */
+/* The instance applies a change and fails before it responds. ctl must neither report a failure nor
+ * apply the change twice: it queries the change id and gets the revision. */
 static void
-test_lost_answer_is_settled_by_change_id (void)
+test_lost_response_is_resolved_by_change_id (void)
 {
   static const struct FakeReply replies[] = {
     { 200, INSTANCES }, { 0, "" }, { 200, "{\"revision\":43}" }, { 0, NULL }
@@ -96,10 +96,10 @@
   talloc_free (r);
 }
 
-/* As before, but the instance died before it wrote the change: nobody knows the id, and the same
- * change goes out again under the same id. */
+/* The instance fails before it writes the change, so the change id is not found. The same change
+ * must be sent again under the same id. */
 static void
-test_lost_change_is_sent_again_under_its_id (void)
+test_lost_change_is_sent_again_with_its_id (void)
 {
   static const struct FakeReply replies[] = {
     { 0, "" }, { 404, CTL_NOT_FOUND }, { 200, "{\"revision\":43}" }, { 0, NULL }
@@ -114,40 +114,41 @@
   talloc_free (r);
 }
 
-/* The answer is lost and the platform is down for longer than the operator waits. A later try that
- * says "refused, not applied" speaks of that try alone: the first may still have taken effect, so
- * the exit code is 5, and the operator gets the id to ask with. */
+/* The response is lost and the platform stays down for longer than --settle. A retry that is
+ * refused does not show whether the first attempt took effect, so the exit code must be 5, with the
+ * command that queries the change id. */
 static void
-test_unsettled_change_is_5_whatever_later_tries_say (void)
+test_unresolved_change_exits_with_5_whatever_retries_return (void)
 {
   static const struct FakeReply down[] = {
     { 200, INSTANCES }, { 0, "" }, { 404, CTL_NOT_FOUND }, { 503, CTL_PLATFORM_DOWN }, { 0, NULL }
   };
-  static const struct FakeReply silent[] = {
+  static const struct FakeReply no_response[] = {
     { 200, INSTANCES }, { 0, "" }, { 0, "" }, { 0, NULL }
   };
-  static const struct FakeReply said[] = {
+  static const struct FakeReply reported[] = {
     { 200, INSTANCES },
     { 503, "{\"error\":{\"kind\":\"unknown_effect\",\"message\":\"m\",\"remedy\":\"r\"}}" },
     { 503, CTL_PLATFORM_DOWN },
     { 0, NULL }
   };
-  const struct FakeReply *const scripts[] = { down, silent, said };
+  const struct FakeReply *const scripts[] = { down, no_response, reported };
 
   for (size_t i = 0; i < sizeof scripts / sizeof scripts[0]; i++)
     {
       struct CtlRun *r = run_ctl (scripts[i], "ctl drain entry-4 --settle 0ms --operator @");
 
       CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_EFFECT_UNKNOWN);
-      CU_ASSERT (contains (r->err, "ask again with: buckthornhead ctl change "));
+      CU_ASSERT (contains (r->err, "query the result with: buckthornhead ctl change "));
       talloc_free (r);
     }
 }
 
-/* An operator means entry-4, types entry-5 and stops entry-4 as soon as the drain is "done": its
- * programs move only then, and slower. An unknown name is refused and nothing is sent. */
+/* If a mistyped name were accepted, the operator would stop an instance that was never drained; its
+ * programs would move only then, and more slowly. An unknown name is refused and no change is sent.
+ */
 static void
-test_drain_of_an_unknown_instance_is_2 (void)
+test_drain_of_an_unknown_instance_exits_with_2 (void)
 {
   static const struct FakeReply replies[] = { { 200, INSTANCES }, { 0, NULL } };
   struct CtlRun *r = run_ctl (replies, "ctl drain entry-5 --operator @");
@@ -158,9 +159,10 @@
   talloc_free (r);
 }
 
-/* A change that reached nobody is not "unknown": exit code 4, and nobody is asked about it. */
+/* The effect of a change that was never sent is not unknown: the exit code is 4 and the result is
+ * not queried. */
 static void
-test_change_that_never_left_is_4 (void)
+test_unsent_change_exits_with_4 (void)
 {
   static const struct FakeReply replies[] = { { 0, NULL } };
   struct CtlRun *r = run_ctl (replies, "ctl drain entry-4 --off --operator " CTL_NOWHERE);
@@ -170,7 +172,7 @@
 }
 
 static void
-test_service_set_names_the_revision_it_read (void)
+test_service_set_expects_the_revision_it_read (void)
 {
   static const struct FakeReply known[] = {
     { 200, "{\"services\":[{\"name\":\"menu-agents\",\"profile\":\"menu\",\"revision\":5}]}" },
@@ -191,15 +193,17 @@
 
 const char test_suite_name[] = "ctl change";
 const struct TestCase test_cases[] = {
-  { "apply sends what was seen", test_apply_sends_what_was_seen },
-  { "shown profile carries its revision", test_shown_profile_carries_its_revision },
-  { "conflict is 3 and says what differs", test_conflict_is_3_and_says_what_differs },
-  { "lost answer is settled by change id", test_lost_answer_is_settled_by_change_id },
-  { "lost change is sent again under its id", test_lost_change_is_sent_again_under_its_id },
-  { "unsettled change is 5 whatever later tries say",
-    test_unsettled_change_is_5_whatever_later_tries_say },
-  { "drain of an unknown instance is 2", test_drain_of_an_unknown_instance_is_2 },
-  { "change that never left is 4", test_change_that_never_left_is_4 },
-  { "service set names the revision it read", test_service_set_names_the_revision_it_read },
+  { "apply sends the expected revision", test_apply_sends_the_expected_revision },
+  { "shown profile is applied against its revision",
+    test_shown_profile_is_applied_against_its_revision },
+  { "conflict exits with 3 and shows the differences",
+    test_conflict_exits_with_3_and_shows_the_differences },
+  { "lost response is resolved by change id", test_lost_response_is_resolved_by_change_id },
+  { "lost change is sent again with its id", test_lost_change_is_sent_again_with_its_id },
+  { "unresolved change exits with 5 whatever retries return",
+    test_unresolved_change_exits_with_5_whatever_retries_return },
+  { "drain of an unknown instance exits with 2", test_drain_of_an_unknown_instance_exits_with_2 },
+  { "unsent change exits with 4", test_unsent_change_exits_with_4 },
+  { "service set expects the revision it read", test_service_set_expects_the_revision_it_read },
   { NULL, NULL },
 };
