--- a/adapters/backend_http.c
+++ b/adapters/backend_http.c
@@ -9,7 +9,8 @@
 enum
 {
   CONNECT_TIMEOUT_MS = 2000,
-  KEPT_MAX_BYTES = 8 * 1024 * 1024, /* of an answer, or of one line of a stream, to find usage */
+  /* Limit on a response, or on one line of an event stream, that is buffered to parse its usage. */
+  BUFFER_MAX_BYTES = 8 * 1024 * 1024,
   HEADERS_MAX = 5,
   STATUS_OK = 200,
   STATUS_OK_END = 300,
@@ -22,16 +23,16 @@
   struct BackendCall *next;
   struct BackendHttp *http;
   struct CurlCall *curl;
-  struct tevent_immediate *cancelling; /* NULL: not cancelled */
+  struct tevent_immediate *cancelling; /* NULL unless cancelled */
   uint64_t ticket;
   enum BackendOp op;
   bool engine, stream;
   BackendEventFn fn;
   void *data;
 
-  uint8_t *kept; /* whole answer, or the unfinished line of a stream */
-  size_t kept_bytes;
-  bool overflow; /* kept grew too large and was dropped */
+  uint8_t *buffer; /* the whole response, or the incomplete last line of an event stream */
+  size_t buffer_bytes;
+  bool overflow; /* the buffer exceeded its limit and was freed */
   bool stream_ended, stream_failed;
   uint32_t prompt_tokens, generated_tokens, cached_tokens;
 };
@@ -63,9 +64,9 @@
 }
 
 static void
-backend_call_read_usage (struct BackendCall *call, const json_t *answer)
+backend_call_read_usage (struct BackendCall *call, const json_t *response)
 {
-  const json_t *usage = json_object_get (answer, "usage");
+  const json_t *usage = json_object_get (response, "usage");
 
   if (!json_is_object (usage))
     return;
@@ -76,29 +77,29 @@
 }
 
 static void
-backend_call_keep (struct BackendCall *call, const uint8_t *bytes, size_t n_bytes)
+backend_call_append (struct BackendCall *call, const uint8_t *bytes, size_t n_bytes)
 {
   if (call->overflow || n_bytes == 0)
     return;
-  if (call->kept_bytes + n_bytes > KEPT_MAX_BYTES)
+  if (call->buffer_bytes + n_bytes > BUFFER_MAX_BYTES)
     {
       call->overflow = true;
-      TALLOC_FREE (call->kept);
-      call->kept_bytes = 0;
+      TALLOC_FREE (call->buffer);
+      call->buffer_bytes = 0;
       return;
     }
-  call->kept = talloc_realloc (call, call->kept, uint8_t, call->kept_bytes + n_bytes);
-  if (call->kept == NULL)
+  call->buffer = talloc_realloc (call, call->buffer, uint8_t, call->buffer_bytes + n_bytes);
+  if (call->buffer == NULL)
     {
       call->overflow = true;
-      call->kept_bytes = 0;
+      call->buffer_bytes = 0;
       return;
     }
-  memcpy (call->kept + call->kept_bytes, bytes, n_bytes);
-  call->kept_bytes += n_bytes;
+  memcpy (call->buffer + call->buffer_bytes, bytes, n_bytes);
+  call->buffer_bytes += n_bytes;
 }
 
-/* One line of an event stream, without its line feed. */
+/* Parses one line of an event stream, given without its line feed. */
 static void
 backend_call_read_line (struct BackendCall *call, const uint8_t *line, size_t n_bytes)
 {
@@ -122,7 +123,7 @@
       call->stream_ended = true;
       return;
     }
-  /* Most events carry a token only: parse the few that can matter. */
+  /* Most events carry only tokens; parsing JSON is limited to events with usage or an error. */
   if (memmem (line, n_bytes, "\"usage\"", 7) == NULL
       && memmem (line, n_bytes, "\"error\"", 7) == NULL)
     return;
@@ -133,7 +134,7 @@
   json_decref (event);
 }
 
-/* A line may be split anywhere between chunks: its start is kept until its line feed comes. */
+/* A line may be split between chunks: its start is buffered until the line feed arrives. */
 static void
 backend_call_read_stream (struct BackendCall *call, const uint8_t *bytes, size_t n_bytes)
 {
@@ -141,19 +142,19 @@
 
   while (bytes < end)
     {
-      const uint8_t *feed = memchr (bytes, '\n', (size_t)(end - bytes));
-      size_t n = (size_t)((feed != NULL ? feed : end) - bytes);
+      const uint8_t *line_end = memchr (bytes, '\n', (size_t)(end - bytes));
+      size_t n = (size_t)((line_end != NULL ? line_end : end) - bytes);
 
-      if (feed != NULL && call->kept_bytes == 0 && !call->overflow)
+      if (line_end != NULL && call->buffer_bytes == 0 && !call->overflow)
         backend_call_read_line (call, bytes, n);
       else
         {
-          backend_call_keep (call, bytes, n);
-          if (feed == NULL)
+          backend_call_append (call, bytes, n);
+          if (line_end == NULL)
             return;
           if (!call->overflow)
-            backend_call_read_line (call, call->kept, call->kept_bytes);
-          call->kept_bytes = 0;
+            backend_call_read_line (call, call->buffer, call->buffer_bytes);
+          call->buffer_bytes = 0;
           call->overflow = false;
         }
       bytes += n + 1;
@@ -171,7 +172,7 @@
   if (call->engine && call->stream)
     backend_call_read_stream (call, bytes, n_bytes);
   else if (call->engine || call->op != BACKEND_OP_CALL)
-    backend_call_keep (call, bytes, n_bytes);
+    backend_call_append (call, bytes, n_bytes);
   if (call->op != BACKEND_OP_CALL)
     return;
   event.chunk.bytes = bytes;
@@ -186,9 +187,10 @@
   return status >= STATUS_OK && status < STATUS_OK_END;
 }
 
-/* Of a failure that the server reported before it began: nothing ran there. */
+/* Returns whether the server rejected the request before running any of it. The header is ignored
+ * with other statuses, which may report a failure after the server began. */
 static bool
-backend_call_refused (const struct BackendCall *call, uint32_t status)
+backend_call_was_rejected (const struct BackendCall *call, uint32_t status)
 {
   const char *ran;
 
@@ -201,51 +203,51 @@
 static bool
 backend_call_read_load (const struct BackendCall *call, struct BackendLoad *load)
 {
-  json_t *answer = json_loadb ((const char *)call->kept, call->kept_bytes, 0, NULL);
-  const char *incarnation = json_string_value (json_object_get (answer, "engine_incarnation"));
-  bool valid = json_is_object (answer);
-
-  load->running = json_get_uint32 (answer, "running");
-  load->waiting = json_get_uint32 (answer, "waiting");
-  load->cache_used_tokens = json_get_uint64 (answer, "cache_used_tokens");
-  load->cache_capacity_tokens = json_get_uint64 (answer, "cache_capacity_tokens");
-  load->last_event = json_get_uint64 (answer, "last_event");
+  json_t *response = json_loadb ((const char *)call->buffer, call->buffer_bytes, 0, NULL);
+  const char *incarnation = json_string_value (json_object_get (response, "engine_incarnation"));
+  bool valid = json_is_object (response);
+
+  load->running = json_get_uint32 (response, "running");
+  load->waiting = json_get_uint32 (response, "waiting");
+  load->cache_used_tokens = json_get_uint64 (response, "cache_used_tokens");
+  load->cache_capacity_tokens = json_get_uint64 (response, "cache_capacity_tokens");
+  load->last_event = json_get_uint64 (response, "last_event");
   if (incarnation != NULL)
     strncpy (load->engine_incarnation, incarnation, NAME_MAX_BYTES);
-  json_decref (answer);
+  json_decref (response);
   return valid;
 }
 
-/* False when the answer is not a whole one for its shape. A server whose answer ends with the
- * connection (no length, no chunks) and which dies in the middle looks whole to HTTP; an event
- * stream without its end marker, or half a JSON text, shows that it is not. */
+/* Returns false when the body is truncated. A response that is delimited by the end of the
+ * connection (no Content-Length, not chunked) looks complete to HTTP when the server fails midway;
+ * a missing [DONE] event or incomplete JSON reveals the truncation. */
 static bool
-backend_call_read_answer (struct BackendCall *call)
+backend_call_read_response (struct BackendCall *call)
 {
-  json_t *answer;
+  json_t *response;
   bool valid;
 
   if (!call->engine)
     return true;
   if (call->stream)
     {
-      if (!call->overflow && call->kept_bytes > 0)
-        backend_call_read_line (call, call->kept, call->kept_bytes);
+      if (!call->overflow && call->buffer_bytes > 0)
+        backend_call_read_line (call, call->buffer, call->buffer_bytes);
       return call->stream_ended;
     }
   if (call->overflow)
     return true;
-  answer = json_loadb ((const char *)call->kept, call->kept_bytes, 0, NULL);
-  valid = json_is_object (answer);
-  backend_call_read_usage (call, answer);
-  json_decref (answer);
+  response = json_loadb ((const char *)call->buffer, call->buffer_bytes, 0, NULL);
+  valid = json_is_object (response);
+  backend_call_read_usage (call, response);
+  json_decref (response);
   return valid;
 }
 
 static void
-backend_call_settle (struct BackendCall *call,
-                     const struct HttpResult *result,
-                     struct BackendEvent *event)
+backend_call_fill_end (struct BackendCall *call,
+                       const struct HttpResult *result,
+                       struct BackendEvent *event)
 {
   event->end.status = result->status;
   event->end.ran = RAN_MAYBE;
@@ -259,7 +261,7 @@
   else if (!status_is_ok (result->status))
     {
       event->end.error = ERROR_BACKEND;
-      event->end.ran = backend_call_refused (call, result->status) ? RAN_NO : RAN_YES;
+      event->end.ran = backend_call_was_rejected (call, result->status) ? RAN_NO : RAN_YES;
     }
   else if (call->op == BACKEND_OP_REPORT)
     {
@@ -267,7 +269,7 @@
       event->end.error = event->end.has_load ? ERROR_NONE : ERROR_BACKEND;
       event->end.ran = RAN_YES;
     }
-  else if (call->op == BACKEND_OP_CALL && !backend_call_read_answer (call))
+  else if (call->op == BACKEND_OP_CALL && !backend_call_read_response (call))
     event->end.error = ERROR_UNKNOWN_EFFECT;
   else
     {
@@ -289,14 +291,16 @@
   void *fn_data = call->data;
   struct BackendEvent event = { .kind = BACKEND_EVENT_END };
 
-  backend_call_settle (call, result, &event);
+  backend_call_fill_end (call, result, &event);
   call->curl = NULL; /* frees itself after this callback */
   talloc_free (call);
   fn (fn_data, &event);
 }
 
 static void
-backend_call_on_cancel (struct tevent_context *events, struct tevent_immediate *due, void *data)
+backend_call_on_cancel (struct tevent_context *events,
+                        struct tevent_immediate *immediate,
+                        void *data)
 {
   struct BackendCall *call = data;
   BackendEventFn fn = call->fn;
@@ -304,7 +308,7 @@
   struct BackendEvent event = { .kind = BACKEND_EVENT_END };
 
   (void)events;
-  (void)due;
+  (void)immediate;
   event.end.error = ERROR_CANCELLED;
   event.end.ran = RAN_MAYBE;
   event.end.prompt_tokens = call->prompt_tokens;
@@ -327,8 +331,8 @@
   return 0;
 }
 
-/* The call is freed from the event loop, not here: the caller may be inside its chunk callback,
- * where libcurl forbids it. */
+/* Frees the call later, from the event loop: this function may be called from the chunk callback,
+ * where libcurl does not allow a handle to be removed. */
 static void
 backend_http_cancel (struct BackendPort *port, uint64_t ticket)
 {
@@ -345,7 +349,7 @@
                                backend_call_on_cancel, call);
 }
 
-/* A line break in a value would let it add headers of its own. */
+/* Rejects control characters: a line break in a value would inject further headers. */
 static bool
 header_value_is_safe (const char *value)
 {
@@ -383,7 +387,8 @@
   http_request->url = talloc_asprintf (ctx, "http://%s%s", request->address, path);
   headers[1] = talloc_asprintf (ctx, "X-Program: %s", program);
   headers[2] = talloc_asprintf (ctx, "Idempotency-Key: %s", key);
-  /* Else an idle connection that the server closes would turn into calls that may have run. */
+  /* When the server closes a reused idle connection, a call on it fails with unknown effect
+   * although it never ran. */
   http_request->fresh_connection = true;
   http_request->body = request->call.body;
   http_request->body_bytes = request->call.body_bytes;
--- a/adapters/backend_pool.c
+++ b/adapters/backend_pool.c
@@ -11,10 +11,10 @@
   JOB_BUCKETS = 4096
 };
 
-/* A request under way on a backend thread. */
+/* A request in flight on a pool thread. */
 struct PoolJob
 {
-  struct PoolJob *next; /* in its bucket */
+  struct PoolJob *next; /* in the same bucket */
   struct PoolThread *thread;
   uint64_t job, ticket;
 };
@@ -36,7 +36,7 @@
   struct PoolThread **threads;
 };
 
-/* MAIL_BACKEND_SUBMIT and MAIL_BACKEND_CANCEL. */
+/* Payload of MAIL_BACKEND_SUBMIT and MAIL_BACKEND_CANCEL. */
 struct PoolMail
 {
   struct Mail mail;
@@ -148,7 +148,7 @@
 static struct PoolThread *
 pool_thread_new (struct Mailbox *core)
 {
-  /* No parent: a talloc tree may be used by one thread at a time only. */
+  /* No talloc parent: a talloc tree must not be used by two threads at the same time. */
   struct PoolThread *thread = talloc_zero (NULL, struct PoolThread);
   struct CurlLoop *loop;
 
@@ -196,7 +196,7 @@
 }
 
 static struct PoolThread *
-pool_thread_of (struct BackendPool *pool, uint64_t job)
+pool_thread_for_job (struct BackendPool *pool, uint64_t job)
 {
   return pool->threads[job % pool->n_threads];
 }
@@ -235,7 +235,7 @@
     case BACKEND_OP_REPORT:
       break;
     }
-  mailbox_post (pool_thread_of (pool, job)->inbox, &mail->mail);
+  mailbox_post (pool_thread_for_job (pool, job)->inbox, &mail->mail);
   return ERROR_NONE;
 }
 
@@ -248,7 +248,7 @@
     return;
   mail->mail.kind = MAIL_BACKEND_CANCEL;
   mail->job = job;
-  mailbox_post (pool_thread_of (pool, job)->inbox, &mail->mail);
+  mailbox_post (pool_thread_for_job (pool, job)->inbox, &mail->mail);
 }
 
 void
--- a/include/buckthornhead/backend.h
+++ b/include/buckthornhead/backend.h
@@ -1,6 +1,6 @@
 /* Port to backend servers: model engines and plain or tool services.
  *
- * One submitted request is answered by any number of BACKEND_EVENT_CHUNK and then exactly one
+ * A submitted request yields any number of BACKEND_EVENT_CHUNK and then exactly one
  * BACKEND_EVENT_END. Events are delivered on the thread that runs the port's event loop. */
 #pragma once
 
@@ -10,9 +10,9 @@
 
 enum BackendOp
 {
-  BACKEND_OP_CALL,    /* OpenAI-shaped completion, or a request to a plain service */
-  BACKEND_OP_RELEASE, /* drop the cache of a program that has ended */
-  BACKEND_OP_REPORT   /* load report and cache events since .after_event */
+  BACKEND_OP_CALL,    /* chat completion of an engine, or a request to another service */
+  BACKEND_OP_RELEASE, /* frees the cache of a program that has ended */
+  BACKEND_OP_REPORT   /* load report and cache events after .after_event */
 };
 
 struct BackendRequest
@@ -25,9 +25,9 @@
     struct
     {
       enum CallTarget target_kind;
-      const char *path; /* plain service only */
+      const char *path; /* CALL_TARGET_SERVICE only */
       const char *program;
-      const char *idempotency_key; /* same for every resend of the call */
+      const char *idempotency_key; /* identical for all attempts of the call */
       bool idempotent;
       bool stream;
       const uint8_t *body;
@@ -66,20 +66,20 @@
   {
     struct
     {
-      const uint8_t *bytes; /* raw bytes of the answer's body, event-stream framing included */
+      const uint8_t *bytes; /* raw response body, including event-stream framing */
       size_t n_bytes;
       uint32_t status;
     } chunk;
     struct
     {
-      int32_t error; /* ERROR_NONE, ERROR_UNREACHABLE (never left: not run), ERROR_TIMEOUT,
-                        ERROR_BACKEND, ERROR_UNKNOWN_EFFECT (broke after it left),
+      int32_t error; /* ERROR_NONE, ERROR_UNREACHABLE (nothing sent: did not run), ERROR_TIMEOUT,
+                        ERROR_BACKEND, ERROR_UNKNOWN_EFFECT (connection failed after sending),
                         ERROR_CANCELLED */
       enum RanState ran;
       uint32_t status;
-      uint32_t prompt_tokens, generated_tokens, cached_tokens; /* from usage, when given */
+      uint32_t prompt_tokens, generated_tokens, cached_tokens; /* from "usage"; 0 when absent */
       bool has_load;
-      struct BackendLoad load; /* op REPORT */
+      struct BackendLoad load; /* BACKEND_OP_REPORT only */
     } end;
   };
 };
@@ -88,12 +88,12 @@
 
 struct BackendPort
 {
-  /* Copies all it needs. *ticket names the request for cancel. */
+  /* Copies the request. *ticket identifies it for cancel. */
   int32_t (*submit) (struct BackendPort *port,
                      const struct BackendRequest *request,
                      BackendEventFn fn,
                      void *data,
                      uint64_t *ticket);
-  /* Ends the request; BACKEND_EVENT_END with ERROR_CANCELLED still follows, later. */
+  /* Cancels the request; BACKEND_EVENT_END with ERROR_CANCELLED follows from the event loop. */
   void (*cancel) (struct BackendPort *port, uint64_t ticket);
 };
--- a/include/buckthornhead/backend_http.h
+++ b/include/buckthornhead/backend_http.h
@@ -1,4 +1,5 @@
-/* Backend port over HTTP: the OpenAI chat shape for engines, plain POST for other services. */
+/* Backend port over HTTP: the OpenAI chat completions API for engines, plain POST for other
+ * services. */
 #pragma once
 
 #include <buckthornhead/backend.h>
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -1,7 +1,7 @@
-/* Port to whoever calls the gateway and whatever it calls: how requests, answers, the operators'
- * configuration and the list of backend servers are spelled.
+/* Port for a platform's wire formats: requests, responses, the operators' configuration and the
+ * list of backend servers.
  *
- * The gateway works with these types alone; one adapter fills them. */
+ * The gateway uses only these types; one adapter converts them from and to the wire formats. */
 #pragma once
 
 #include <buckthornhead/http_client.h>
@@ -9,62 +9,62 @@
 #include <buckthornhead/route.h>
 #include <buckthornhead/scheduling/replica_set.h>
 
-/* Requests to the gateway itself. */
+/* Paths that the gateway serves itself. */
 enum OwnPath
 {
-  OWN_PATH_NONE,     /* a caller's request, to be forwarded */
-  OWN_PATH_READY,    /* does this gateway take callers? */
-  OWN_PATH_ADDRESSES /* which gateways do? */
+  OWN_PATH_NONE,     /* any other path: the request is forwarded */
+  OWN_PATH_READY,    /* readiness probe */
+  OWN_PATH_ADDRESSES /* addresses of the ready gateways */
 };
 
-/* Which key a caller shows. */
+/* Key that a request carries. */
 enum CredentialKind
 {
-  CREDENTIAL_NONE,      /* it shows none */
+  CREDENTIAL_NONE,      /* no key */
   CREDENTIAL_KEY,       /* one key */
-  CREDENTIAL_UNREADABLE /* several, or something that is no key */
+  CREDENTIAL_UNREADABLE /* several keys, or a malformed one */
 };
 
-/* What a caller's request says, beside its body. Texts belong to the exchange or to ctx. */
+/* Parameters of a caller's request, without its body. The exchange or ctx owns the strings. */
 struct CallerRequest
 {
   const char *host;
-  const char *id;         /* of this attempt of the caller */
-  int64_t timeout_ms;     /* how long the caller waits, from its arrival; 0: did not say */
-  const char *program;    /* "" when it belongs to none */
-  const char *previous;   /* turn that it continues; "" for none */
-  uint64_t budget_tokens; /* of the program; 0: did not say */
-  uint32_t max_tokens;    /* that the answer may have */
+  const char *id;         /* identifies this attempt of the caller */
+  int64_t timeout_ms;     /* caller's timeout, from the request's arrival; 0: unspecified */
+  const char *program;    /* "": none */
+  const char *previous;   /* turn that the request continues; "": none */
+  uint64_t budget_tokens; /* of the program; 0: unspecified */
+  uint32_t max_tokens;    /* limit of the response */
   bool has_program_left;
-  int64_t program_left_ms; /* until its program should be finished */
+  int64_t program_left_ms; /* until the program's deadline */
   struct PrefixPart parts[PREFIX_PARTS_MAX];
   size_t n_parts;
-  const char *object;       /* that the request concerns, as its caller names it; "": none */
-  const char *resume_after; /* id of the last event that the caller has of this stream; "": none */
+  const char *object;       /* that the request concerns, as named by its caller; "": none */
+  const char *resume_after; /* id of the last stream event that the caller received; "": none */
   enum CredentialKind credential;
-  const char *key; /* CREDENTIAL_KEY only: not to be logged */
+  const char *key; /* CREDENTIAL_KEY only; must not be logged */
   size_t key_bytes;
 };
 
-/* Where and how a request goes on. */
+/* Destination of a forwarded request. */
 struct UpstreamTarget
 {
-  const char *replica; /* id: another server at that address must not run it */
+  const char *replica; /* id of the server; another one at the same address must not run it */
   const char *address;
-  int64_t left_ms; /* that the server may take */
+  int64_t left_ms; /* the server's time limit */
   size_t body_bytes;
-  /* Whose request it is, "" for nobody's; the caller's credential stays here. NULL: the
-   * installation has no customers, and a credential is a header like others. */
+  /* Name of the customer, "" when the request has none; the caller's credential is not forwarded.
+   * NULL: the deployment has no customers, and a credential is forwarded like any header. */
   const char *customer;
-  const char *resume_after; /* event after which the stream goes on; NULL or "": from its start */
+  const char *resume_after; /* last event received of a resumed stream; NULL or "": none */
 };
 
-/* What a backend server's answer says, beside its body. */
+/* Parameters of a backend server's response, without its body. */
 struct ReplicaAnswer
 {
   uint32_t status;
-  bool genuine; /* bears the server's own proof */
-  bool not_run; /* the server says that it did not run the request */
+  bool genuine; /* carries the header that proves that the server itself responded */
+  bool not_run; /* the server reports that it did not run the request */
   bool has_load;
   uint32_t running, waiting, slots;
 };
@@ -77,27 +77,26 @@
 
 struct Dialect
 {
-  const char *id_header;       /* that servers repeat in their answers */
-  const char *operator_prefix; /* of all that the operators write in the store */
+  const char *id_header;       /* servers echo it in their responses */
+  const char *operator_prefix; /* of all keys that the operators write to the store */
   const char *routes_key;
-  const char *retire_prefix; /* a machine's name follows: it is to be emptied */
+  const char *retire_prefix; /* followed by the name of an instance that is to be emptied */
   const char *servers_prefix;
 
   enum OwnPath (*own_path) (const char *target);
-  /* The availability zone in which the asker of OWN_PATH_ADDRESSES says it is; "" when it does not.
-   */
+  /* Availability zone that the requester of OWN_PATH_ADDRESSES specifies; "" when it does not. */
   void (*asker_zone) (const char *target, char zone[NAME_MAX_BYTES + 1]);
-  /* ERROR_INVALID with fault when the request lacks what it must say. */
+  /* ERROR_INVALID with fault when a required parameter is missing or malformed. */
   int32_t (*read_request) (TALLOC_CTX *ctx,
                            const struct HttpExchange *exchange,
                            struct CallerRequest *request,
                            struct Fault *fault);
-  /* Request line and headers for the server; NULL without memory. */
+  /* Returns the request line and headers for the server; NULL when out of memory. */
   char *(*write_request) (TALLOC_CTX *ctx,
                           const struct HttpExchange *exchange,
                           const struct UpstreamTarget *target);
   void (*read_answer) (const struct HttpAnswerHead *head, struct ReplicaAnswer *answer);
-  /* The answer's headers as the caller gets them. ERROR_NO_MEMORY. */
+  /* Fills in the response headers to send to the caller. ERROR_NONE or ERROR_NO_MEMORY. */
   int32_t (*forward_headers) (TALLOC_CTX *ctx,
                               const struct HttpAnswerHead *head,
                               struct HttpHeaders *headers);
@@ -111,9 +110,9 @@
                           size_t n_bytes,
                           struct ReplicaEntry *entry,
                           struct Fault *fault);
-  /* Key and value that tell the operators how far a machine's emptying is. */
+  /* Fills in the key and value that report to the operators how far an instance is emptied. */
   void (*write_retired) (const char *machine, bool completed, struct RetireNote *note);
-  /* The body that answers OWN_PATH_ADDRESSES; callers keep it for keep_s. */
+  /* Returns the response body for OWN_PATH_ADDRESSES; callers cache it for keep_s. */
   char *(*write_addresses) (TALLOC_CTX *ctx,
                             const char *const *addresses,
                             size_t n_addresses,
