--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -16,16 +16,16 @@
 enum
 {
   ACCEPT_BACKLOG = 1024,
-  COME_BACK_ELSEWHERE_MS = 50,
-  MEMORY_BESIDE_HEADERS_BYTES = 16 * 1024
+  DRAINING_RETRY_AFTER_MS = 50, /* short: another instance can serve the request at once */
+  CONNECTION_EXTRA_MEMORY_BYTES = 16 * 1024 /* per connection, besides the headers */
 };
 
 struct CallerHttp
 {
   const struct Settings *settings;
   struct Mailbox *core;
-  struct MHD_Daemon *callers;
-  struct MHD_Daemon *operators;
+  struct MHD_Daemon *caller_daemon;
+  struct MHD_Daemon *operator_daemon;
   _Atomic bool closing;
 };
 
@@ -91,18 +91,18 @@
 {
   json_t *error = json_pack ("{s:s,s:s,s:s,s:s}", "kind", error_name (fault->error), "message",
                              fault->message, "remedy", fault->remedy, "ran", ran_name (ran));
-  json_t *answer = json_object ();
+  json_t *response = json_object ();
   char *text, *copy;
 
   if (retry_after_ms > 0)
     json_object_set_new (error, "retry_after_ms", json_integer (retry_after_ms));
   if (expected_sequence > 0)
     json_object_set_new (error, "expected_sequence", json_integer ((json_int_t)expected_sequence));
-  json_object_set_new (answer, "error", error);
-  text = json_dumps (answer, JSON_COMPACT);
+  json_object_set_new (response, "error", error);
+  text = json_dumps (response, JSON_COMPACT);
   copy = talloc_strdup (ctx, text);
   free (text);
-  json_decref (answer);
+  json_decref (response);
   return copy;
 }
 
@@ -116,7 +116,7 @@
 }
 
 static enum MHD_Result
-answer_now (struct MHD_Connection *connection, uint32_t status, const char *json)
+queue_json_response (struct MHD_Connection *connection, uint32_t status, const char *json)
 {
   struct MHD_Response *response =
       MHD_create_response_from_buffer (strlen (json), (void *)json, MHD_RESPMEM_MUST_COPY);
@@ -129,10 +129,10 @@
 }
 
 static enum MHD_Result
-answer_fault (struct MHD_Connection *connection, uint32_t status, const struct Fault *fault)
+queue_error_response (struct MHD_Connection *connection, uint32_t status, const struct Fault *fault)
 {
   char *json = error_json (NULL, fault, RAN_NO, 0, 0);
-  enum MHD_Result queued = answer_now (connection, status, json);
+  enum MHD_Result queued = queue_json_response (connection, status, json);
 
   counter_add (COUNTER_CALLS_REFUSED, 1);
   talloc_free (json);
@@ -151,15 +151,16 @@
   return MHD_lookup_connection_value (data, MHD_GET_ARGUMENT_KIND, name);
 }
 
-/* Adds an upload piece. False when the body is larger than allowed or comes too slowly. */
+/* Appends a piece of the request body. Returns false when the body is too large, when the request
+ * has exceeded its timeout, or when out of memory. */
 static bool
-exchange_take_upload (struct CallerHttp *http,
+exchange_append_body (struct CallerHttp *http,
                       struct Exchange *exchange,
                       const char *bytes,
                       size_t n_bytes)
 {
-  /* A sender that drips bytes keeps its connection busy for ever, and with it a slot of the pool:
-   * the whole request has the time of one, however often a byte comes. */
+  /* The timeout covers the whole request, not the gap between two reads: otherwise a client that
+   * sends single bytes slowly would occupy its connection, and a connection slot, forever. */
   if (monotonic_ms () - exchange->started_ms > http->settings->request_timeout_ms)
     exchange->early_status = MHD_HTTP_REQUEST_TIMEOUT;
   if (exchange->body_bytes + n_bytes > http->settings->body_max_bytes)
@@ -180,47 +181,49 @@
 }
 
 static enum MHD_Result
-exchange_refuse_early (struct Exchange *exchange, struct MHD_Connection *connection)
+exchange_queue_early_error (struct Exchange *exchange, struct MHD_Connection *connection)
 {
   struct Fault fault;
 
   if (exchange->early_status == MHD_HTTP_REQUEST_TIMEOUT)
     fault_set (&fault, ERROR_TIMEOUT, "send the request faster",
-               "the request took too long to come");
+               "the request was not received within the request timeout");
   else
-    fault_set (&fault, ERROR_TOO_LARGE, NULL, "the body is larger than this instance takes");
-  return answer_fault (connection, exchange->early_status, &fault);
+    fault_set (&fault, ERROR_TOO_LARGE, NULL,
+               "the request body exceeds this instance's size limit");
+  return queue_error_response (connection, exchange->early_status, &fault);
 }
 
-/* The listener is about to close: the caller goes elsewhere. Of an earlier attempt nothing is
- * known. */
+/* Rejects a request because the listener is about to close; the caller retries at another instance.
+ * An earlier attempt of the request may have run. */
 static enum MHD_Result
-answer_stopping (struct Exchange *exchange, struct MHD_Connection *connection)
+queue_draining_response (struct Exchange *exchange, struct MHD_Connection *connection)
 {
   struct Fault fault;
   enum RanState ran = exchange->request.first_attempt ? RAN_NO : RAN_MAYBE;
   enum MHD_Result queued;
   char *json;
 
-  fault_set (&fault, ERROR_DRAINING, NULL, "this instance is being stopped");
-  json = error_json (NULL, &fault, ran, COME_BACK_ELSEWHERE_MS, 0);
-  queued = answer_now (connection, error_http_status (ERROR_DRAINING), json);
+  fault_set (&fault, ERROR_DRAINING, NULL, "this instance is shutting down");
+  json = error_json (NULL, &fault, ran, DRAINING_RETRY_AFTER_MS, 0);
+  queued = queue_json_response (connection, error_http_status (ERROR_DRAINING), json);
   talloc_free (json);
   return queued;
 }
 
-/* Hands the exchange to the core and parks the connection until there is an answer. */
+/* Posts the exchange to the core and suspends the connection until the response begins. */
 static enum MHD_Result
 exchange_post (struct CallerHttp *http,
                struct Exchange *exchange,
                struct MHD_Connection *connection)
 {
-  /* Announced before the flag is read: whoever closes sets the flag, then waits for the count. */
+  /* Counted before the flag is read: the closing thread sets the flag, then waits until the count
+   * is zero. */
   exchange_note_posted ();
   if (atomic_load (&http->closing))
     {
       exchange_note_refused ();
-      return answer_stopping (exchange, connection);
+      return queue_draining_response (exchange, connection);
     }
   exchange->connection = connection;
   exchange->posted = true;
@@ -232,13 +235,13 @@
 }
 
 static enum MHD_Result
-caller_answer_connect (struct CallerHttp *http, struct MHD_Connection *connection)
+caller_queue_connect_response (struct CallerHttp *http, struct MHD_Connection *connection)
 {
   const char *program = connection_query (connection, "program");
   const char *zone = connection_query (connection, "zone");
   char *json = snapshot_rank (NULL, program != NULL ? program : "",
                               zone != NULL ? zone : http->settings->zone);
-  enum MHD_Result queued = answer_now (connection, MHD_HTTP_OK, json);
+  enum MHD_Result queued = queue_json_response (connection, MHD_HTTP_OK, json);
 
   talloc_free (json);
   return queued;
@@ -255,17 +258,17 @@
   int32_t error;
 
   if (exchange->early_status != 0)
-    return exchange_refuse_early (exchange, connection);
+    return exchange_queue_early_error (exchange, connection);
   if (strcmp (method, "GET") == 0 && strcmp (path, "/v1/connect") == 0)
-    return caller_answer_connect (http, connection);
+    return caller_queue_connect_response (http, connection);
   error = caller_request_parse (exchange, http->settings, method, path, connection_header,
                                 connection_query, connection, &fault);
   if (error != ERROR_NONE)
-    return answer_fault (connection, error_http_status (error), &fault);
+    return queue_error_response (connection, error_http_status (error), &fault);
   return exchange_post (http, exchange, connection);
 }
 
-/* Reads the body; true once the request is complete. */
+/* Reads the body; returns true once the request is complete. */
 static bool
 request_read (struct CallerHttp *http,
               struct Exchange *exchange,
@@ -274,7 +277,7 @@
 {
   if (*upload_bytes == 0)
     return true;
-  exchange_take_upload (http, exchange, upload, *upload_bytes);
+  exchange_append_body (http, exchange, upload, *upload_bytes);
   *upload_bytes = 0;
   return false;
 }
@@ -283,22 +286,22 @@
 operator_is_allowed (const struct Settings *settings, struct MHD_Connection *connection)
 {
   const char *given = connection_header (connection, "Authorization");
-  char wanted[160];
+  char expected[160];
   volatile uint8_t differs = 0;
 
   if (settings->operator_token[0] == '\0')
     return true;
-  snprintf (wanted, sizeof wanted, "Bearer %s", settings->operator_token);
-  if (given == NULL || strlen (given) != strlen (wanted))
+  snprintf (expected, sizeof expected, "Bearer %s", settings->operator_token);
+  if (given == NULL || strlen (given) != strlen (expected))
     return false;
-  /* In constant time: the time of an early exit would tell a guesser how far a guess is right. */
-  for (size_t i = 0; wanted[i] != '\0'; i++)
-    differs |= (uint8_t)(given[i] ^ wanted[i]);
+  /* Compares in constant time: an early exit would reveal the length of the matching prefix. */
+  for (size_t i = 0; expected[i] != '\0'; i++)
+    differs |= (uint8_t)(given[i] ^ expected[i]);
   return differs == 0;
 }
 
 static enum MHD_Result
-operator_answer_metrics (struct MHD_Connection *connection)
+operator_queue_metrics (struct MHD_Connection *connection)
 {
   char *text = counter_render (NULL);
   struct MHD_Response *response =
@@ -323,13 +326,13 @@
   const char *name = connection_query (connection, "service");
 
   if (exchange->early_status != 0)
-    return exchange_refuse_early (exchange, connection);
+    return exchange_queue_early_error (exchange, connection);
   if (strcmp (path, "/metrics") == 0)
-    return operator_answer_metrics (connection);
+    return operator_queue_metrics (connection);
   if (!operator_is_allowed (http->settings, connection))
     {
-      fault_set (&fault, ERROR_UNAUTHORIZED, NULL, "the operators' token is missing or wrong");
-      return answer_fault (connection, MHD_HTTP_UNAUTHORIZED, &fault);
+      fault_set (&fault, ERROR_UNAUTHORIZED, NULL, "the operators' token is missing or invalid");
+      return queue_error_response (connection, MHD_HTTP_UNAUTHORIZED, &fault);
     }
   if (name == NULL)
     name = connection_query (connection, "name");
@@ -339,25 +342,25 @@
   return exchange_post (http, exchange, connection);
 }
 
-/* What a listener does with a request that is complete. */
+/* Handles a complete request of a listener. */
 typedef enum MHD_Result (*CompleteFn) (struct CallerHttp *http,
                                        struct Exchange *exchange,
                                        struct MHD_Connection *connection,
                                        const char *method,
                                        const char *path);
 
-/* MHD calls for a request's head, for each piece of its body, and again once the core has resumed
- * the connection. */
+/* Called by libmicrohttpd for a request's head, for each piece of its body, and again once the core
+ * has resumed the connection. */
 static enum MHD_Result
-request_step (struct CallerHttp *http,
-              enum ExchangeKind kind,
-              CompleteFn on_complete,
-              struct MHD_Connection *connection,
-              const char *path,
-              const char *method,
-              const char *upload,
-              size_t *upload_bytes,
-              void **state)
+listener_handle_request (struct CallerHttp *http,
+                         enum ExchangeKind kind,
+                         CompleteFn on_complete,
+                         struct MHD_Connection *connection,
+                         const char *path,
+                         const char *method,
+                         const char *upload,
+                         size_t *upload_bytes,
+                         void **state)
 {
   struct Exchange *exchange = *state;
 
@@ -388,8 +391,8 @@
                    void **state)
 {
   (void)version;
-  return request_step (data, EXCHANGE_CALLER, caller_on_complete, connection, path, method, upload,
-                       upload_bytes, state);
+  return listener_handle_request (data, EXCHANGE_CALLER, caller_on_complete, connection, path,
+                                  method, upload, upload_bytes, state);
 }
 
 static enum MHD_Result
@@ -403,15 +406,15 @@
                      void **state)
 {
   (void)version;
-  return request_step (data, EXCHANGE_OPERATOR, operator_on_complete, connection, path, method,
-                       upload, upload_bytes, state);
+  return listener_handle_request (data, EXCHANGE_OPERATOR, operator_on_complete, connection, path,
+                                  method, upload, upload_bytes, state);
 }
 
 static void
 on_request_completed (void *data,
                       struct MHD_Connection *connection,
                       void **state,
-                      enum MHD_RequestTerminationCode why)
+                      enum MHD_RequestTerminationCode code)
 {
   struct CallerHttp *http = data;
   struct Exchange *exchange = *state;
@@ -421,16 +424,16 @@
     return;
   *state = NULL;
   atomic_store (&exchange->closed, true);
-  if (exchange->posted && why != MHD_REQUEST_TERMINATED_COMPLETED_OK)
+  if (exchange->posted && code != MHD_REQUEST_TERMINATED_COMPLETED_OK)
     {
-      struct GoneMail *gone = talloc_zero (NULL, struct GoneMail);
+      struct GoneMail *mail = talloc_zero (NULL, struct GoneMail);
 
-      if (gone != NULL)
+      if (mail != NULL)
         {
-          /* The mail carries this side's reference. */
-          gone->mail.kind = MAIL_CALLER_GONE;
-          gone->exchange = exchange;
-          mailbox_post (http->core, &gone->mail);
+          /* Transfers the HTTP thread's reference to the mail. */
+          mail->mail.kind = MAIL_CALLER_GONE;
+          mail->exchange = exchange;
+          mailbox_post (http->core, &mail->mail);
           return;
         }
     }
@@ -454,7 +457,8 @@
   if (address_parse (address, ip, &port) != ERROR_NONE
       || inet_pton (AF_INET, ip, &bind_to.sin_addr) != 1)
     {
-      fault_set (fault, ERROR_INVALID, "give IP:port in [listen]", "bad address %s", address);
+      fault_set (fault, ERROR_INVALID, "set it to IP:port in [listen]", "invalid address %s",
+                 address);
       return NULL;
     }
   bind_to.sin_port = htons (port);
@@ -464,12 +468,12 @@
       on_request_completed, http, MHD_OPTION_THREAD_POOL_SIZE, pool, MHD_OPTION_CONNECTION_LIMIT,
       settings->connections_max, MHD_OPTION_CONNECTION_TIMEOUT,
       (settings->request_timeout_ms + 999) / 1000, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      (size_t)settings->header_max_bytes + MEMORY_BESIDE_HEADERS_BYTES,
+      (size_t)settings->header_max_bytes + CONNECTION_EXTRA_MEMORY_BYTES,
       MHD_OPTION_LISTEN_BACKLOG_SIZE, (unsigned int)ACCEPT_BACKLOG,
       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
   if (daemon == NULL)
-    fault_set (fault, ERROR_IO, "stop what holds the address, or change [listen]",
-               "can not listen on %s: %s", address, strerror (errno));
+    fault_set (fault, ERROR_IO, "stop the process that uses the address, or change [listen]",
+               "cannot listen on %s: %s", address, strerror (errno));
   return daemon;
 }
 
@@ -486,12 +490,13 @@
     return fault_set (fault, ERROR_NO_MEMORY, NULL, "out of memory");
   http->settings = settings;
   http->core = core;
-  http->callers = listener_open (http, settings->caller_listen, caller_on_request,
-                                 settings->caller_threads, fault);
-  if (http->callers == NULL)
+  http->caller_daemon = listener_open (http, settings->caller_listen, caller_on_request,
+                                       settings->caller_threads, fault);
+  if (http->caller_daemon == NULL)
     goto fail;
-  http->operators = listener_open (http, settings->operator_listen, operator_on_request, 1, fault);
-  if (http->operators == NULL)
+  http->operator_daemon =
+      listener_open (http, settings->operator_listen, operator_on_request, 1, fault);
+  if (http->operator_daemon == NULL)
     goto fail;
   *opened = http;
   return ERROR_NONE;
@@ -510,9 +515,9 @@
 void
 caller_http_close (struct CallerHttp *http)
 {
-  if (http->callers != NULL)
-    MHD_stop_daemon (http->callers);
-  if (http->operators != NULL)
-    MHD_stop_daemon (http->operators);
+  if (http->caller_daemon != NULL)
+    MHD_stop_daemon (http->caller_daemon);
+  if (http->operator_daemon != NULL)
+    MHD_stop_daemon (http->operator_daemon);
   talloc_free (http);
 }
--- a/adapters/caller_request.c
+++ b/adapters/caller_request.c
@@ -13,12 +13,12 @@
 enum
 {
   MAX_TOKENS_DEFAULT = 512,
-  BYTES_PER_TOKEN = 4, /* the usual estimate for prompts */
-  LONE_ID_BYTES = 16
+  BYTES_PER_TOKEN = 4, /* common estimate for prompts */
+  DERIVED_ID_BYTES = 16
 };
 
-/* What a request is parsed from, and where to. */
-struct Parse
+/* Input and output of parsing one request. */
+struct ParseContext
 {
   struct Exchange *exchange;
   struct PeerRequest *request;
@@ -32,7 +32,7 @@
 };
 
 static bool
-name_is_plain (const char *name)
+name_is_valid (const char *name)
 {
   size_t n = 0;
 
@@ -43,46 +43,47 @@
 }
 
 static int32_t
-parse_name (struct Parse *parse, const char *what, const char *text, char *name)
+parse_name (struct ParseContext *parse, const char *what, const char *text, char *name)
 {
-  if (text == NULL || !name_is_plain (text))
+  if (text == NULL || !name_is_valid (text))
     return fault_set (parse->fault, ERROR_INVALID, "use 1 to 64 letters, digits, '.', '_' or '-'",
-                      "%s is missing or not a plain name", what);
+                      "%s is missing or not a valid name", what);
   snprintf (name, NAME_MAX_BYTES + 1, "%s", text);
   return ERROR_NONE;
 }
 
 static int32_t
-parse_bool (struct Parse *parse, const char *name, bool unset, bool *value)
+parse_bool (struct ParseContext *parse, const char *name, bool default_value, bool *value)
 {
   const char *text = parse->header (parse->data, name);
 
-  *value = unset;
+  *value = default_value;
   if (text == NULL)
     return ERROR_NONE;
   *value = strcmp (text, "true") == 0;
   if (!*value && strcmp (text, "false") != 0)
     return fault_set (parse->fault, ERROR_INVALID, "send true or false",
-                      "header %s is neither true nor false", name);
+                      "header %s must be true or false", name);
   return ERROR_NONE;
 }
 
 static int32_t
-parse_uint (struct Parse *parse, const char *what, const char *text, uint64_t *value)
+parse_uint (struct ParseContext *parse, const char *what, const char *text, uint64_t *value)
 {
   char *end;
 
   if (text == NULL || !isdigit ((unsigned char)text[0]) || strlen (text) > 18)
-    return fault_set (parse->fault, ERROR_INVALID, "send a whole number",
-                      "%s is missing or no whole number", what);
+    return fault_set (parse->fault, ERROR_INVALID, "send a decimal integer",
+                      "%s is missing or not an integer", what);
   *value = strtoull (text, &end, 10);
   if (*end != '\0')
-    return fault_set (parse->fault, ERROR_INVALID, "send a whole number", "%s is no whole number",
+    return fault_set (parse->fault, ERROR_INVALID, "send a decimal integer", "%s is not an integer",
                       what);
   return ERROR_NONE;
 }
 
-/* Nesting of a JSON text, told before it is parsed: a deep one would cost the parser's stack. */
+/* Returns the nesting depth of a JSON text, so that deep nesting is rejected before the recursive
+ * parser uses up its stack. */
 static uint32_t
 json_text_depth (const uint8_t *text, size_t n_bytes)
 {
@@ -104,32 +105,32 @@
 }
 
 static int32_t
-parse_json (struct Parse *parse, json_t **json)
+parse_json (struct ParseContext *parse, json_t **json)
 {
   const struct Exchange *exchange = parse->exchange;
   json_error_t error;
 
   *json = NULL;
   if (json_text_depth (exchange->body, exchange->body_bytes) > parse->settings->json_depth_max)
-    return fault_set (parse->fault, ERROR_INVALID, "send less nested JSON",
-                      "the body nests deeper than %u", parse->settings->json_depth_max);
+    return fault_set (parse->fault, ERROR_INVALID, "reduce the nesting of the JSON body",
+                      "the body is nested deeper than %u levels", parse->settings->json_depth_max);
   *json = json_loadb ((const char *)exchange->body, exchange->body_bytes, JSON_REJECT_DUPLICATES,
                       &error);
   if (*json == NULL)
     return fault_set (parse->fault, ERROR_INVALID, "send one JSON object",
-                      "the body is no JSON: line %d: %.120s", error.line, error.text);
+                      "the body is not valid JSON: line %d: %.120s", error.line, error.text);
   if (!json_is_object (*json))
     {
       json_decref (*json);
       *json = NULL;
       return fault_set (parse->fault, ERROR_INVALID, "send one JSON object",
-                        "the body is no JSON object");
+                        "the body is not a JSON object");
     }
   return ERROR_NONE;
 }
 
 static void
-parse_digest (struct Parse *parse)
+parse_compute_digest (struct ParseContext *parse)
 {
   struct Call *call = parse->call;
   struct sha256_ctx hash;
@@ -143,12 +144,13 @@
   sha256_digest (&hash, DIGEST_BYTES, call->digest);
 }
 
-/* Id of a program that derives from names: a resend from anywhere gives the same. */
+/* Derives a program id from the service and the caller's key: a retry through any instance yields
+ * the same id. */
 static void
-derive_id (char *id, const char *prefix, const char *service, const char *key)
+derive_program_id (char *id, const char *prefix, const char *service, const char *key)
 {
   struct sha256_ctx hash;
-  uint8_t digest[LONE_ID_BYTES];
+  uint8_t digest[DERIVED_ID_BYTES];
   int n;
 
   sha256_init (&hash);
@@ -161,28 +163,28 @@
 }
 
 static int32_t
-random_id (struct Parse *parse, char *id)
+random_program_id (struct ParseContext *parse, char *id)
 {
   uint64_t bits[2];
 
   if (getrandom (bits, sizeof bits, 0) != sizeof bits)
-    return fault_set (parse->fault, ERROR_IO, NULL, "no random numbers");
+    return fault_set (parse->fault, ERROR_IO, NULL, "the system provides no random numbers");
   snprintf (id, PROGRAM_ID_MAX_BYTES + 1, "p-%016" PRIx64 "%016" PRIx64, bits[0], bits[1]);
   return ERROR_NONE;
 }
 
-/* Takes the body over as it is. */
+/* Uses the request body unchanged. */
 static void
-parse_keep_body (struct Parse *parse)
+parse_use_raw_body (struct ParseContext *parse)
 {
   parse->call->body = parse->exchange->body;
   parse->call->body_bytes = parse->exchange->body_bytes;
 }
 
-/* Writes the body that the engine gets, its messages first: a turn's body then begins with all that
- * the turn before began with, and the home keeps of it only what is new. */
+/* Builds the body for the engine with its messages first: the body of a turn then begins with the
+ * messages of the previous turn, and the home stores only the difference. */
 static int32_t
-parse_write_chat (struct Parse *parse, json_t *json)
+parse_write_chat (struct ParseContext *parse, json_t *json)
 {
   struct Call *call = parse->call;
   char *messages = json_dumps (json_object_get (json, "messages"), JSON_COMPACT);
@@ -190,7 +192,7 @@
 
   json_object_del (json, "messages");
   rest = json_dumps (json, JSON_COMPACT);
-  /* Both are JSON texts: the brackets that the head brings are left out. */
+  /* Skips the opening brackets of both JSON texts; CHAT_BODY_HEAD already contains them. */
   body = talloc_asprintf (parse->exchange, CHAT_BODY_HEAD "%s,%s", messages + 1, rest + 1);
   if (body != NULL)
     {
@@ -205,10 +207,10 @@
   return ERROR_NONE;
 }
 
-/* The engine must not generate more than is reserved, and must say what it did: both are written
- * into the body that it gets. */
+/* Parses a chat completion, and sets max_tokens and include_usage in the body for the engine: it
+ * must not generate more tokens than are reserved, and must report its usage. */
 static int32_t
-parse_chat_body (struct Parse *parse)
+parse_chat_body (struct ParseContext *parse)
 {
   struct Call *call = parse->call;
   json_t *json, *model, *limit;
@@ -226,14 +228,14 @@
   if (!json_is_array (json_object_get (json, "messages")))
     {
       error = fault_set (parse->fault, ERROR_INVALID, "send \"messages\" as an array",
-                         "\"messages\" is missing or no array");
+                         "\"messages\" is missing or not an array");
       goto out;
     }
   if (limit != NULL
       && (!json_is_integer (limit) || json_integer_value (limit) < 1
           || json_integer_value (limit) > UINT32_MAX))
     {
-      error = fault_set (parse->fault, ERROR_INVALID, "send a whole number above 0",
+      error = fault_set (parse->fault, ERROR_INVALID, "send a positive integer",
                          "\"max_tokens\" is out of range");
       goto out;
     }
@@ -251,22 +253,23 @@
 }
 
 static int32_t
-parse_service_path (struct Parse *parse, const char *path)
+parse_service_path (struct ParseContext *parse, const char *path)
 {
   if (path == NULL || path[0] != '/' || strlen (path) >= sizeof parse->call->path)
-    return fault_set (parse->fault, ERROR_INVALID, "start it with '/', at most 127 characters",
+    return fault_set (parse->fault, ERROR_INVALID,
+                      "send a path that starts with '/' and has at most 127 characters",
                       "the service's path is missing or too long");
   for (const char *c = path; *c != '\0'; c++)
     if ((unsigned char)*c <= ' ' || (unsigned char)*c >= 127)
       return fault_set (parse->fault, ERROR_INVALID, "use printable ASCII without spaces",
-                        "the service's path has a character that may not stand there");
+                        "the service's path contains an invalid character");
   snprintf (parse->call->path, sizeof parse->call->path, "%s", path);
   return ERROR_NONE;
 }
 
-/* Target, body and flags of a call, once program, branch and sequence are known. */
+/* Parses target, flags and body of a call, after its program, branch and sequence. */
 static int32_t
-parse_target (struct Parse *parse)
+parse_target (struct ParseContext *parse)
 {
   struct Call *call = parse->call;
   const char *service = parse->header (parse->data, "X-Target-Service");
@@ -291,17 +294,20 @@
       error = parse_name (parse, "header X-Target-Service", service, call->target);
       if (error == ERROR_NONE)
         error = parse_service_path (parse, path != NULL ? path : "/");
-      parse_keep_body (parse);
+      parse_use_raw_body (parse);
     }
   else
     error = parse_chat_body (parse);
   if (error == ERROR_NONE)
-    parse_digest (parse);
+    parse_compute_digest (parse);
   return error;
 }
 
 static int32_t
-parse_call (struct Parse *parse, const char *program, const char *branch, const char *sequence)
+parse_call (struct ParseContext *parse,
+            const char *program,
+            const char *branch,
+            const char *sequence)
 {
   struct Call *call = parse->call;
   int32_t error = parse_name (parse, "the program's id", program, call->key.program);
@@ -313,13 +319,13 @@
   if (error == ERROR_NONE)
     error = parse_uint (parse, "the sequence number", sequence, &call->key.sequence);
   if (error == ERROR_NONE && call->key.sequence == 0)
-    error = fault_set (parse->fault, ERROR_INVALID, "number a branch's calls from 1",
-                       "sequence number 0");
+    error = fault_set (parse->fault, ERROR_INVALID, "number the calls of a branch from 1",
+                       "the sequence number is 0");
   return error == ERROR_NONE ? parse_target (parse) : error;
 }
 
 static int32_t
-parse_create_numbers (struct Parse *parse, json_t *json)
+parse_create_numbers (struct ParseContext *parse, json_t *json)
 {
   static const char *const names[] = { "budget_tokens", "deadline_ms", "turn_limit" };
 
@@ -328,15 +334,14 @@
       json_t *value = json_object_get (json, names[i]);
 
       if (value != NULL && (!json_is_integer (value) || json_integer_value (value) < 1))
-        return fault_set (parse->fault, ERROR_INVALID,
-                          "send a whole number above 0, or leave it out",
-                          "\"%s\" is no whole number above 0", names[i]);
+        return fault_set (parse->fault, ERROR_INVALID, "send a positive integer, or omit the field",
+                          "\"%s\" is not a positive integer", names[i]);
     }
   return ERROR_NONE;
 }
 
 static int32_t
-parse_create_id (struct Parse *parse, json_t *json)
+parse_create_id (struct ParseContext *parse, json_t *json)
 {
   const char *program = json_string_value (json_object_get (json, "program"));
   const char *key = json_string_value (json_object_get (json, "idempotency_key"));
@@ -344,13 +349,13 @@
   if (program != NULL)
     return parse_name (parse, "\"program\"", program, parse->call->key.program);
   if (key == NULL)
-    return random_id (parse, parse->call->key.program);
-  derive_id (parse->call->key.program, "k", parse->call->service, key);
+    return random_program_id (parse, parse->call->key.program);
+  derive_program_id (parse->call->key.program, "k", parse->call->service, key);
   return ERROR_NONE;
 }
 
 static int32_t
-parse_create (struct Parse *parse)
+parse_create (struct ParseContext *parse)
 {
   json_t *json;
   const char *parent;
@@ -370,13 +375,13 @@
   if (error == ERROR_NONE)
     error = parse_create_id (parse, json);
   json_decref (json);
-  parse_keep_body (parse);
-  parse_digest (parse);
+  parse_use_raw_body (parse);
+  parse_compute_digest (parse);
   return error;
 }
 
 static int32_t
-parse_end (struct Parse *parse, const char *program)
+parse_end (struct ParseContext *parse, const char *program)
 {
   json_t *json;
   const char *reason;
@@ -390,17 +395,17 @@
   reason = json_string_value (json_object_get (json, "reason"));
   if (reason == NULL || (strcmp (reason, "done") != 0 && strcmp (reason, "cancelled") != 0))
     error = fault_set (parse->fault, ERROR_INVALID, "send \"done\" or \"cancelled\"",
-                       "\"reason\" is neither \"done\" nor \"cancelled\"");
+                       "\"reason\" must be \"done\" or \"cancelled\"");
   else
     snprintf (parse->call->target, sizeof parse->call->target, "%s", reason);
   json_decref (json);
   return error;
 }
 
-/* A lone call: its one-call program is named by service and the caller's key, so that a resend from
- * anywhere meets the same home and the same record. */
+/* Parses a lone call, which becomes a program of one call. The program id derives from the service
+ * and the caller's key, so that a retry through any instance reaches the same home and record. */
 static int32_t
-parse_lone (struct Parse *parse, const char *rest)
+parse_lone (struct ParseContext *parse, const char *rest)
 {
   struct Call *call = parse->call;
   const char *key = parse->header (parse->data, "Idempotency-Key");
@@ -416,7 +421,7 @@
     error = parse_service_path (parse, slash);
   if (error == ERROR_NONE && (key == NULL || key[0] == '\0' || strlen (key) > 200))
     error =
-        fault_set (parse->fault, ERROR_INVALID, "send 1 to 200 characters, the same on a resend",
+        fault_set (parse->fault, ERROR_INVALID, "send 1 to 200 characters, the same for each retry",
                    "header Idempotency-Key is missing or too long");
   if (error == ERROR_NONE)
     error = parse_bool (parse, "Idempotent", false, &call->idempotent);
@@ -426,15 +431,15 @@
   snprintf (call->service, sizeof call->service, "%s", target);
   snprintf (call->key.branch, sizeof call->key.branch, MAIN_BRANCH);
   call->key.sequence = 1;
-  derive_id (call->key.program, "lone", target, key);
-  parse_keep_body (parse);
-  parse_digest (parse);
+  derive_program_id (call->key.program, "lone", target, key);
+  parse_use_raw_body (parse);
+  parse_compute_digest (parse);
   return ERROR_NONE;
 }
 
-/* /v1/programs/ID and what follows it. */
+/* Parses the part of a path that follows "/v1/programs/": a program id and an optional verb. */
 static int32_t
-parse_program_path (struct Parse *parse, bool post, const char *rest)
+parse_program_path (struct ParseContext *parse, bool post, const char *rest)
 {
   char program[PROGRAM_ID_MAX_BYTES + 1] = "";
   const char *slash = strchr (rest, '/');
@@ -470,7 +475,7 @@
 {
   static const char programs[] = "/v1/programs/";
   static const char services[] = "/v1/services/";
-  struct Parse parse = {
+  struct ParseContext parse = {
     exchange, &exchange->request, &exchange->request.call, settings, path, header, query, data,
     fault
   };
--- a/adapters/exchange.c
+++ b/adapters/exchange.c
@@ -12,7 +12,7 @@
   RESPONSE_BLOCK_BYTES = 16 * 1024
 };
 
-/* Exchanges that the core has and has not ended. */
+/* Number of exchanges that are posted to the core and have not ended. */
 static _Atomic uint32_t n_open;
 
 uint32_t
@@ -84,8 +84,8 @@
   exchange->n_headers++;
 }
 
-/* Wakes the HTTP thread if it waits. Parking is announced before the last look at the queue, so
- * either that look sees what was pushed, or this sees the announcement. */
+/* Resumes the connection if the HTTP thread has suspended it. exchange_read sets parked before it
+ * checks the queue a last time: either that check finds the new chunk, or parked is seen here. */
 static void
 exchange_wake (struct Exchange *exchange)
 {
@@ -145,7 +145,7 @@
   return atomic_load (&exchange->closed);
 }
 
-/* Copies what is queued into block, as far as it fits. */
+/* Copies queued chunks into block until it is full; returns the number of bytes copied. */
 static size_t
 exchange_fill (struct Exchange *exchange, char *block, size_t size)
 {
@@ -176,11 +176,11 @@
   return filled;
 }
 
-/* MHD asks for more of the body.
+/* Called by libmicrohttpd for more of the response body.
  *
- * Whoever takes the parked mark has the right to touch the connection: when the core has taken it,
- * it is about to resume, so this side must suspend, or the connection could be finished and freed
- * under the core's call. */
+ * The thread that clears parked owns the connection until its next call on it. When the core has
+ * cleared parked it is about to resume the connection, so this thread must suspend it; otherwise
+ * the connection could be finished and freed during the core's call. */
 static ssize_t
 exchange_read (void *data, uint64_t position, char *block, size_t size)
 {
@@ -193,7 +193,7 @@
   if (filled > 0)
     return (ssize_t)filled;
   atomic_store (&exchange->parked, true);
-  /* The end is read before the queue: what was pushed ahead of it is then seen. */
+  /* Read before the queue, so that chunks queued before the end are not missed. */
   ended = atomic_load (&exchange->ended);
   if ((ended || !cds_wfcq_empty (&exchange->head, &exchange->tail))
       && atomic_exchange (&exchange->parked, false))
@@ -228,7 +228,8 @@
   enum MHD_Result queued;
   struct MHD_Response *response;
 
-  /* Also what makes the head's fields visible here. Without a head nobody has woken this side. */
+  /* This load also makes the fields of the head visible to this thread. Without a head the core has
+   * not resumed the connection. */
   if (!atomic_load (&exchange->head_ready))
     {
       MHD_suspend_connection (connection);
--- a/include/buckthornhead/caller_http.h
+++ b/include/buckthornhead/caller_http.h
@@ -1,8 +1,8 @@
-/* The callers' and the operators' HTTP listeners, on libmicrohttpd's threads.
+/* HTTP listeners for callers and operators, on libmicrohttpd's threads.
  *
- * A request is read whole, checked, turned into a struct Exchange and posted to the core. What is
- * malformed is refused here, with the one JSON shape for errors; docs/INTERFACE.md says all of it.
- */
+ * A request is read completely, validated, stored in a struct Exchange and posted to the core.
+ * Malformed requests are rejected here with the common JSON error format, which docs/INTERFACE.md
+ * documents. */
 #pragma once
 
 #include <buckthornhead/error.h>
@@ -11,7 +11,8 @@
 
 struct CallerHttp;
 
-/* Opens both listeners. ERROR_IO with the remedy in fault when one can not be opened. */
+/* Opens both listeners. ERROR_INVALID or ERROR_IO with the remedy in fault when one cannot be
+ * opened. */
 int32_t
 caller_http_open (TALLOC_CTX *ctx,
                   const struct Settings *settings,
@@ -19,15 +20,16 @@
                   struct CallerHttp **http,
                   struct Fault *fault);
 
-/* Every request from now on is refused at once. Those posted before still need their answers. */
+/* Rejects all further requests. Those already posted to the core still need their responses. */
 void
 caller_http_refuse (struct CallerHttp *http);
-/* Stops accepting, waits for the threads. Every exchange must have ended before. */
+/* Closes both listeners and waits for their threads. All exchanges must have ended. */
 void
 caller_http_close (struct CallerHttp *http);
 
-/* Turns a caller's request into exchange->request. ERROR_NONE, or the fault to answer with.
- * Exposed for the fuzz target: method, path, the body in exchange, and a header lookup. */
+/* Parses a caller's request into exchange->request. Returns ERROR_NONE, or an error with the fault
+ * to respond with. Exported for the fuzz target, which supplies method, path, the body in exchange
+ * and the lookup functions. */
 typedef const char *(*HeaderFn) (void *data, const char *name);
 int32_t
 caller_request_parse (struct Exchange *exchange,
@@ -39,8 +41,8 @@
                       void *data,
                       struct Fault *fault);
 
-/* The JSON shape of every refusal; belongs to ctx. retry_after_ms 0 and expected_sequence 0 are
- * left out. */
+/* Returns the JSON body of an error response, owned by ctx. retry_after_ms and expected_sequence
+ * are omitted when 0. */
 char *
 error_json (TALLOC_CTX *ctx,
             const struct Fault *fault,
@@ -48,7 +50,7 @@
             uint32_t retry_after_ms,
             uint64_t expected_sequence);
 
-/* HTTP status that an error kind is answered with. */
+/* Returns the HTTP status for an error code. */
 uint32_t
 error_http_status (int32_t error);
 const char *
--- a/include/buckthornhead/exchange.h
+++ b/include/buckthornhead/exchange.h
@@ -1,9 +1,9 @@
-/* One caller's or operator's HTTP request, shared by the HTTP thread that holds the connection and
- * the core thread that answers it.
+/* One HTTP request of a caller or operator and its response, shared by the HTTP thread that owns
+ * the connection and the core thread that responds.
  *
- * The HTTP thread fills the request part and posts the exchange to the core; from then on that part
- * is read only. The core answers with exchange_answer, or with exchange_begin, exchange_chunk and
- * exchange_end for a stream. Two references: one a side; the last to let go frees it. */
+ * The HTTP thread fills in the request fields and posts the exchange to the core; those fields are
+ * read-only afterwards. The core responds with exchange_answer, or with exchange_begin,
+ * exchange_chunk and exchange_end for a stream. Each of the two threads holds one reference. */
 #pragma once
 
 #include <buckthornhead/mailbox.h>
@@ -26,45 +26,45 @@
 
 struct Exchange
 {
-  struct Mail mail; /* must come first: posted as MAIL_CALLER_REQUEST */
+  struct Mail mail; /* must be the first member; posted as MAIL_CALLER_REQUEST */
   enum ExchangeKind kind;
   struct PeerRequest request;
   char method[8];
-  char path[256]; /* operator: path with its query */
+  char path[256]; /* EXCHANGE_OPERATOR only; without the query */
   char query_name[NAME_MAX_BYTES + 1];
   uint8_t *body; /* talloc child of the exchange */
   size_t body_bytes, body_size;
-  void *core; /* the core thread's own state of this exchange */
+  void *core; /* state owned by the core thread */
 
-  /* Answer. The head is written by the core before head_ready is set. */
+  /* Response. The core writes the head before it sets head_ready. */
   uint32_t status;
   char headers[EXCHANGE_HEADERS_MAX][EXCHANGE_HEADER_BYTES]; /* "Name: value" */
   uint32_t n_headers;
   bool event_stream;
 
-  /* Between the threads. */
+  /* Shared by both threads. */
   _Atomic uint32_t references;
   _Atomic bool head_ready, ended, closed, parked;
   struct MHD_Connection *connection;
   struct cds_wfcq_head head;
   struct cds_wfcq_tail tail;
 
-  /* HTTP thread only. */
+  /* Used by the HTTP thread only. */
   struct ExchangeChunk *chunk;
   size_t chunk_offset;
   bool posted;
-  uint32_t early_status; /* refused before it was posted */
+  uint32_t early_status; /* status of an error found before the request is complete; 0: none */
   int64_t started_ms;
 };
 
-/* MAIL_CALLER_GONE: carries the HTTP side's reference. */
+/* Payload of MAIL_CALLER_GONE: the caller disconnected. Holds the HTTP thread's reference. */
 struct GoneMail
 {
   struct Mail mail;
   struct Exchange *exchange;
 };
 
-/* A piece of the answer's body on its way to the HTTP thread. */
+/* A piece of the response body, queued for the HTTP thread. */
 struct ExchangeChunk
 {
   struct cds_wfcq_node node;
@@ -77,7 +77,7 @@
 void
 exchange_release (struct Exchange *exchange);
 
-/* Core thread. */
+/* To be called by the core thread. */
 void
 exchange_header (struct Exchange *exchange, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
@@ -87,24 +87,24 @@
 exchange_chunk (struct Exchange *exchange, const void *bytes, size_t n_bytes);
 void
 exchange_end (struct Exchange *exchange);
-/* Whole answer at once, and the end. */
+/* Sends a complete response and ends the exchange. */
 void
 exchange_answer (struct Exchange *exchange, uint32_t status, const void *body, size_t n_bytes);
-/* Exchanges posted to the core and not ended yet, of all listeners; any thread. While there is one,
- * its connection may be suspended, and libmicrohttpd ends the process that closes a listener then.
- */
+/* Returns the number of exchanges of all listeners that are posted to the core and have not ended;
+ * may be called by any thread. While it is not 0 a connection may be suspended, and libmicrohttpd
+ * aborts the process when a listener with a suspended connection is stopped. */
 uint32_t
 exchange_n_open (void);
-/* HTTP thread: one is about to be posted. */
+/* HTTP thread: counts an exchange that is about to be posted. */
 void
 exchange_note_posted (void);
-/* And was not. */
+/* HTTP thread: reverts exchange_note_posted for an exchange that is not posted after all. */
 void
 exchange_note_refused (void);
-/* True when the connection is gone: what is still sent goes nowhere. */
+/* Returns whether the connection has closed; further response data is dropped. */
 bool
 exchange_is_closed (struct Exchange *exchange);
 
-/* HTTP thread: queues MHD's response once the head is there. */
+/* HTTP thread: queues the response in libmicrohttpd once its head is ready. */
 enum MHD_Result
 exchange_queue_response (struct Exchange *exchange, struct MHD_Connection *connection);
