--- a/adapters/curl_loop.c
+++ b/adapters/curl_loop.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  CONNECTIONS_KEPT = 256
+  CONNECTION_CACHE_MAX = 256
 };
 
 struct CurlLoop
@@ -15,7 +15,8 @@
   struct tevent_timer *timer;
   CURLM *multi;
   TALLOC_CTX *calls; /* parent of every CurlCall */
-  bool in_chunk;     /* inside curl: its handles may be neither added nor removed now */
+  bool in_chunk;     /* inside a write callback, where libcurl does not allow handles to be added or
+                        removed */
 };
 
 struct CurlCall
@@ -23,21 +24,21 @@
   struct CurlLoop *loop;
   CURL *easy;
   struct curl_slist *headers;
-  struct tevent_immediate *later;
+  struct tevent_immediate *deferred;
   uint8_t *body;
-  size_t body_bytes, body_at;
-  bool added;     /* to the multi handle */
+  size_t body_bytes, body_offset;
+  bool added;     /* easy was added to the multi handle */
   bool stopped;   /* by curl_call_stop */
-  bool in_done;   /* freed when done returns */
-  bool cancelled; /* freed by its user from inside a callback */
-  uint8_t *answer;
-  size_t answer_bytes;
+  bool in_done;   /* inside the done callback, after which the call is freed */
+  bool cancelled; /* freed by its owner inside a callback; no further callbacks */
+  uint8_t *response;
+  size_t response_bytes;
   HttpChunkFn chunk;
   HttpDone done;
   void *data;
 };
 
-/* One watched socket; curl keeps the pointer for us. */
+/* A watched socket; libcurl stores the pointer (curl_multi_assign). */
 struct CurlSocket
 {
   struct CurlLoop *loop;
@@ -58,8 +59,8 @@
   result.whole = code == CURLE_OK;
   result.timed_out = code == CURLE_OPERATION_TIMEDOUT;
   result.status = (uint32_t)status;
-  result.body = call->answer;
-  result.body_bytes = call->answer_bytes;
+  result.body = call->response;
+  result.body_bytes = call->response_bytes;
   result.error = code == CURLE_OK ? "" : curl_easy_strerror (code);
   call->in_done = true;
   if (!call->cancelled)
@@ -69,7 +70,7 @@
 }
 
 static void
-curl_loop_collect (struct CurlLoop *loop)
+curl_loop_finish_calls (struct CurlLoop *loop)
 {
   CURLMsg *message;
   int left;
@@ -100,7 +101,7 @@
   (void)now;
   loop->timer = NULL;
   curl_multi_socket_action (loop->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-  curl_loop_collect (loop);
+  curl_loop_finish_calls (loop);
 }
 
 static int
@@ -136,9 +137,9 @@
     mask |= CURL_CSELECT_IN;
   if (flags & TEVENT_FD_WRITE)
     mask |= CURL_CSELECT_OUT;
-  /* curl may free socket in here. */
+  /* May free socket, through curl_loop_set_socket. */
   curl_multi_socket_action (loop->multi, socket->fd, mask, &running);
-  curl_loop_collect (loop);
+  curl_loop_finish_calls (loop);
 }
 
 static int
@@ -190,19 +191,20 @@
       call->loop->in_chunk = false;
       return call->stopped || call->cancelled ? 0 : n_bytes;
     }
-  call->answer = talloc_realloc (call, call->answer, uint8_t, call->answer_bytes + n_bytes + 1);
-  if (call->answer == NULL)
+  call->response =
+      talloc_realloc (call, call->response, uint8_t, call->response_bytes + n_bytes + 1);
+  if (call->response == NULL)
     return 0;
-  memcpy (call->answer + call->answer_bytes, bytes, n_bytes);
-  call->answer_bytes += n_bytes;
-  call->answer[call->answer_bytes] = '\0';
+  memcpy (call->response + call->response_bytes, bytes, n_bytes);
+  call->response_bytes += n_bytes;
+  call->response[call->response_bytes] = '\0';
   return n_bytes;
 }
 
 static int
 curl_loop_free (struct CurlLoop *loop)
 {
-  /* A call's destructor takes its handle out of multi, which must still exist then. */
+  /* Frees the calls first: their destructor removes their handles from multi. */
   TALLOC_FREE (loop->calls);
   curl_multi_cleanup (loop->multi);
   return 0;
@@ -229,17 +231,17 @@
   curl_multi_setopt (loop->multi, CURLMOPT_SOCKETDATA, loop);
   curl_multi_setopt (loop->multi, CURLMOPT_TIMERFUNCTION, curl_loop_set_timer);
   curl_multi_setopt (loop->multi, CURLMOPT_TIMERDATA, loop);
-  curl_multi_setopt (loop->multi, CURLMOPT_MAXCONNECTS, (long)CONNECTIONS_KEPT);
+  curl_multi_setopt (loop->multi, CURLMOPT_MAXCONNECTS, (long)CONNECTION_CACHE_MAX);
   return loop;
 }
 
 static void
-curl_call_on_later (struct tevent_context *events, struct tevent_immediate *later, void *data)
+curl_call_on_deferred (struct tevent_context *events, struct tevent_immediate *deferred, void *data)
 {
   struct CurlCall *call = data;
 
   (void)events;
-  (void)later;
+  (void)deferred;
   if (call->cancelled)
     {
       talloc_free (call);
@@ -251,9 +253,9 @@
 }
 
 static void
-curl_call_do_later (struct CurlCall *call)
+curl_call_defer (struct CurlCall *call)
 {
-  tevent_schedule_immediate (call->later, call->loop->events, curl_call_on_later, call);
+  tevent_schedule_immediate (call->deferred, call->loop->events, curl_call_on_deferred, call);
 }
 
 static int
@@ -263,7 +265,7 @@
     {
       call->cancelled = true;
       if (!call->in_done)
-        curl_call_do_later (call);
+        curl_call_defer (call);
       return -1;
     }
   if (call->added)
@@ -277,7 +279,8 @@
 static void
 curl_call_set_headers (struct CurlCall *call, const struct HttpRequest *request)
 {
-  /* Without this curl waits a second for "100 Continue" before a larger body. */
+  /* Disables "Expect: 100-continue": libcurl would wait up to a second before sending a larger
+   * body. */
   call->headers = curl_slist_append (NULL, "Expect:");
   for (size_t i = 0; request->headers != NULL && request->headers[i] != NULL; i++)
     call->headers = curl_slist_append (call->headers, request->headers[i]);
@@ -288,19 +291,20 @@
 curl_call_on_upload (char *buffer, size_t size, size_t n, void *data)
 {
   struct CurlCall *call = data;
-  size_t n_bytes = call->body_bytes - call->body_at;
+  size_t n_bytes = call->body_bytes - call->body_offset;
 
   if (n_bytes > size * n)
     n_bytes = size * n;
-  memcpy (buffer, call->body + call->body_at, n_bytes);
-  call->body_at += n_bytes;
+  memcpy (buffer, call->body + call->body_offset, n_bytes);
+  call->body_offset += n_bytes;
   return n_bytes;
 }
 
-/* Against a request that runs twice: when a kept connection closes without an answer, curl sends
- * the request again by itself, though the first may have taken effect; a write then answers with
- * a conflict against itself, and a non-idempotent call runs twice. It can not do so with a body
- * that it can not rewind (it fails instead), nor on a connection that is not a kept one. */
+/* Sets the body through a read callback without a seek callback, so that libcurl never sends the
+ * request twice. When a reused connection closes without a response, libcurl resends the request,
+ * although the first one may have taken effect: a write to the store would then conflict with
+ * itself, and a non-idempotent call would run twice. libcurl fails the request instead when it
+ * cannot rewind the body, and never resends on a new connection. */
 static void
 curl_call_set_body (struct CurlCall *call, const struct HttpRequest *request)
 {
@@ -339,10 +343,10 @@
   call->chunk = chunk;
   call->done = done;
   call->data = data;
-  call->later = tevent_create_immediate (call);
+  call->deferred = tevent_create_immediate (call);
   call->easy = curl_easy_init ();
   talloc_set_destructor (call, curl_call_free);
-  if (call->easy == NULL || call->later == NULL)
+  if (call->easy == NULL || call->deferred == NULL)
     goto fail;
   curl_easy_setopt (call->easy, CURLOPT_URL, request->url);
   curl_easy_setopt (call->easy, CURLOPT_PRIVATE, call);
@@ -360,7 +364,7 @@
   if (request->fresh_connection || (call->body == NULL && strcmp (request->method, "GET") != 0))
     curl_easy_setopt (call->easy, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (call->easy, CURLOPT_FORBID_REUSE, request->fresh_connection ? 1L : 0L);
-  curl_call_do_later (call);
+  curl_call_defer (call);
   return call;
 
 fail:
--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -18,44 +18,44 @@
 {
   READ_BYTES = 64 * 1024,
   SWEEP_MS = 250,
-  /* A server that states how long it keeps an idle connection may count from the moment it sent its
-   * answer: stop using it this much earlier. */
+  /* Idle connections are no longer used this much before the server's advertised keep-alive
+   * timeout: the server may count from the moment it sent its response. */
   KEEP_ALIVE_MARGIN_MS = 400,
-  /* Sent bytes unacknowledged for this long: the machine is gone, or cut off. Longer than a
-   * retransmission on a lossy link. */
+  /* TCP_USER_TIMEOUT: if sent data stays unacknowledged for this long, the peer's instance has
+   * failed or is unreachable. Longer than a retransmission on a lossy link. */
   USER_TIMEOUT_MS = 2000,
-  HEAD_MAX_BYTES = 64 * 1024 /* of an answer */
+  HEAD_MAX_BYTES = 64 * 1024 /* limit on the headers of a response */
 };
 
-enum LinkState
+enum ConnectionState
 {
-  LINK_CONNECTING,
-  LINK_BUSY,
-  LINK_IDLE
+  CONNECTION_CONNECTING,
+  CONNECTION_BUSY,
+  CONNECTION_IDLE
 };
 
 /* One connection to a server. */
-struct ServerLink
+struct ServerConnection
 {
-  struct ServerLink *next, **at;
+  struct ServerConnection *next, **previous_next;
   struct HttpClient *client;
   char address[ADDRESS_MAX_BYTES + 1];
   int fd;
   struct tevent_fd *watch;
-  enum LinkState state;
-  int64_t due_ms; /* connecting: gives up; idle: not used any more */
+  enum ConnectionState state;
+  int64_t deadline_ms; /* connecting: connect timeout; idle: end of reuse */
   struct ByteQueue output;
   struct HttpCall *call;
   http_parser parser;
   struct HttpHeadText head;
   size_t head_bytes;
-  bool sent_any, headers_done, foreign, whole, has_length, keep;
-  int64_t idle_ms; /* how long the server keeps it, 0: did not say */
+  bool sent_any, headers_done, discard, complete, has_length, keep_alive;
+  int64_t idle_ms; /* the server's keep-alive timeout, 0: not advertised */
 };
 
 struct HttpCall
 {
-  struct ServerLink *link;
+  struct ServerConnection *connection;
   struct HttpCallHandler handler;
   char *id_header, *id;
 };
@@ -65,61 +65,61 @@
   struct tevent_context *events;
   struct TimerService *timers;
   struct HttpClientOptions options;
-  struct ServerLink *links;
+  struct ServerConnection *connections;
   uint64_t n_opened;
   uint8_t scratch[READ_BYTES];
 };
 
 static int
-link_free (struct ServerLink *l)
-{
-  *l->at = l->next;
-  if (l->next != NULL)
-    l->next->at = l->at;
-  if (l->call != NULL)
-    l->call->link = NULL;
-  TALLOC_FREE (l->watch);
-  close (l->fd);
+connection_free (struct ServerConnection *c)
+{
+  *c->previous_next = c->next;
+  if (c->next != NULL)
+    c->next->previous_next = c->previous_next;
+  if (c->call != NULL)
+    c->call->connection = NULL;
+  TALLOC_FREE (c->watch);
+  close (c->fd);
   return 0;
 }
 
-/* A call that is freed before its end takes its connection along: the server sees the close. */
+/* Closes the connection of a call that is freed before its end, so that the server notices. */
 static int
 call_free (struct HttpCall *call)
 {
-  struct ServerLink *l = call->link;
+  struct ServerConnection *c = call->connection;
 
-  if (l == NULL)
+  if (c == NULL)
     return 0;
-  call->link = NULL;
-  l->call = NULL;
-  l->keep = false;
-  shutdown (l->fd, SHUT_RDWR);
-  l->due_ms = 0;
+  call->connection = NULL;
+  c->call = NULL;
+  c->keep_alive = false;
+  shutdown (c->fd, SHUT_RDWR);
+  c->deadline_ms = 0;
   return 0;
 }
 
 static void
-link_watch (struct ServerLink *l)
+connection_update_watch (struct ServerConnection *c)
 {
   uint16_t flags = TEVENT_FD_READ;
 
-  if (l->state == LINK_CONNECTING || byte_queue_length (&l->output) > 0)
+  if (c->state == CONNECTION_CONNECTING || byte_queue_length (&c->output) > 0)
     flags |= TEVENT_FD_WRITE;
-  if (tevent_fd_get_flags (l->watch) != flags)
-    tevent_fd_set_flags (l->watch, flags);
+  if (tevent_fd_get_flags (c->watch) != flags)
+    tevent_fd_set_flags (c->watch, flags);
 }
 
-/* Ends the call, if there still is one, and the connection with it. */
+/* Closes the connection and ends its call, if any. */
 static void
-link_break (struct ServerLink *l, enum HttpEnd end)
+connection_close (struct ServerConnection *c, enum HttpEnd end)
 {
-  struct HttpCall *call = l->call;
+  struct HttpCall *call = c->call;
 
-  l->call = NULL;
+  c->call = NULL;
   if (call != NULL)
-    call->link = NULL;
-  talloc_free (l);
+    call->connection = NULL;
+  talloc_free (c);
   if (call == NULL)
     return;
   call->handler.end (call->handler.data, end);
@@ -127,30 +127,30 @@
 }
 
 static void
-link_reset_parser (struct ServerLink *l)
-{
-  http_parser_init (&l->parser, HTTP_RESPONSE);
-  l->parser.data = l;
-  TALLOC_FREE (l->head.text);
-  TALLOC_FREE (l->head.starts);
-  memset (&l->head, 0, sizeof l->head);
-  l->head_bytes = 0;
-  l->headers_done = false;
-  l->foreign = false;
-  l->whole = false;
-  l->has_length = false;
+connection_reset_parser (struct ServerConnection *c)
+{
+  http_parser_init (&c->parser, HTTP_RESPONSE);
+  c->parser.data = c;
+  TALLOC_FREE (c->head.text);
+  TALLOC_FREE (c->head.starts);
+  memset (&c->head, 0, sizeof c->head);
+  c->head_bytes = 0;
+  c->headers_done = false;
+  c->discard = false;
+  c->complete = false;
+  c->has_length = false;
 }
 
-/* Parser callbacks; a non-zero return stops the parser. */
+/* Parser callbacks; a non-zero return value stops the parser. */
 
 static int
-parser_on_head (struct ServerLink *l, bool is_value, const char *bytes, size_t n_bytes)
+parser_on_head (struct ServerConnection *c, bool is_value, const char *bytes, size_t n_bytes)
 {
-  if (l->headers_done)
+  if (c->headers_done)
     return 0;
-  l->head_bytes += n_bytes;
-  return l->head_bytes > HEAD_MAX_BYTES
-         || http_head_text_add (l, &l->head, is_value, bytes, n_bytes) != ERROR_NONE;
+  c->head_bytes += n_bytes;
+  return c->head_bytes > HEAD_MAX_BYTES
+         || http_head_text_add (c, &c->head, is_value, bytes, n_bytes) != ERROR_NONE;
 }
 
 static int
@@ -165,7 +165,7 @@
   return parser_on_head (parser->data, true, bytes, n_bytes);
 }
 
-/* The server's statement "Keep-Alive: timeout=N", in milliseconds; 0 when it makes none. */
+/* Returns the timeout of a "Keep-Alive: timeout=N" header in milliseconds; 0 when absent. */
 static int64_t
 keep_alive_ms (const struct HttpHeaders *headers)
 {
@@ -176,7 +176,7 @@
 }
 
 static bool
-head_is_foreign (const struct HttpCall *call, const struct HttpHeaders *headers)
+response_id_differs (const struct HttpCall *call, const struct HttpHeaders *headers)
 {
   const char *id;
 
@@ -189,20 +189,20 @@
 static int
 parser_on_headers_complete (http_parser *parser)
 {
-  struct ServerLink *l = parser->data;
+  struct ServerConnection *c = parser->data;
   struct HttpAnswerHead head = { .status = parser->status_code };
   bool interim = parser->status_code >= 100 && parser->status_code < 200;
 
-  if (http_head_text_finish (l, &l->head, &head.headers) != ERROR_NONE)
+  if (http_head_text_finish (c, &c->head, &head.headers) != ERROR_NONE)
     return -1;
-  l->headers_done = true;
-  l->has_length = (parser->flags & (F_CONTENTLENGTH | F_CHUNKED)) != 0;
-  head.has_length = l->has_length;
-  l->idle_ms = keep_alive_ms (&head.headers);
-  if (l->call != NULL)
-    l->foreign = interim || head_is_foreign (l->call, &head.headers);
-  if (l->call != NULL && !l->foreign)
-    l->call->handler.head (l->call->handler.data, &head);
+  c->headers_done = true;
+  c->has_length = (parser->flags & (F_CONTENTLENGTH | F_CHUNKED)) != 0;
+  head.has_length = c->has_length;
+  c->idle_ms = keep_alive_ms (&head.headers);
+  if (c->call != NULL)
+    c->discard = interim || response_id_differs (c->call, &head.headers);
+  if (c->call != NULL && !c->discard)
+    c->call->handler.head (c->call->handler.data, &head);
   talloc_free (head.headers.items);
   return 0;
 }
@@ -210,19 +210,19 @@
 static int
 parser_on_body (http_parser *parser, const char *bytes, size_t n_bytes)
 {
-  struct ServerLink *l = parser->data;
+  struct ServerConnection *c = parser->data;
 
-  if (l->call != NULL && !l->foreign)
-    l->call->handler.body (l->call->handler.data, (const uint8_t *)bytes, n_bytes);
+  if (c->call != NULL && !c->discard)
+    c->call->handler.body (c->call->handler.data, (const uint8_t *)bytes, n_bytes);
   return 0;
 }
 
 static int
 parser_on_message_complete (http_parser *parser)
 {
-  struct ServerLink *l = parser->data;
+  struct ServerConnection *c = parser->data;
 
-  l->whole = true;
+  c->complete = true;
   http_parser_pause (parser, 1);
   return 0;
 }
@@ -235,133 +235,138 @@
   .on_message_complete = parser_on_message_complete,
 };
 
-/* The answer is whole: the connection goes back to the idle ones if it is certainly in step. */
+/* Ends the call with a complete response. The connection becomes idle for reuse only if no bytes of
+ * the request or of another response can be left on it. */
 static void
-link_finish (struct ServerLink *l, bool extra_bytes)
+connection_finish_call (struct ServerConnection *c, bool extra_bytes)
 {
-  struct HttpCall *call = l->call;
+  struct HttpCall *call = c->call;
   int64_t idle_ms =
-      l->idle_ms > 0 ? l->idle_ms - KEEP_ALIVE_MARGIN_MS : (int64_t)l->client->options.idle_max_ms;
-  bool keep = l->keep && !extra_bytes && l->has_length && byte_queue_length (&l->output) == 0
+      c->idle_ms > 0 ? c->idle_ms - KEEP_ALIVE_MARGIN_MS : (int64_t)c->client->options.idle_max_ms;
+  bool keep = c->keep_alive && !extra_bytes && c->has_length && byte_queue_length (&c->output) == 0
               && idle_ms > 0;
 
   if (!keep)
     {
-      link_break (l, HTTP_END_WHOLE);
+      connection_close (c, HTTP_END_WHOLE);
       return;
     }
-  l->call = NULL;
-  l->state = LINK_IDLE;
-  l->due_ms = timer_now_ms (l->client->timers) + idle_ms;
-  link_reset_parser (l);
+  c->call = NULL;
+  c->state = CONNECTION_IDLE;
+  c->deadline_ms = timer_now_ms (c->client->timers) + idle_ms;
+  connection_reset_parser (c);
   if (call == NULL)
     return;
-  call->link = NULL;
+  call->connection = NULL;
   call->handler.end (call->handler.data, HTTP_END_WHOLE);
   talloc_free (call);
 }
 
-/* Gives bytes to the parser; false when the link is gone. */
+/* Passes bytes to the parser; returns false when the connection is closed or idle. */
 static bool
-link_parse (struct ServerLink *l, const uint8_t *bytes, size_t n_bytes)
+connection_parse (struct ServerConnection *c, const uint8_t *bytes, size_t n_bytes)
 {
   size_t at = 0;
 
   while (at < n_bytes)
     {
-      at += http_parser_execute (&l->parser, &parser_settings, (const char *)bytes + at,
+      at += http_parser_execute (&c->parser, &parser_settings, (const char *)bytes + at,
                                  n_bytes - at);
-      if (l->whole && l->foreign)
+      if (c->complete && c->discard)
         {
-          link_reset_parser (l);
+          connection_reset_parser (c);
           continue;
         }
-      if (l->whole)
+      if (c->complete)
         {
-          l->keep = http_should_keep_alive (&l->parser) != 0;
-          link_finish (l, at < n_bytes);
+          c->keep_alive = http_should_keep_alive (&c->parser) != 0;
+          connection_finish_call (c, at < n_bytes);
           return false;
         }
-      if (HTTP_PARSER_ERRNO (&l->parser) != HPE_OK)
+      if (HTTP_PARSER_ERRNO (&c->parser) != HPE_OK)
         {
-          link_break (l, HTTP_END_MALFORMED);
+          connection_close (c, HTTP_END_MALFORMED);
           return false;
         }
     }
   return true;
 }
 
-/* An answer without a length ends with its connection, if that ends in order. */
+/* A response without a length is complete only if the connection was closed in an orderly way, not
+ * reset. */
 static void
-link_on_close (struct ServerLink *l, bool in_order)
+connection_on_close (struct ServerConnection *c, bool in_order)
 {
-  enum HttpEnd end = l->sent_any ? HTTP_END_BROKEN : HTTP_END_NOT_SENT;
+  enum HttpEnd end = c->sent_any ? HTTP_END_BROKEN : HTTP_END_NOT_SENT;
 
-  if (in_order && l->headers_done && !l->has_length && !l->foreign)
+  if (in_order && c->headers_done && !c->has_length && !c->discard)
     {
-      http_parser_execute (&l->parser, &parser_settings, NULL, 0);
-      if (l->whole)
+      http_parser_execute (&c->parser, &parser_settings, NULL, 0);
+      if (c->complete)
         end = HTTP_END_WHOLE;
     }
-  link_break (l, end);
+  connection_close (c, end);
 }
 
 static void
-link_read (struct ServerLink *l)
+connection_read (struct ServerConnection *c)
 {
-  ssize_t n = recv (l->fd, l->client->scratch, sizeof l->client->scratch, MSG_DONTWAIT);
+  ssize_t n = recv (c->fd, c->client->scratch, sizeof c->client->scratch, MSG_DONTWAIT);
 
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
     return;
   /* Bytes on an idle connection belong to no request. */
-  if (l->state == LINK_IDLE || l->call == NULL)
-    link_break (l, HTTP_END_BROKEN);
+  if (c->state == CONNECTION_IDLE || c->call == NULL)
+    connection_close (c, HTTP_END_BROKEN);
   else if (n <= 0)
-    link_on_close (l, n == 0);
-  else if (link_parse (l, l->client->scratch, (size_t)n))
-    link_watch (l);
+    connection_on_close (c, n == 0);
+  else if (connection_parse (c, c->client->scratch, (size_t)n))
+    connection_update_watch (c);
 }
 
-/* False when the connection broke. */
+/* Returns false when the connection has failed. */
 static bool
-link_write (struct ServerLink *l)
+connection_write (struct ServerConnection *c)
 {
-  size_t before = byte_queue_length (&l->output);
-  bool sound = byte_queue_send (&l->output, l->fd);
+  size_t before = byte_queue_length (&c->output);
+  bool ok = byte_queue_send (&c->output, c->fd);
 
-  if (byte_queue_length (&l->output) < before)
-    l->sent_any = true;
-  return sound;
+  if (byte_queue_length (&c->output) < before)
+    c->sent_any = true;
+  return ok;
 }
 
 static void
-link_on_event (struct tevent_context *events, struct tevent_fd *watch, uint16_t flags, void *data)
+connection_on_event (struct tevent_context *events,
+                     struct tevent_fd *watch,
+                     uint16_t flags,
+                     void *data)
 {
-  struct ServerLink *l = data;
+  struct ServerConnection *c = data;
 
   (void)events;
   (void)watch;
-  if (l->state == LINK_CONNECTING)
+  if (c->state == CONNECTION_CONNECTING)
     {
-      if (net_dial_error (l->fd) != 0)
+      if (net_dial_error (c->fd) != 0)
         {
-          link_break (l, HTTP_END_NOT_SENT);
+          connection_close (c, HTTP_END_NOT_SENT);
           return;
         }
-      l->state = LINK_BUSY;
+      c->state = CONNECTION_BUSY;
     }
-  /* What the server said before it closed is read first: it may be a whole answer. */
+  /* Reads before writing: the server may have sent a complete response before it closed. */
   if (flags & TEVENT_FD_READ)
     {
-      link_read (l);
+      connection_read (c);
       return;
     }
-  if ((flags & TEVENT_FD_WRITE) && !link_write (l))
+  if ((flags & TEVENT_FD_WRITE) && !connection_write (c))
     {
-      link_break (l, l->sent_any ? HTTP_END_BROKEN : HTTP_END_NOT_SENT);
+      connection_close (c, c->sent_any ? HTTP_END_BROKEN : HTTP_END_NOT_SENT);
       return;
     }
-  link_watch (l);
+  connection_update_watch (c);
 }
 
 static void
@@ -369,15 +374,15 @@
 {
   struct HttpClient *client = data;
   int64_t now_ms = timer_now_ms (client->timers);
-  struct ServerLink *next;
+  struct ServerConnection *next;
 
-  for (struct ServerLink *l = client->links; l != NULL; l = next)
+  for (struct ServerConnection *c = client->connections; c != NULL; c = next)
     {
-      next = l->next;
-      if (l->state != LINK_BUSY || l->call == NULL)
+      next = c->next;
+      if (c->state != CONNECTION_BUSY || c->call == NULL)
         {
-          if (l->due_ms <= now_ms)
-            link_break (l, HTTP_END_NOT_SENT);
+          if (c->deadline_ms <= now_ms)
+            connection_close (c, HTTP_END_NOT_SENT);
         }
     }
 }
@@ -385,8 +390,8 @@
 static int
 client_free (struct HttpClient *client)
 {
-  while (client->links != NULL)
-    talloc_free (client->links);
+  while (client->connections != NULL)
+    talloc_free (client->connections);
   return 0;
 }
 
@@ -408,69 +413,71 @@
   return client;
 }
 
-/* An idle connection is out of step or closed when there is anything to read on it. */
+/* An idle connection with anything to read is closed or has received unexpected bytes. */
 static bool
-link_is_quiet (const struct ServerLink *l)
+connection_is_reusable (const struct ServerConnection *c)
 {
   char byte;
-  ssize_t n = recv (l->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  ssize_t n = recv (c->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/* The idle connection used last; *n_open counts all to address. */
-static struct ServerLink *
+/* Returns the most recently used idle connection to address. *n_open counts all connections to the
+ * address. */
+static struct ServerConnection *
 client_find_idle (struct HttpClient *client, const char *address, uint32_t *n_open)
 {
   int64_t now_ms = timer_now_ms (client->timers);
-  struct ServerLink *best = NULL, *next;
+  struct ServerConnection *best = NULL, *next;
 
   *n_open = 0;
-  for (struct ServerLink *l = client->links; l != NULL; l = next)
+  for (struct ServerConnection *c = client->connections; c != NULL; c = next)
     {
-      next = l->next;
-      if (strcmp (l->address, address) != 0)
+      next = c->next;
+      if (strcmp (c->address, address) != 0)
         continue;
       (*n_open)++;
-      if (l->state == LINK_IDLE && l->due_ms > now_ms && (best == NULL || l->due_ms > best->due_ms))
-        best = l;
+      if (c->state == CONNECTION_IDLE && c->deadline_ms > now_ms
+          && (best == NULL || c->deadline_ms > best->deadline_ms))
+        best = c;
     }
-  if (best == NULL || link_is_quiet (best))
+  if (best == NULL || connection_is_reusable (best))
     return best;
   talloc_free (best);
   return client_find_idle (client, address, n_open);
 }
 
-static struct ServerLink *
-link_new (struct HttpClient *client, const char *address, uint32_t connect_timeout_ms)
+static struct ServerConnection *
+connection_new (struct HttpClient *client, const char *address, uint32_t connect_timeout_ms)
 {
-  struct ServerLink *l;
+  struct ServerConnection *c;
   int fd = net_dial (address, USER_TIMEOUT_MS);
 
   if (fd < 0)
     return NULL;
-  l = talloc_zero (client, struct ServerLink);
-  if (l == NULL)
+  c = talloc_zero (client, struct ServerConnection);
+  if (c == NULL)
     {
       close (fd);
       return NULL;
     }
-  l->client = client;
-  l->fd = fd;
-  snprintf (l->address, sizeof l->address, "%s", address);
-  l->state = LINK_CONNECTING;
-  l->due_ms = timer_now_ms (client->timers) + connect_timeout_ms;
-  l->next = client->links;
-  l->at = &client->links;
-  if (l->next != NULL)
-    l->next->at = &l->next;
-  client->links = l;
-  talloc_set_destructor (l, link_free);
+  c->client = client;
+  c->fd = fd;
+  snprintf (c->address, sizeof c->address, "%s", address);
+  c->state = CONNECTION_CONNECTING;
+  c->deadline_ms = timer_now_ms (client->timers) + connect_timeout_ms;
+  c->next = client->connections;
+  c->previous_next = &client->connections;
+  if (c->next != NULL)
+    c->next->previous_next = &c->next;
+  client->connections = c;
+  talloc_set_destructor (c, connection_free);
   client->n_opened++;
-  l->watch = tevent_add_fd (client->events, l, fd, TEVENT_FD_WRITE, link_on_event, l);
-  if (l->watch == NULL)
-    TALLOC_FREE (l);
-  return l;
+  c->watch = tevent_add_fd (client->events, c, fd, TEVENT_FD_WRITE, connection_on_event, c);
+  if (c->watch == NULL)
+    TALLOC_FREE (c);
+  return c;
 }
 
 static struct HttpCall *
@@ -501,36 +508,36 @@
                     const struct HttpCallHandler *handler)
 {
   uint32_t n_open;
-  struct ServerLink *l = client_find_idle (client, request->address, &n_open);
+  struct ServerConnection *c = client_find_idle (client, request->address, &n_open);
   struct HttpCall *call;
   uint32_t connections_max =
       request->connections_max > 0 ? request->connections_max : client->options.per_address_max;
 
-  if (l == NULL && n_open >= connections_max)
+  if (c == NULL && n_open >= connections_max)
     return NULL;
-  if (l == NULL)
-    l = link_new (client, request->address, request->connect_timeout_ms);
-  call = l != NULL ? call_new (client, request, handler) : NULL;
+  if (c == NULL)
+    c = connection_new (client, request->address, request->connect_timeout_ms);
+  call = c != NULL ? call_new (client, request, handler) : NULL;
   if (call == NULL
-      || byte_queue_add (l, &l->output, request->head, strlen (request->head)) != ERROR_NONE
-      || byte_queue_add (l, &l->output, request->body, request->body_bytes) != ERROR_NONE)
+      || byte_queue_add (c, &c->output, request->head, strlen (request->head)) != ERROR_NONE
+      || byte_queue_add (c, &c->output, request->body, request->body_bytes) != ERROR_NONE)
     {
       talloc_free (call);
-      talloc_free (l);
+      talloc_free (c);
       return NULL;
     }
-  call->link = l;
-  l->call = call;
-  l->sent_any = false;
-  link_reset_parser (l);
-  if (l->state == LINK_IDLE)
+  call->connection = c;
+  c->call = call;
+  c->sent_any = false;
+  connection_reset_parser (c);
+  if (c->state == CONNECTION_IDLE)
     {
-      l->state = LINK_BUSY;
-      /* A failure is told from the loop, by the event that it brings. */
-      link_write (l);
-      l->sent_any = true;
+      c->state = CONNECTION_BUSY;
+      /* A failure is reported later, by the socket event that it causes. */
+      connection_write (c);
+      c->sent_any = true;
     }
-  link_watch (l);
+  connection_update_watch (c);
   return call;
 }
 
@@ -539,22 +546,23 @@
 {
   int64_t until_ms = 0;
 
-  for (const struct ServerLink *l = client->links; l != NULL; l = l->next)
-    if (l->state == LINK_IDLE && l->due_ms > until_ms && strcmp (l->address, address) == 0)
-      until_ms = l->due_ms;
+  for (const struct ServerConnection *c = client->connections; c != NULL; c = c->next)
+    if (c->state == CONNECTION_IDLE && c->deadline_ms > until_ms
+        && strcmp (c->address, address) == 0)
+      until_ms = c->deadline_ms;
   return until_ms;
 }
 
 void
 http_client_forget (struct HttpClient *client, const char *address)
 {
-  struct ServerLink *next;
+  struct ServerConnection *next;
 
-  for (struct ServerLink *l = client->links; l != NULL; l = next)
+  for (struct ServerConnection *c = client->connections; c != NULL; c = next)
     {
-      next = l->next;
-      if (l->state == LINK_IDLE && strcmp (l->address, address) == 0)
-        talloc_free (l);
+      next = c->next;
+      if (c->state == CONNECTION_IDLE && strcmp (c->address, address) == 0)
+        talloc_free (c);
     }
 }
 
--- a/adapters/instances_http.c
+++ b/adapters/instances_http.c
@@ -10,7 +10,7 @@
   int64_t timeout_ms;
 };
 
-/* A child of whoever asked. */
+/* A fetch in progress; talloc child of the owner that requested it. */
 struct InstancesCall
 {
   struct CurlCall *http;
@@ -31,11 +31,11 @@
   struct InstancesCall *call = data;
   InstancesDone done = call->done;
   void *done_data = call->data;
-  bool read = result->whole && result->status == 200 && result->body != NULL;
+  bool ok = result->whole && result->status == 200 && result->body != NULL;
 
-  talloc_set_destructor (call, NULL); /* the loop frees a call that has ended */
+  talloc_set_destructor (call, NULL); /* the loop frees the finished curl call */
   talloc_free (call);
-  done (done_data, read ? ERROR_NONE : ERROR_UNREACHABLE, (const char *)result->body,
+  done (done_data, ok ? ERROR_NONE : ERROR_UNREACHABLE, (const char *)result->body,
         result->body_bytes);
 }
 
--- a/adapters/net_socket.c
+++ b/adapters/net_socket.c
@@ -12,8 +12,8 @@
 
 enum
 {
-  /* More than the connections that arrive while the process waits for its processor share: a full
-   * queue drops the opening packet, and it is sent again seconds later. */
+  /* Exceeds the number of connections that arrive while the process waits to be scheduled: a full
+   * queue drops the SYN, which the client retransmits only seconds later. */
   LISTEN_BACKLOG = 1024
 };
 
@@ -52,16 +52,16 @@
 
   *fd = -1;
   if (!socket_address (address, &storage, &size))
-    return fault_set (fault, ERROR_INVALID, "give it as IP:port", "%s is no address: %s", setting,
-                      address);
+    return fault_set (fault, ERROR_INVALID, "set it to IP:port", "%s is not a valid address: %s",
+                      setting, address);
   *fd = socket (storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (*fd >= 0)
     setsockopt (*fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (*fd >= 0 && bind (*fd, (struct sockaddr *)&storage, size) == 0
       && listen (*fd, LISTEN_BACKLOG) == 0)
     return ERROR_NONE;
-  fault_set (fault, ERROR_IO, "stop what holds the address, or change the setting",
-             "can not listen on %s (%s): %s", address, setting, strerror (errno));
+  fault_set (fault, ERROR_IO, "stop the process that uses the address, or change the setting",
+             "cannot listen on %s (%s): %s", address, setting, strerror (errno));
   if (*fd >= 0)
     close (*fd);
   *fd = -1;
--- a/include/buckthornhead/curl_loop.h
+++ b/include/buckthornhead/curl_loop.h
@@ -1,4 +1,4 @@
-/* libcurl's multi interface on a tevent loop: HTTP requests to outside systems. */
+/* HTTP client on a tevent loop, based on libcurl's multi interface. */
 #pragma once
 
 #include <stdbool.h>
@@ -18,22 +18,22 @@
   const char *const *headers; /* "Name: value", NULL-terminated; may be NULL */
   const uint8_t *body;
   size_t body_bytes;
-  int64_t timeout_ms; /* whole request; 0: none */
+  int64_t timeout_ms; /* for the whole request; 0: none */
   int64_t connect_timeout_ms;
-  /* Uses a connection of its own. A kept one that the server closes for idleness, just as the
-   * request goes out, fails it with an unknown effect though it never ran. */
+  /* Uses a new connection. If the server closes an idle connection just as the request is sent on
+   * it, the request fails with unknown effect although it never ran. */
   bool fresh_connection;
 };
 
 struct HttpResult
 {
-  bool sent;  /* some byte of the request may have reached the other side */
-  bool whole; /* a complete answer came */
+  bool sent;  /* part of the request may have reached the server */
+  bool whole; /* a complete response was received */
   bool timed_out;
   uint32_t status;
-  const uint8_t *body; /* NULL when chunks were asked for */
+  const uint8_t *body; /* NULL when a chunk callback was given */
   size_t body_bytes;
-  const char *error; /* words of libcurl, "" when whole */
+  const char *error; /* error message of libcurl, "" when whole */
 };
 
 typedef void (*HttpChunkFn) (void *data, uint32_t status, const uint8_t *bytes, size_t n_bytes);
@@ -42,9 +42,10 @@
 struct CurlLoop *
 curl_loop_new (TALLOC_CTX *ctx, struct tevent_context *events);
 
-/* Starts a request; everything in it is copied. chunk may be NULL: the body is then collected.
- * done is called once, later, unless the call is freed first (talloc_free cancels silently). Both
- * callbacks may submit and free calls, but not free the loop. A request is sent at most once. */
+/* Starts a request, which is copied. If chunk is NULL, the body is collected for done. done is
+ * called once, from the event loop, unless the call is freed first (talloc_free cancels without a
+ * callback). Both callbacks may submit and free calls, but must not free the loop. A request is
+ * sent at most once. */
 struct CurlCall *
 curl_loop_submit (struct CurlLoop *loop,
                   const struct HttpRequest *request,
@@ -52,11 +53,11 @@
                   HttpDone done,
                   void *data);
 
-/* From inside its chunk callback: takes no more of the answer; done follows, not whole. */
+/* Aborts the response; for the chunk callback only. done follows, with whole unset. */
 void
 curl_call_stop (struct CurlCall *call);
 
-/* Value of a header of the answer, NULL when absent; valid during chunk and done only. */
+/* Returns the value of a response header, NULL when absent; valid during chunk and done only. */
 const char *
 curl_call_header (struct CurlCall *call, const char *name);
 
--- a/include/buckthornhead/http_client.h
+++ b/include/buckthornhead/http_client.h
@@ -1,8 +1,9 @@
-/* HTTP/1.1 requests to backend servers over kept connections, on a tevent loop.
+/* HTTP/1.1 client for backend servers on a tevent loop, with persistent connections.
  *
- * Each call is sent once, on one connection, and never again by itself: libcurl sends a request
- * anew when a kept connection turns out closed, and the first one may have run. Bytes after a whole
- * answer end the connection; an answer that bears another request's id is dropped. */
+ * Each call is sent once, on one connection, and is never retried here. (libcurl resends a request
+ * when a reused connection turns out to be closed, although the first one may have run.) Bytes
+ * after a complete response close the connection; a response with another request's id is
+ * discarded. */
 #pragma once
 
 #include <buckthornhead/http_message.h>
@@ -16,34 +17,35 @@
 struct HttpCallRequest
 {
   const char *address; /* IP:port */
-  /* Request line and headers with their last empty line; lengths are the caller's matter. */
+  /* Request line and headers, including the final empty line; must contain the body's length. */
   const char *head;
   const uint8_t *body;
   size_t body_bytes;
-  /* Answers with another value in this header belong to another request; NULL: not checked. */
+  /* Responses with another value in this header belong to another request; NULL: not checked. */
   const char *id_header;
   const char *id;
   uint32_t connect_timeout_ms;
-  uint32_t connections_max; /* to this address; 0: as in the client's options */
+  uint32_t connections_max; /* limit for this address; 0: the limit of the client's options */
 };
 
 struct HttpAnswerHead
 {
   uint32_t status;
   struct HttpHeaders headers;
-  bool has_length; /* false: the answer ends with its connection, so it may be cut unseen */
+  bool
+      has_length; /* false: the end of the connection delimits the body; truncation can go unseen */
 };
 
 enum HttpEnd
 {
-  HTTP_END_WHOLE,     /* the answer is complete */
-  HTTP_END_NOT_SENT,  /* no byte of the request left: it certainly did not run */
-  HTTP_END_BROKEN,    /* the connection ended after some of it left: may have run */
-  HTTP_END_MALFORMED, /* what came is no answer: may have run */
+  HTTP_END_WHOLE,     /* the response is complete */
+  HTTP_END_NOT_SENT,  /* nothing was sent: the request did not run */
+  HTTP_END_BROKEN,    /* the connection failed after part of the request was sent: may have run */
+  HTTP_END_MALFORMED, /* the response cannot be parsed: may have run */
 };
 
-/* All are called from the loop, and not after talloc_free of the call; end is called once and the
- * call is freed after it. Inside head and body the call may be freed. */
+/* Callbacks, called from the event loop and never after the call is freed with talloc_free. end is
+ * called once, after which the call is freed. head and body may free the call. */
 struct HttpCallHandler
 {
   void (*head) (void *data, const struct HttpAnswerHead *head);
@@ -54,10 +56,10 @@
 
 struct HttpClientOptions
 {
-  /* Open connections to one address, busy and idle: its limit is for all callers together. */
+  /* Limit on open connections to one address, busy and idle, shared by all calls. */
   uint32_t per_address_max;
-  /* Idle time after which a connection is not used any more, when its server states none: a server
-   * that closes it just then would leave open whether the request ran. */
+  /* Idle time after which a connection is no longer reused, when the server advertises none: if the
+   * server closes it just as a request is sent, it is unknown whether the request ran. */
   uint32_t idle_max_ms;
 };
 
@@ -67,23 +69,23 @@
                  struct TimerService *timers,
                  const struct HttpClientOptions *options);
 
-/* Starts a call; all of request is copied. NULL when there is no connection to be had at once (too
- * many to this address, or no memory): nothing was sent. Freeing the call closes its connection,
- * which cancels its work at the server. */
+/* Starts a call; the request is copied. Returns NULL, with nothing sent, when no connection can be
+ * started (limit for the address reached, connect failed, or out of memory). Freeing the call
+ * closes its connection, which cancels its work at the server. */
 struct HttpCall *
 http_client_submit (struct HttpClient *client,
                     const struct HttpCallRequest *request,
                     const struct HttpCallHandler *handler);
 
-/* Closes the idle connections to address: another server may have it now. */
+/* Closes the idle connections to an address, which another server may have taken over. */
 void
 http_client_forget (struct HttpClient *client, const char *address);
 
-/* Until when an idle connection to address may be used, on the timer service's clock; 0: there is
- * none. */
+/* Returns the time until which an idle connection to address may be reused, on the timer service's
+ * clock; 0 when there is none. */
 int64_t
 http_client_idle_until_ms (const struct HttpClient *client, const char *address);
 
-/* Connections opened since the start. */
+/* Returns the number of connections opened since the client was created. */
 uint64_t
 http_client_opened (const struct HttpClient *client);
--- a/include/buckthornhead/instances_http.h
+++ b/include/buckthornhead/instances_http.h
@@ -1,4 +1,4 @@
-/* The platform's list of backend servers by GET over HTTP. */
+/* Fetches the platform's list of backend servers with an HTTP GET request. */
 #pragma once
 
 #include <buckthornhead/curl_loop.h>
--- a/include/buckthornhead/net_socket.h
+++ b/include/buckthornhead/net_socket.h
@@ -1,24 +1,24 @@
-/* TCP sockets by IP number, as both HTTP sides and the peer links open them. */
+/* TCP sockets for IP addresses, used by the HTTP client, the HTTP server and the peer links. */
 #pragma once
 
 #include <buckthornhead/error.h>
 
 #include <stdbool.h>
 
-/* A non-blocking listener on "IP:port"; *fd is -1 unless ERROR_NONE. setting names the setting that
- * holds the address, for the remedy. */
+/* Opens a non-blocking listening socket on "IP:port"; *fd is -1 on failure. setting is the name of
+ * the setting of the address, for the error message. */
 int32_t
 net_listen (const char *address, const char *setting, int *fd, struct Fault *fault);
 
-/* Accepts one connection without Nagle's delay; -1 when none waits. */
+/* Accepts one connection, with Nagle's algorithm disabled. Returns -1 when none is pending. */
 int
 net_accept (int listen_fd);
 
-/* Starts to connect; -1 when that fails at once. user_timeout_ms bounds how long sent bytes may
- * stay unacknowledged: a machine behind a partition answers nothing, ever. */
+/* Starts a non-blocking connect; returns -1 when it fails at once. user_timeout_ms limits how long
+ * sent data may stay unacknowledged: a peer behind a network partition never responds. */
 int
 net_dial (const char *address, uint32_t user_timeout_ms);
 
-/* 0 once a dialled socket is connected, else its errno. */
+/* Returns 0 when the socket of net_dial is connected, otherwise its errno value. */
 int
 net_dial_error (int fd);
