--- a/adapters/http_request_reader.c
+++ b/adapters/http_request_reader.c
@@ -4,25 +4,26 @@
 
 #include <string.h>
 
-/* From this callback 1 and 2 mean "no body follows": the body that does would be taken for the next
- * request. */
+/* Return value of the headers callback that stops the parser. 1 and 2 mean "no body follows" there,
+ * and the body would be parsed as the next request. */
 enum
 {
-  HEADERS_STOP = -1
+  HEADERS_ERROR = -1
 };
 
-/* Parser callbacks: a non-zero return stops the parser, .refusal then says with which status. */
+/* Parser callbacks: a non-zero return value stops the parser; .error_status holds the status to
+ * reject the request with. */
 
 static int
-parser_refuse (struct HttpRequestReader *r, uint32_t status)
+parser_reject (struct HttpRequestReader *r, uint32_t status)
 {
-  if (r->refusal == 0)
-    r->refusal = status;
+  if (r->error_status == 0)
+    r->error_status = status;
   return 1;
 }
 
 static bool
-head_fits (struct HttpRequestReader *r, size_t n_bytes)
+head_within_limit (struct HttpRequestReader *r, size_t n_bytes)
 {
   r->head_bytes += n_bytes;
   return r->head_bytes <= r->limits.header_max_bytes;
@@ -34,11 +35,11 @@
   struct HttpRequestReader *r = parser->data;
   char *grown;
 
-  if (!head_fits (r, n_bytes))
-    return parser_refuse (r, 431);
+  if (!head_within_limit (r, n_bytes))
+    return parser_reject (r, 431);
   grown = talloc_realloc (r->ctx, r->target, char, r->target_bytes + n_bytes + 1);
   if (grown == NULL)
-    return parser_refuse (r, 503);
+    return parser_reject (r, 503);
   r->target = grown;
   memcpy (r->target + r->target_bytes, bytes, n_bytes);
   r->target_bytes += n_bytes;
@@ -49,16 +50,16 @@
 static int
 parser_on_head (struct HttpRequestReader *r, bool is_value, const char *bytes, size_t n_bytes)
 {
-  if (!head_fits (r, n_bytes))
-    return parser_refuse (r, 431);
+  if (!head_within_limit (r, n_bytes))
+    return parser_reject (r, 431);
   switch (http_head_text_add (r->ctx, &r->head, is_value, bytes, n_bytes))
     {
     case ERROR_NONE:
       return 0;
     case ERROR_NO_MEMORY:
-      return parser_refuse (r, 503);
+      return parser_reject (r, 503);
     default:
-      return parser_refuse (r, 400);
+      return parser_reject (r, 400);
     }
 }
 
@@ -67,7 +68,7 @@
 {
   struct HttpRequestReader *r = parser->data;
 
-  /* Trailers say nothing that is forwarded. */
+  /* Trailers are not forwarded. */
   return r->headers_done ? 0 : parser_on_head (r, false, bytes, n_bytes);
 }
 
@@ -88,8 +89,8 @@
   r->headers_done = true;
   if ((parser->flags & F_CONTENTLENGTH) && length > r->limits.body_max_bytes)
     {
-      parser_refuse (r, 413);
-      return HEADERS_STOP;
+      parser_reject (r, 413);
+      return HEADERS_ERROR;
     }
   return 0;
 }
@@ -98,19 +99,19 @@
 parser_on_body (http_parser *parser, const char *bytes, size_t n_bytes)
 {
   struct HttpRequestReader *r = parser->data;
-  size_t room = r->body != NULL ? talloc_get_size (r->body) : 0;
+  size_t capacity = r->body != NULL ? talloc_get_size (r->body) : 0;
   uint8_t *grown;
 
   if (r->body_bytes + n_bytes > r->limits.body_max_bytes)
-    return parser_refuse (r, 413);
-  if (r->body == NULL || r->body_bytes + n_bytes > room)
+    return parser_reject (r, 413);
+  if (r->body == NULL || r->body_bytes + n_bytes > capacity)
     {
-      room = (parser->flags & F_CONTENTLENGTH)
-                 ? r->body_bytes + n_bytes + (size_t)parser->content_length
-                 : 2 * (r->body_bytes + n_bytes);
-      grown = talloc_realloc (r->ctx, r->body, uint8_t, room);
+      capacity = (parser->flags & F_CONTENTLENGTH)
+                     ? r->body_bytes + n_bytes + (size_t)parser->content_length
+                     : 2 * (r->body_bytes + n_bytes);
+      grown = talloc_realloc (r->ctx, r->body, uint8_t, capacity);
       if (grown == NULL)
-        return parser_refuse (r, 503);
+        return parser_reject (r, 503);
       r->body = grown;
     }
   memcpy (r->body + r->body_bytes, bytes, n_bytes);
@@ -123,7 +124,7 @@
 {
   struct HttpRequestReader *r = parser->data;
 
-  r->whole = true;
+  r->complete = true;
   http_parser_pause (parser, 1);
   return 0;
 }
@@ -154,15 +155,15 @@
 }
 
 size_t
-http_request_reader_take (struct HttpRequestReader *reader, const uint8_t *bytes, size_t n_bytes)
+http_request_reader_parse (struct HttpRequestReader *reader, const uint8_t *bytes, size_t n_bytes)
 {
   return http_parser_execute (&reader->parser, &parser_settings, (const char *)bytes, n_bytes);
 }
 
 uint32_t
-http_request_reader_refusal (const struct HttpRequestReader *reader)
+http_request_reader_error_status (const struct HttpRequestReader *reader)
 {
-  if (reader->refusal != 0)
-    return reader->refusal;
+  if (reader->error_status != 0)
+    return reader->error_status;
   return HTTP_PARSER_ERRNO (&reader->parser) == HPE_HEADER_OVERFLOW ? 431 : 400;
 }
--- a/adapters/http_request_reader.h
+++ b/adapters/http_request_reader.h
@@ -1,5 +1,4 @@
-/* Reads one request of an HTTP listener from its bytes, within the limits on what a caller may
- * send. */
+/* Incremental parser for one HTTP request of a listener; enforces the size limits. */
 #pragma once
 
 #include <buckthornhead/http_server.h>
@@ -8,7 +7,7 @@
 
 struct HttpRequestReader
 {
-  TALLOC_CTX *ctx; /* owns the texts */
+  TALLOC_CTX *ctx; /* talloc parent of the buffers */
   struct HttpLimits limits;
   http_parser parser;
   struct HttpHeadText head;
@@ -16,22 +15,23 @@
   size_t target_bytes;
   uint8_t *body;
   size_t body_bytes, head_bytes;
-  uint32_t refusal; /* status for a request that can not be taken, 0: none */
-  bool headers_done, whole;
+  uint32_t error_status; /* status to reject the request with, 0: none */
+  bool headers_done, complete;
 };
 
-/* Ready for a request; what was read before is freed, unless its pointers were taken and cleared.
- */
+/* Prepares for a new request. Frees the previous one, except for buffers whose pointers the caller
+ * has taken over and cleared. */
 void
 http_request_reader_reset (TALLOC_CTX *ctx,
                            struct HttpRequestReader *reader,
                            const struct HttpLimits *limits);
 
-/* Takes bytes up to the end of the request, and returns how many. Afterwards .whole says whether it
- * is there; the parser's errno other than HPE_OK and HPE_PAUSED, that it can not be taken. */
+/* Consumes bytes up to the end of the request and returns their number. Afterwards .complete is set
+ * if the request is complete; a parser errno other than HPE_OK and HPE_PAUSED means that it must be
+ * rejected. */
 size_t
-http_request_reader_take (struct HttpRequestReader *reader, const uint8_t *bytes, size_t n_bytes);
+http_request_reader_parse (struct HttpRequestReader *reader, const uint8_t *bytes, size_t n_bytes);
 
-/* The status for a request that can not be taken. */
+/* Returns the status to reject the request with. */
 uint32_t
-http_request_reader_refusal (const struct HttpRequestReader *reader);
+http_request_reader_error_status (const struct HttpRequestReader *reader);
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -17,42 +17,44 @@
 enum
 {
   READ_BYTES = 64 * 1024,
-  /* Read ahead of a request that is worked on; beyond it the caller's bytes stay in the kernel. */
-  AHEAD_MAX_BYTES = 64 * 1024,
-  /* A caller that does not read its answer must not take the process's memory. */
+  /* Limit on data read ahead while a request is handled; the rest stays in the socket buffer. */
+  INPUT_MAX_BYTES = 64 * 1024,
+  /* Bounds the memory that a caller which does not read its response can use. */
   OUTPUT_MAX_BYTES = 4 * 1024 * 1024,
-  SWEEP_MS = 200,   /* how exact header, idle and linger times are */
-  LINGER_MS = 1000, /* reading on after a refusal, lest a reset overtake the answer */
-  ACCEPTS_PER_WAKE = 64
+  SWEEP_MS = 200, /* resolution of the header, idle and linger timeouts */
+  /* Time to keep reading after the last response: closing with unread data resets the connection,
+   * and the reset can overtake the response. */
+  LINGER_MS = 1000,
+  ACCEPTS_PER_EVENT = 64
 };
 
 enum ConnectionState
 {
-  CONNECTION_IDLE,    /* between requests */
-  CONNECTION_READING, /* part of a request has come */
-  CONNECTION_WORKING, /* a request is with the handler */
-  CONNECTION_LINGERING
+  CONNECTION_IDLE,     /* between requests */
+  CONNECTION_READING,  /* part of a request was received */
+  CONNECTION_BUSY,     /* the handler is processing a request */
+  CONNECTION_LINGERING /* reads and discards data before closing */
 };
 
 struct Connection
 {
-  struct Connection *next, **at;
+  struct Connection *next, **previous_next;
   struct HttpServer *server;
   int fd;
   struct tevent_fd *watch;
   struct tevent_immediate *resume;
   enum ConnectionState state;
-  int64_t since_ms; /* of the state */
+  int64_t state_since_ms; /* when the state was entered */
   struct HttpRequestReader reader;
   bool close_after;
-  struct ByteQueue ahead, output;
-  struct OpenExchange *exchange;
+  struct ByteQueue input, output;
+  struct ServerExchange *exchange;
 };
 
-/* The server's side of an exchange. */
-struct OpenExchange
+/* The server's private data of an exchange. */
+struct ServerExchange
 {
-  struct HttpExchange open; /* first: the handler's pointer */
+  struct HttpExchange public; /* must be the first member; passed to the handler */
   struct Connection *connection;
   bool begun, chunked;
 };
@@ -73,28 +75,28 @@
 static void
 connection_advance (struct Connection *c);
 
-static struct OpenExchange *
-open_exchange (struct HttpExchange *exchange)
+static struct ServerExchange *
+server_exchange (struct HttpExchange *exchange)
 {
-  return (struct OpenExchange *)exchange;
+  return (struct ServerExchange *)exchange;
 }
 
 static int
 connection_free (struct Connection *c)
 {
-  struct OpenExchange *x = c->exchange;
+  struct ServerExchange *x = c->exchange;
 
-  *c->at = c->next;
+  *c->previous_next = c->next;
   if (c->next != NULL)
-    c->next->at = c->at;
+    c->next->previous_next = c->previous_next;
   c->server->n_connections--;
   if (x != NULL)
     {
       c->exchange = NULL;
       x->connection = NULL;
       c->server->n_in_flight--;
-      if (x->open.gone != NULL)
-        x->open.gone (&x->open);
+      if (x->public.gone != NULL)
+        x->public.gone (&x->public);
     }
   TALLOC_FREE (c->watch);
   close (c->fd);
@@ -102,11 +104,11 @@
 }
 
 static void
-connection_watch (struct Connection *c)
+connection_update_watch (struct Connection *c)
 {
   uint16_t flags = 0;
 
-  if (c->state != CONNECTION_WORKING || byte_queue_length (&c->ahead) < AHEAD_MAX_BYTES)
+  if (c->state != CONNECTION_BUSY || byte_queue_length (&c->input) < INPUT_MAX_BYTES)
     flags |= TEVENT_FD_READ;
   if (byte_queue_length (&c->output) > 0)
     flags |= TEVENT_FD_WRITE;
@@ -115,36 +117,36 @@
 }
 
 static void
-connection_enter (struct Connection *c, enum ConnectionState state)
+connection_set_state (struct Connection *c, enum ConnectionState state)
 {
   c->state = state;
-  c->since_ms = timer_now_ms (c->server->timers);
+  c->state_since_ms = timer_now_ms (c->server->timers);
 }
 
-/* What is left goes out as the socket takes it. The connection breaks later, from the loop, never
- * under the handler that is writing. */
+/* Sends bytes, queueing what the socket does not accept yet. After an error the connection is shut
+ * down here and freed later from the event loop, never while the handler is writing. */
 static void
-connection_output (struct Connection *c, const void *bytes, size_t n_bytes)
+connection_send (struct Connection *c, const void *bytes, size_t n_bytes)
 {
-  bool sound = byte_queue_add (c, &c->output, bytes, n_bytes) == ERROR_NONE
-               && byte_queue_length (&c->output) <= OUTPUT_MAX_BYTES
-               && byte_queue_send (&c->output, c->fd);
+  bool ok = byte_queue_add (c, &c->output, bytes, n_bytes) == ERROR_NONE
+            && byte_queue_length (&c->output) <= OUTPUT_MAX_BYTES
+            && byte_queue_send (&c->output, c->fd);
 
-  if (!sound)
+  if (!ok)
     {
       shutdown (c->fd, SHUT_RDWR);
       c->close_after = true;
     }
-  connection_watch (c);
+  connection_update_watch (c);
 }
 
-/* Answers. */
+/* Responses. */
 
 static void
-answer_head (struct Connection *c,
-             uint32_t status,
-             const struct HttpHeaders *headers,
-             const char *framing)
+connection_send_head (struct Connection *c,
+                      uint32_t status,
+                      const struct HttpHeaders *headers,
+                      const char *framing)
 {
   char *head = talloc_asprintf (c, "HTTP/1.1 %u %s\r\n", status, http_reason (status));
 
@@ -159,27 +161,27 @@
       shutdown (c->fd, SHUT_RDWR);
       return;
     }
-  connection_output (c, head, strlen (head));
+  connection_send (c, head, strlen (head));
   talloc_free (head);
 }
 
-/* A request that is not taken: the rest of it is read and dropped for a moment, since closing over
- * unread bytes resets the connection, and a reset can overtake the answer. */
+/* Rejects a request. The rest of it is read and discarded for LINGER_MS: closing with unread data
+ * resets the connection, and the reset can overtake the response. */
 static void
-connection_refuse (struct Connection *c, uint32_t status)
+connection_reject (struct Connection *c, uint32_t status)
 {
   c->close_after = true;
-  answer_head (c, status, NULL,
-               status == 503 ? "Retry-After: 0.5\r\nContent-Length: 0\r\n"
-                             : "Content-Length: 0\r\n");
-  connection_enter (c, CONNECTION_LINGERING);
+  connection_send_head (c, status, NULL,
+                        status == 503 ? "Retry-After: 0.5\r\nContent-Length: 0\r\n"
+                                      : "Content-Length: 0\r\n");
+  connection_set_state (c, CONNECTION_LINGERING);
   if (byte_queue_length (&c->output) == 0)
     shutdown (c->fd, SHUT_WR);
-  connection_watch (c);
+  connection_update_watch (c);
 }
 
 static bool
-request_is_proper (const struct HttpHeaders *headers)
+request_headers_are_valid (const struct HttpHeaders *headers)
 {
   return http_headers_count (headers, "Host") == 1
          && http_headers_count (headers, "Content-Length") <= 1
@@ -188,46 +190,46 @@
              || http_headers_get (headers, "Transfer-Encoding") == NULL);
 }
 
-/* Hands a whole request to the handler. */
+/* Passes a complete request to the handler. */
 static void
 connection_dispatch (struct Connection *c)
 {
   struct HttpServer *server = c->server;
-  struct OpenExchange *x = talloc_zero (c, struct OpenExchange);
+  struct ServerExchange *x = talloc_zero (c, struct ServerExchange);
 
-  if (x == NULL || http_head_text_finish (x, &c->reader.head, &x->open.headers) != ERROR_NONE)
+  if (x == NULL || http_head_text_finish (x, &c->reader.head, &x->public.headers) != ERROR_NONE)
     {
-      connection_refuse (c, 503);
+      connection_reject (c, 503);
       return;
     }
   talloc_steal (x, c->reader.head.text);
   talloc_steal (x, c->reader.target);
   talloc_steal (x, c->reader.body);
   x->connection = c;
-  x->open.method = http_method_str ((enum http_method)c->reader.parser.method);
-  x->open.target = c->reader.target;
-  x->open.body = c->reader.body;
-  x->open.body_bytes = c->reader.body_bytes;
-  x->open.arrived_ms = timer_now_ms (server->timers);
+  x->public.method = http_method_str ((enum http_method)c->reader.parser.method);
+  x->public.target = c->reader.target;
+  x->public.body = c->reader.body;
+  x->public.body_bytes = c->reader.body_bytes;
+  x->public.arrived_ms = timer_now_ms (server->timers);
   c->close_after =
       c->close_after || server->draining || http_should_keep_alive (&c->reader.parser) == 0;
   x->chunked = c->reader.parser.http_major == 1 && c->reader.parser.http_minor >= 1;
   c->reader.head.text = NULL;
   c->reader.target = NULL;
   c->reader.body = NULL;
-  if (!request_is_proper (&x->open.headers))
+  if (!request_headers_are_valid (&x->public.headers))
     {
       talloc_free (x);
-      connection_refuse (c, 400);
+      connection_reject (c, 400);
       return;
     }
   c->exchange = x;
   server->n_in_flight++;
-  connection_enter (c, CONNECTION_WORKING);
-  server->options.request (server->options.data, &x->open);
+  connection_set_state (c, CONNECTION_BUSY);
+  server->options.request (server->options.data, &x->public);
 }
 
-/* Gives bytes to the parser; returns how many it took. */
+/* Passes bytes to the parser; returns the number of bytes consumed. */
 static size_t
 connection_parse (struct Connection *c, const uint8_t *bytes, size_t n_bytes)
 {
@@ -236,40 +238,40 @@
   if (c->state == CONNECTION_IDLE)
     {
       c->reader.limits = c->server->options.limits;
-      connection_enter (c, CONNECTION_READING);
+      connection_set_state (c, CONNECTION_READING);
     }
-  n = http_request_reader_take (&c->reader, bytes, n_bytes);
-  if (c->reader.whole)
+  n = http_request_reader_parse (&c->reader, bytes, n_bytes);
+  if (c->reader.complete)
     {
       connection_dispatch (c);
       return n;
     }
   if (HTTP_PARSER_ERRNO (&c->reader.parser) != HPE_OK)
     {
-      connection_refuse (c, http_request_reader_refusal (&c->reader));
+      connection_reject (c, http_request_reader_error_status (&c->reader));
       return n_bytes;
     }
   return n;
 }
 
-/* Parses what waits, as long as no request is being worked on. The handler may answer at once, so
- * this loops rather than recurs. */
+/* Parses buffered input until a request is being handled. Loops instead of recursing, because the
+ * handler may respond immediately. */
 static void
 connection_advance (struct Connection *c)
 {
   while ((c->state == CONNECTION_IDLE || c->state == CONNECTION_READING)
-         && byte_queue_length (&c->ahead) > 0)
+         && byte_queue_length (&c->input) > 0)
     {
-      struct ByteQueue taken = c->ahead;
+      struct ByteQueue taken = c->input;
       size_t n;
 
-      memset (&c->ahead, 0, sizeof c->ahead);
+      memset (&c->input, 0, sizeof c->input);
       n = connection_parse (c, byte_queue_head (&taken), byte_queue_length (&taken));
       if (n < byte_queue_length (&taken))
-        byte_queue_add (c, &c->ahead, byte_queue_head (&taken) + n, byte_queue_length (&taken) - n);
+        byte_queue_add (c, &c->input, byte_queue_head (&taken) + n, byte_queue_length (&taken) - n);
       talloc_free (taken.bytes);
     }
-  connection_watch (c);
+  connection_update_watch (c);
 }
 
 static void
@@ -280,9 +282,10 @@
   connection_advance (data);
 }
 
-/* The exchange has its whole answer. What the caller sent ahead is taken up from the loop. */
+/* Ends an exchange whose response is complete or aborted. Pipelined input is parsed later, from the
+ * event loop. */
 static void
-exchange_finish (struct OpenExchange *x)
+exchange_finish (struct ServerExchange *x)
 {
   struct Connection *c = x->connection;
 
@@ -293,16 +296,16 @@
   talloc_free (x);
   if (c->close_after)
     {
-      connection_enter (c, CONNECTION_LINGERING);
+      connection_set_state (c, CONNECTION_LINGERING);
       if (byte_queue_length (&c->output) == 0)
         shutdown (c->fd, SHUT_WR);
-      connection_watch (c);
+      connection_update_watch (c);
       return;
     }
   http_request_reader_reset (c, &c->reader, &c->server->options.limits);
-  connection_enter (c, CONNECTION_IDLE);
-  connection_watch (c);
-  if (byte_queue_length (&c->ahead) > 0)
+  connection_set_state (c, CONNECTION_IDLE);
+  connection_update_watch (c);
+  if (byte_queue_length (&c->input) > 0)
     tevent_schedule_immediate (c->resume, c->server->events, connection_on_resume, c);
 }
 
@@ -313,15 +316,15 @@
                       const void *body,
                       size_t body_bytes)
 {
-  struct OpenExchange *x = open_exchange (exchange);
+  struct ServerExchange *x = server_exchange (exchange);
   char framing[48];
 
   if (x->connection == NULL)
     return;
   snprintf (framing, sizeof framing, "Content-Length: %zu\r\n", body_bytes);
-  answer_head (x->connection, status, headers, framing);
+  connection_send_head (x->connection, status, headers, framing);
   if (body_bytes > 0 && strcmp (exchange->method, "HEAD") != 0)
-    connection_output (x->connection, body, body_bytes);
+    connection_send (x->connection, body, body_bytes);
   exchange_finish (x);
 }
 
@@ -330,20 +333,21 @@
                      uint32_t status,
                      const struct HttpHeaders *headers)
 {
-  struct OpenExchange *x = open_exchange (exchange);
+  struct ServerExchange *x = server_exchange (exchange);
 
   if (x->connection == NULL)
     return;
   x->begun = true;
   if (!x->chunked)
     x->connection->close_after = true;
-  answer_head (x->connection, status, headers, x->chunked ? "Transfer-Encoding: chunked\r\n" : "");
+  connection_send_head (x->connection, status, headers,
+                        x->chunked ? "Transfer-Encoding: chunked\r\n" : "");
 }
 
 void
 http_exchange_write (struct HttpExchange *exchange, const void *bytes, size_t n_bytes)
 {
-  struct OpenExchange *x = open_exchange (exchange);
+  struct ServerExchange *x = server_exchange (exchange);
   struct Connection *c = x->connection;
   char size[24];
   int n;
@@ -352,32 +356,32 @@
     return;
   if (!x->chunked)
     {
-      connection_output (c, bytes, n_bytes);
+      connection_send (c, bytes, n_bytes);
       return;
     }
   n = snprintf (size, sizeof size, "%zx\r\n", n_bytes);
   if (byte_queue_add (c, &c->output, size, (size_t)n) != ERROR_NONE
       || byte_queue_add (c, &c->output, bytes, n_bytes) != ERROR_NONE)
     shutdown (c->fd, SHUT_RDWR);
-  connection_output (c, "\r\n", 2);
+  connection_send (c, "\r\n", 2);
 }
 
 void
 http_exchange_end (struct HttpExchange *exchange)
 {
-  struct OpenExchange *x = open_exchange (exchange);
+  struct ServerExchange *x = server_exchange (exchange);
 
   if (x->connection == NULL)
     return;
   if (x->chunked)
-    connection_output (x->connection, "0\r\n\r\n", 5);
+    connection_send (x->connection, "0\r\n\r\n", 5);
   exchange_finish (x);
 }
 
 void
 http_exchange_abort (struct HttpExchange *exchange)
 {
-  struct OpenExchange *x = open_exchange (exchange);
+  struct ServerExchange *x = server_exchange (exchange);
   struct Connection *c = x->connection;
 
   if (c == NULL)
@@ -385,7 +389,7 @@
   c->close_after = true;
   if (!x->chunked)
     {
-      /* Here the end of the connection ends the answer: only a reset shows that it is cut. */
+      /* The end of the connection delimits the response: only a reset reveals the truncation. */
       struct linger now = { .l_onoff = 1, .l_linger = 0 };
 
       setsockopt (c->fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -396,7 +400,7 @@
 void
 http_exchange_caller (const struct HttpExchange *exchange, char address[HTTP_CALLER_BYTES])
 {
-  const struct OpenExchange *x = (const struct OpenExchange *)exchange;
+  const struct ServerExchange *x = (const struct ServerExchange *)exchange;
   struct sockaddr_in peer = { 0 };
   socklen_t n_bytes = sizeof peer;
 
@@ -409,12 +413,12 @@
 bool
 http_exchange_has_begun (const struct HttpExchange *exchange)
 {
-  return ((const struct OpenExchange *)exchange)->begun;
+  return ((const struct ServerExchange *)exchange)->begun;
 }
 
 /* Events. */
 
-/* Reads once. False when the connection has ended. */
+/* Reads once; returns false when the connection has closed or failed. */
 static bool
 connection_read (struct Connection *c)
 {
@@ -428,9 +432,9 @@
     return false;
   if (c->state == CONNECTION_LINGERING)
     return true;
-  if (c->state != CONNECTION_WORKING && byte_queue_length (&c->ahead) == 0)
+  if (c->state != CONNECTION_BUSY && byte_queue_length (&c->input) == 0)
     taken = connection_parse (c, server->scratch, (size_t)n);
-  if (byte_queue_add (c, &c->ahead, server->scratch + taken, (size_t)n - taken) != ERROR_NONE)
+  if (byte_queue_add (c, &c->input, server->scratch + taken, (size_t)n - taken) != ERROR_NONE)
     return false;
   connection_advance (c);
   return true;
@@ -463,10 +467,10 @@
 }
 
 static bool
-connection_is_overdue (const struct Connection *c, int64_t now_ms)
+connection_has_timed_out (const struct Connection *c, int64_t now_ms)
 {
   const struct HttpLimits *limits = &c->server->options.limits;
-  int64_t age_ms = now_ms - c->since_ms;
+  int64_t age_ms = now_ms - c->state_since_ms;
 
   switch (c->state)
     {
@@ -477,7 +481,7 @@
                                      : age_ms > limits->header_timeout_ms + limits->idle_timeout_ms;
     case CONNECTION_LINGERING:
       return age_ms > LINGER_MS && byte_queue_length (&c->output) == 0;
-    case CONNECTION_WORKING:
+    case CONNECTION_BUSY:
       return false;
     }
   return false;
@@ -493,10 +497,10 @@
   for (struct Connection *c = server->connections; c != NULL; c = next)
     {
       next = c->next;
-      if (!connection_is_overdue (c, now_ms))
+      if (!connection_has_timed_out (c, now_ms))
         continue;
       if (c->state == CONNECTION_READING)
-        connection_refuse (c, 408);
+        connection_reject (c, 408);
       else
         talloc_free (c);
     }
@@ -515,14 +519,14 @@
   c->server = server;
   c->fd = fd;
   c->next = server->connections;
-  c->at = &server->connections;
+  c->previous_next = &server->connections;
   if (c->next != NULL)
-    c->next->at = &c->next;
+    c->next->previous_next = &c->next;
   server->connections = c;
   server->n_connections++;
   talloc_set_destructor (c, connection_free);
   http_request_reader_reset (c, &c->reader, &c->server->options.limits);
-  connection_enter (c, CONNECTION_IDLE);
+  connection_set_state (c, CONNECTION_IDLE);
   c->watch = tevent_add_fd (server->events, c, fd, TEVENT_FD_READ, connection_on_event, c);
   c->resume = tevent_create_immediate (c);
   if (c->watch == NULL || c->resume == NULL)
@@ -540,7 +544,7 @@
   (void)events;
   (void)watch;
   (void)flags;
-  for (int i = 0; i < ACCEPTS_PER_WAKE; i++)
+  for (int i = 0; i < ACCEPTS_PER_EVENT; i++)
     {
       int fd = net_accept (server->listen_fd);
 
--- a/include/buckthornhead/http_server.h
+++ b/include/buckthornhead/http_server.h
@@ -1,8 +1,9 @@
-/* HTTP/1.1 listener on a tevent loop: whole requests in, answers or streams out.
+/* HTTP/1.1 server on a tevent loop: reads complete requests, and sends complete or streamed
+ * responses.
  *
- * A connection serves one request at a time, in order; what a caller sends ahead waits. While a
- * request is worked on the connection stays watched, so that a caller who leaves is seen at once:
- * libmicrohttpd, which the product's own listener uses, does not watch a suspended connection. */
+ * A connection serves one request at a time, in order; pipelined requests wait. The connection is
+ * watched while a request is being handled, so that a disconnect of the caller is noticed at once;
+ * libmicrohttpd, which caller_http uses, does not watch a suspended connection. */
 #pragma once
 
 #include <buckthornhead/http_message.h>
@@ -14,21 +15,21 @@
 
 struct HttpServer;
 
-/* Bounds on what a caller may send. */
+/* Limits on a caller's requests and connections. */
 struct HttpLimits
 {
   uint32_t header_max_bytes;
   uint32_t body_max_bytes;
   uint32_t header_timeout_ms; /* from a request's first byte to the end of its headers */
-  uint32_t idle_timeout_ms;   /* of a kept connection between two requests */
+  uint32_t idle_timeout_ms;   /* between two requests on a persistent connection */
 };
 
 enum
 {
-  HTTP_CALLER_BYTES = 16 /* of an IP address as text */
+  HTTP_CALLER_BYTES = 16 /* size of an IPv4 address as text, with its null byte */
 };
 
-/* One request and its answer. It is freed with its connection, or when its answer has ended. */
+/* One request and its response. Freed with its connection, or when the response has ended. */
 struct HttpExchange
 {
   const char *method;
@@ -36,9 +37,9 @@
   struct HttpHeaders headers;
   const uint8_t *body;
   size_t body_bytes;
-  int64_t arrived_ms; /* when it was read whole, on the timer service's clock */
-  /* The handler's own; gone is called once when the caller has left before the end of the answer,
-   * and the exchange is freed after it. */
+  int64_t arrived_ms; /* when the request was complete, on the timer service's clock */
+  /* Set by the handler. gone is called once if the caller disconnects before the response has
+   * ended; the exchange is freed after it. */
   void *handler_data;
   void (*gone) (struct HttpExchange *exchange);
 };
@@ -46,14 +47,14 @@
 struct HttpServerOptions
 {
   const char *listen;
-  const char *setting; /* that holds the address */
+  const char *setting; /* name of the setting of the address, for error messages */
   struct HttpLimits limits;
   uint32_t connections_max;
   void (*request) (void *data, struct HttpExchange *exchange);
   void *data;
 };
 
-/* Opens the listener. ERROR_IO or ERROR_INVALID with fault. */
+/* Opens the listener. On failure returns ERROR_IO, ERROR_INVALID or ERROR_NO_MEMORY, with fault. */
 int32_t
 http_server_new (TALLOC_CTX *ctx,
                  struct tevent_context *events,
@@ -62,23 +63,23 @@
                  struct HttpServer **server,
                  struct Fault *fault);
 
-/* From the next request on. */
+/* Sets the limits for further requests. */
 void
 http_server_set_limits (struct HttpServer *server, const struct HttpLimits *limits);
 
-/* From now on each answer closes its connection, and idle connections close. */
+/* Starts draining: each further response closes its connection, and idle connections are closed. */
 void
 http_server_drain (struct HttpServer *server);
 
-/* Closes the listener: what connects now is refused. */
+/* Closes the listening socket: new connections are refused. */
 void
 http_server_stop_listening (struct HttpServer *server);
 
-/* Exchanges whose answer has not ended. */
+/* Returns the number of exchanges whose response has not ended. */
 uint32_t
 http_server_in_flight (const struct HttpServer *server);
 
-/* A whole answer; Content-Length is added. Frees exchange. */
+/* Sends a complete response, adding Content-Length. Frees exchange. */
 void
 http_exchange_answer (struct HttpExchange *exchange,
                       uint32_t status,
@@ -86,7 +87,7 @@
                       const void *body,
                       size_t body_bytes);
 
-/* An answer in pieces: begin, any number of writes, then end, which frees exchange. */
+/* Send a response in pieces: begin, any number of writes, then end, which frees exchange. */
 void
 http_exchange_begin (struct HttpExchange *exchange,
                      uint32_t status,
@@ -96,12 +97,12 @@
 void
 http_exchange_end (struct HttpExchange *exchange);
 
-/* Ends a begun answer so that it can not look complete: closes the connection without the last
- * chunk. Frees exchange. */
+/* Ends a response that has begun so that it is recognized as truncated: closes the connection
+ * without the last chunk. Frees exchange. */
 void
 http_exchange_abort (struct HttpExchange *exchange);
 
-/* The caller's IP address; "" when the system does not say. */
+/* Copies the caller's IPv4 address as text; "" when it is unavailable. */
 void
 http_exchange_caller (const struct HttpExchange *exchange, char address[HTTP_CALLER_BYTES]);
 
