--- a/tests/test_backend_http.c
+++ b/tests/test_backend_http.c
@@ -13,22 +13,22 @@
 
 enum
 {
-  GUARD_S = 30, /* a loop that takes longer fails the test */
+  GUARD_S = 30, /* a wait that takes longer fails the test */
   SLICE_BYTES = 3,
   POLL_US = 1000
 };
 
 enum FakeMode
 {
-  FAKE_ANSWER,          /* the text, at once */
-  FAKE_STREAM,          /* the text, in slices */
-  FAKE_STREAM_ENDLESS,  /* the text, then waits for the client to go */
-  FAKE_STREAM_BROKEN,   /* the text, then the connection closes in mid-stream */
-  FAKE_CLOSE_AFTER_RUN, /* no answer */
-  FAKE_HANG             /* no answer until the test ends */
+  FAKE_RESPOND,         /* sends the text at once */
+  FAKE_STREAM,          /* sends the text in slices */
+  FAKE_STREAM_ENDLESS,  /* sends the text, then waits for the disconnect */
+  FAKE_STREAM_BROKEN,   /* sends the text, then closes the connection midway */
+  FAKE_CLOSE_AFTER_RUN, /* closes the connection without a response */
+  FAKE_HANG             /* no response until the test ends */
 };
 
-/* A backend server inside the test; a thread of microhttpd's serves each connection. */
+/* A backend server inside the test; libmicrohttpd serves each connection on its own thread. */
 struct Fake
 {
   struct MHD_Daemon *daemon;
@@ -71,14 +71,14 @@
 }
 
 static enum MHD_Result
-fake_answer (struct Fake *fake, struct MHD_Connection *connection)
+fake_respond (struct Fake *fake, struct MHD_Connection *connection)
 {
   const char *text = fake->text;
   struct FakeStream *stream;
   struct MHD_Response *response;
   enum MHD_Result result;
 
-  if (fake->mode == FAKE_ANSWER)
+  if (fake->mode == FAKE_RESPOND)
     response = MHD_create_response_from_buffer (strlen (text), (void *)text, MHD_RESPMEM_MUST_COPY);
   else
     {
@@ -142,10 +142,11 @@
     usleep (POLL_US);
   if (fake->mode == FAKE_CLOSE_AFTER_RUN || fake->mode == FAKE_HANG)
     return MHD_NO;
-  return fake_answer (fake, connection);
+  return fake_respond (fake, connection);
 }
 
-/* The daemon's threads end before the test reads what they wrote, or an answer came first. */
+/* Starts the server. The test may read the fields that its threads write only after a response or
+ * after fake_stop, which joins the threads. */
 static void
 fake_start (struct Fake *fake, enum FakeMode mode, const char *text)
 {
@@ -171,8 +172,8 @@
   MHD_stop_daemon (fake->daemon);
 }
 
-/* What a caller of the port saw. */
-struct Seen
+/* A client of the port and the events that it received. */
+struct Client
 {
   struct tevent_context *events;
   struct BackendPort *port;
@@ -185,33 +186,33 @@
 };
 
 static void
-seen_on_event (void *data, const struct BackendEvent *event)
+client_on_event (void *data, const struct BackendEvent *event)
 {
-  struct Seen *seen = data;
+  struct Client *client = data;
   size_t n;
 
   if (event->kind == BACKEND_EVENT_END)
     {
-      seen->end = *event;
-      seen->n_ends++;
+      client->end = *event;
+      client->n_ends++;
       return;
     }
-  CU_ASSERT_EQUAL (seen->n_ends, 0);
-  seen->chunk_status = event->chunk.status;
+  CU_ASSERT_EQUAL (client->n_ends, 0);
+  client->chunk_status = event->chunk.status;
   n = event->chunk.n_bytes;
-  if (n > sizeof seen->body - 1 - seen->body_bytes)
-    n = sizeof seen->body - 1 - seen->body_bytes;
-  memcpy (seen->body + seen->body_bytes, event->chunk.bytes, n);
-  seen->body_bytes += n;
-  if (seen->cancel_on_chunk)
-    seen->port->cancel (seen->port, seen->ticket);
+  if (n > sizeof client->body - 1 - client->body_bytes)
+    n = sizeof client->body - 1 - client->body_bytes;
+  memcpy (client->body + client->body_bytes, event->chunk.bytes, n);
+  client->body_bytes += n;
+  if (client->cancel_on_chunk)
+    client->port->cancel (client->port, client->ticket);
 }
 
 static void
-seen_on_guard (struct tevent_context *events,
-               struct tevent_timer *timer,
-               struct timeval now,
-               void *data)
+client_on_guard (struct tevent_context *events,
+                 struct tevent_timer *timer,
+                 struct timeval now,
+                 void *data)
 {
   bool *expired = data;
 
@@ -222,38 +223,39 @@
 }
 
 static void
-seen_wait (struct Seen *seen)
+client_wait (struct Client *client)
 {
   bool expired = false;
-  struct tevent_timer *guard = tevent_add_timer (
-      seen->events, seen->events, tevent_timeval_current_ofs (GUARD_S, 0), seen_on_guard, &expired);
+  struct tevent_timer *guard =
+      tevent_add_timer (client->events, client->events, tevent_timeval_current_ofs (GUARD_S, 0),
+                        client_on_guard, &expired);
 
-  while (seen->n_ends == 0 && !expired)
-    tevent_loop_once (seen->events);
+  while (client->n_ends == 0 && !expired)
+    tevent_loop_once (client->events);
   CU_ASSERT_FALSE (expired);
   talloc_free (guard);
 }
 
-/* Lets all that is due now happen. */
+/* Runs the event loop for 10 ms, so that pending events are handled. */
 static void
-seen_turn_loop (struct Seen *seen)
+client_run_loop (struct Client *client)
 {
   bool expired = false;
 
-  tevent_add_timer (seen->events, seen->events, tevent_timeval_current_ofs (0, 10000),
-                    seen_on_guard, &expired);
+  tevent_add_timer (client->events, client->events, tevent_timeval_current_ofs (0, 10000),
+                    client_on_guard, &expired);
   while (!expired)
-    tevent_loop_once (seen->events);
+    tevent_loop_once (client->events);
 }
 
-static struct Seen *
-seen_new (void)
+static struct Client *
+client_new (void)
 {
-  struct Seen *seen = talloc_zero (NULL, struct Seen);
+  struct Client *client = talloc_zero (NULL, struct Client);
 
-  seen->events = tevent_context_init (seen);
-  seen->port = backend_http_new (seen, curl_loop_new (seen, seen->events));
-  return seen;
+  client->events = tevent_context_init (client);
+  client->port = backend_http_new (client, curl_loop_new (client, client->events));
+  return client;
 }
 
 static const char chat_body[] = "{\"model\":\"m\",\"messages\":[]}";
@@ -285,20 +287,21 @@
 }
 
 static void
-seen_submit (struct Seen *seen, const struct BackendRequest *request)
+client_submit (struct Client *client, const struct BackendRequest *request)
 {
-  seen->n_ends = 0;
-  seen->body_bytes = 0;
+  client->n_ends = 0;
+  client->body_bytes = 0;
   CU_ASSERT_EQUAL_FATAL (
-      seen->port->submit (seen->port, request, seen_on_event, seen, &seen->ticket), ERROR_NONE);
+      client->port->submit (client->port, request, client_on_event, client, &client->ticket),
+      ERROR_NONE);
 }
 
 static void
-seen_run (struct Seen *seen, const struct BackendRequest *request)
+client_call (struct Client *client, const struct BackendRequest *request)
 {
-  seen_submit (seen, request);
-  seen_wait (seen);
-  seen->body[seen->body_bytes] = '\0';
+  client_submit (client, request);
+  client_wait (client);
+  client->body[client->body_bytes] = '\0';
 }
 
 #define USAGE                                                                                      \
@@ -306,45 +309,45 @@
   "\"prompt_tokens_details\":{\"cached_tokens\":16}}"
 
 static void
-assert_usage (const struct Seen *seen)
+assert_usage (const struct Client *client)
 {
-  CU_ASSERT_EQUAL (seen->end.end.prompt_tokens, 31);
-  CU_ASSERT_EQUAL (seen->end.end.generated_tokens, 9);
-  CU_ASSERT_EQUAL (seen->end.end.cached_tokens, 16);
+  CU_ASSERT_EQUAL (client->end.end.prompt_tokens, 31);
+  CU_ASSERT_EQUAL (client->end.end.generated_tokens, 9);
+  CU_ASSERT_EQUAL (client->end.end.cached_tokens, 16);
 }
 
 static void
-assert_end (const struct Seen *seen, int32_t error, enum RanState ran)
+assert_end (const struct Client *client, int32_t error, enum RanState ran)
 {
-  CU_ASSERT_EQUAL (seen->n_ends, 1);
-  CU_ASSERT_EQUAL (seen->end.end.error, error);
-  CU_ASSERT_EQUAL (seen->end.end.ran, ran);
+  CU_ASSERT_EQUAL (client->n_ends, 1);
+  CU_ASSERT_EQUAL (client->end.end.error, error);
+  CU_ASSERT_EQUAL (client->end.end.ran, ran);
 }
 
 static void
-test_whole_answer (void)
+test_complete_response (void)
 {
   static const char text[] = "{\"choices\":[]," USAGE "}";
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
-  fake_start (&fake, FAKE_ANSWER, text);
+  fake_start (&fake, FAKE_RESPOND, text);
   request = chat_request (fake.address, false);
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_NONE, RAN_YES);
-  assert_usage (seen);
-  CU_ASSERT_STRING_EQUAL (seen->body, text);
-  CU_ASSERT_EQUAL (seen->end.end.status, 200);
+  client_call (client, &request);
+  assert_end (client, ERROR_NONE, RAN_YES);
+  assert_usage (client);
+  CU_ASSERT_STRING_EQUAL (client->body, text);
+  CU_ASSERT_EQUAL (client->end.end.status, 200);
   fake_stop (&fake);
   CU_ASSERT_STRING_EQUAL (fake.path, "/v1/chat/completions");
   CU_ASSERT_STRING_EQUAL (fake.program, "p-1");
   CU_ASSERT_STRING_EQUAL (fake.key, "p-1/main/1");
   CU_ASSERT_STRING_EQUAL (fake.body, chat_body);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
-/* Three bytes a chunk, so every line and every number is split somewhere. */
+/* Chunks of three bytes split every line and every number of the stream. */
 static void
 test_stream_in_slices (void)
 {
@@ -352,83 +355,83 @@
                              ": comment\n\n"
                              "data: {\"choices\":[]," USAGE "}\n\n"
                              "data: [DONE]\n\n";
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
   fake_start (&fake, FAKE_STREAM, text);
   request = chat_request (fake.address, true);
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_NONE, RAN_YES);
-  assert_usage (seen);
-  CU_ASSERT_STRING_EQUAL (seen->body, text);
+  client_call (client, &request);
+  assert_end (client, ERROR_NONE, RAN_YES);
+  assert_usage (client);
+  CU_ASSERT_STRING_EQUAL (client->body, text);
   fake_stop (&fake);
   CU_ASSERT_STRING_EQUAL (fake.body, chat_body);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
 static void
 test_stream_that_reports_an_error (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
   fake_start (&fake, FAKE_STREAM,
               "data: {\"error\":{\"message\":\"out of memory\"}}\n\ndata: [DONE]");
   request = chat_request (fake.address, true);
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_BACKEND, RAN_YES);
+  client_call (client, &request);
+  assert_end (client, ERROR_BACKEND, RAN_YES);
   fake_stop (&fake);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
-/* A cook would read half an answer as the whole one: the server dies in mid-stream, the
- * connection ends in an orderly way, and HTTP sees nothing wrong. */
+/* Guards against treating a truncated response as complete: the server fails midway through a
+ * stream, the connection closes in an orderly way, and HTTP reports no error. */
 static void
-test_stream_without_its_end_is_not_whole (void)
+test_stream_without_its_end_is_not_complete (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
   fake_start (&fake, FAKE_STREAM, "data: {\"choices\":[]," USAGE "}\n\n");
   request = chat_request (fake.address, true);
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_UNKNOWN_EFFECT, RAN_MAYBE);
+  client_call (client, &request);
+  assert_end (client, ERROR_UNKNOWN_EFFECT, RAN_MAYBE);
   fake.mode = FAKE_STREAM_BROKEN;
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_UNKNOWN_EFFECT, RAN_MAYBE);
-  fake.mode = FAKE_ANSWER;
+  client_call (client, &request);
+  assert_end (client, ERROR_UNKNOWN_EFFECT, RAN_MAYBE);
+  fake.mode = FAKE_RESPOND;
   fake.text = "{\"choices\":[{\"mess";
   request = chat_request (fake.address, false);
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_UNKNOWN_EFFECT, RAN_MAYBE);
+  client_call (client, &request);
+  assert_end (client, ERROR_UNKNOWN_EFFECT, RAN_MAYBE);
   fake_stop (&fake);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
 static void
 test_refused_connection_did_not_run (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
-  fake_start (&fake, FAKE_ANSWER, "");
-  fake_stop (&fake); /* nobody listens at its address now */
+  fake_start (&fake, FAKE_RESPOND, "");
+  fake_stop (&fake); /* no process listens at its address now */
   request = service_request (fake.address);
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_UNREACHABLE, RAN_NO);
-  talloc_free (seen);
+  client_call (client, &request);
+  assert_end (client, ERROR_UNREACHABLE, RAN_NO);
+  talloc_free (client);
 }
 
-/* The server's queue of new connections is full: the time for the request is over before the
- * connection stands, and no byte of it has left. */
+/* The server's accept queue is full: the request times out before the connection is established,
+ * and no byte of it is sent. */
 static void
 test_timeout_before_connecting_did_not_run (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct sockaddr_in address = { .sin_family = AF_INET };
   socklen_t address_bytes = sizeof address;
   struct BackendRequest request;
@@ -448,171 +451,174 @@
   snprintf (text, sizeof text, "127.0.0.1:%u", (unsigned)ntohs (address.sin_port));
   request = service_request (text);
   request.timeout_ms = 200;
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_UNREACHABLE, RAN_NO);
+  client_call (client, &request);
+  assert_end (client, ERROR_UNREACHABLE, RAN_NO);
   for (size_t i = 0; i < 4; i++)
     close (waiting[i]);
   close (listener);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
-/* A contractor is paid two advances: the service confirms a wage, then closes a connection that
- * was already used, without an answer. libcurl takes that for a stale connection and sends the
- * POST again by itself, below any rule of ours. */
+/* Guards against a non-idempotent call that runs twice: the service runs a call, then closes a
+ * reused connection without a response. libcurl would treat the connection as stale and resend the
+ * POST. */
 static void
 test_close_after_run_on_a_used_connection_runs_once (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
-  fake_start (&fake, FAKE_ANSWER, "{}");
+  fake_start (&fake, FAKE_RESPOND, "{}");
   request = service_request (fake.address);
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_NONE, RAN_YES);
+  client_call (client, &request);
+  assert_end (client, ERROR_NONE, RAN_YES);
   fake.mode = FAKE_CLOSE_AFTER_RUN;
   fake.n_runs = 0;
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_UNKNOWN_EFFECT, RAN_MAYBE);
+  client_call (client, &request);
+  assert_end (client, ERROR_UNKNOWN_EFFECT, RAN_MAYBE);
   CU_ASSERT_EQUAL (fake.n_runs, 1);
   fake_stop (&fake);
   CU_ASSERT_STRING_EQUAL (fake.path, "/wages/confirm");
-  talloc_free (seen);
+  talloc_free (client);
 }
 
 static void
 test_timeout_after_sending_may_have_run (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
   fake_start (&fake, FAKE_HANG, "");
   request = service_request (fake.address);
   request.timeout_ms = 200;
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_TIMEOUT, RAN_MAYBE);
+  client_call (client, &request);
+  assert_end (client, ERROR_TIMEOUT, RAN_MAYBE);
   fake_stop (&fake);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
 static void
 test_failure_status (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
-  fake_start (&fake, FAKE_ANSWER, "{\"error\":{}}");
+  fake_start (&fake, FAKE_RESPOND, "{\"error\":{}}");
   request = service_request (fake.address);
   fake.status = 503;
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_BACKEND, RAN_YES);
-  CU_ASSERT_EQUAL (seen->end.end.status, 503);
+  client_call (client, &request);
+  assert_end (client, ERROR_BACKEND, RAN_YES);
+  CU_ASSERT_EQUAL (client->end.end.status, 503);
   fake.refuse_not_run = true;
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_BACKEND, RAN_NO);
-  fake.status = 500; /* may have failed after it began: the header is not believed */
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_BACKEND, RAN_YES);
+  client_call (client, &request);
+  assert_end (client, ERROR_BACKEND, RAN_NO);
+  fake.status = 500; /* may have failed after it began: the header is ignored */
+  client_call (client, &request);
+  assert_end (client, ERROR_BACKEND, RAN_YES);
   fake_stop (&fake);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
-/* The caller gives up from inside the chunk callback, where libcurl forbids to end a request. */
+/* The client cancels in the chunk callback, where libcurl does not allow handles to be removed. */
 static void
 test_cancel_in_mid_stream (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
   fake_start (&fake, FAKE_STREAM_ENDLESS, "data: {\"choices\":[]}\n\n");
   request = chat_request (fake.address, true);
-  seen->cancel_on_chunk = true;
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_CANCELLED, RAN_MAYBE);
-  seen->port->cancel (seen->port, seen->ticket); /* over: nothing happens */
-  seen_turn_loop (seen);
-  CU_ASSERT_EQUAL (seen->n_ends, 1);
+  client->cancel_on_chunk = true;
+  client_call (client, &request);
+  assert_end (client, ERROR_CANCELLED, RAN_MAYBE);
+  client->port->cancel (client->port, client->ticket); /* already ended: no effect */
+  client_run_loop (client);
+  CU_ASSERT_EQUAL (client->n_ends, 1);
   fake_stop (&fake);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
 static void
 test_freeing_the_port_in_mid_call_is_silent (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request;
   struct Fake fake;
 
   fake_start (&fake, FAKE_STREAM_ENDLESS, "data: {}\n\n");
   request = chat_request (fake.address, true);
-  seen_submit (seen, &request);
-  while (seen->body_bytes == 0)
-    tevent_loop_once (seen->events);
-  TALLOC_FREE (seen->port);
-  CU_ASSERT_EQUAL (seen->n_ends, 0);
+  client_submit (client, &request);
+  while (client->body_bytes == 0)
+    tevent_loop_once (client->events);
+  TALLOC_FREE (client->port);
+  CU_ASSERT_EQUAL (client->n_ends, 0);
   fake_stop (&fake);
-  talloc_free (seen);
+  talloc_free (client);
 }
 
 static void
 test_release_and_report (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request = { .op = BACKEND_OP_RELEASE };
   struct Fake fake;
 
-  fake_start (&fake, FAKE_ANSWER,
+  fake_start (&fake, FAKE_RESPOND,
               "{\"running\":3,\"waiting\":2,\"cache_used_tokens\":50,"
               "\"cache_capacity_tokens\":900,\"last_event\":77,\"engine_incarnation\":\"i-1\"}");
   request.address = fake.address;
   request.release.program = "p-\"1\"";
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_NONE, RAN_YES);
-  CU_ASSERT_EQUAL (seen->body_bytes, 0);
+  client_call (client, &request);
+  assert_end (client, ERROR_NONE, RAN_YES);
+  CU_ASSERT_EQUAL (client->body_bytes, 0);
   request.op = BACKEND_OP_REPORT;
   request.report.after_event = 0;
-  seen_run (seen, &request);
-  assert_end (seen, ERROR_NONE, RAN_YES);
-  CU_ASSERT_TRUE (seen->end.end.has_load);
-  CU_ASSERT_EQUAL (seen->end.end.load.running, 3);
-  CU_ASSERT_EQUAL (seen->end.end.load.cache_capacity_tokens, 900);
-  CU_ASSERT_EQUAL (seen->end.end.load.last_event, 77);
-  CU_ASSERT_STRING_EQUAL (seen->end.end.load.engine_incarnation, "i-1");
+  client_call (client, &request);
+  assert_end (client, ERROR_NONE, RAN_YES);
+  CU_ASSERT_TRUE (client->end.end.has_load);
+  CU_ASSERT_EQUAL (client->end.end.load.running, 3);
+  CU_ASSERT_EQUAL (client->end.end.load.cache_capacity_tokens, 900);
+  CU_ASSERT_EQUAL (client->end.end.load.last_event, 77);
+  CU_ASSERT_STRING_EQUAL (client->end.end.load.engine_incarnation, "i-1");
   fake_stop (&fake);
   CU_ASSERT_STRING_EQUAL (fake.path, "/load");
   CU_ASSERT_STRING_EQUAL (fake.body, "");
-  talloc_free (seen);
+  talloc_free (client);
 }
 
-/* A caller could otherwise add headers, or name another host, through its program id or path. */
+/* Otherwise a caller could inject headers or select another host through its program id or path. */
 static void
-test_unsafe_words_are_refused (void)
+test_unsafe_paths_and_header_values_are_rejected (void)
 {
-  struct Seen *seen = seen_new ();
+  struct Client *client = client_new ();
   struct BackendRequest request = service_request ("127.0.0.1:1");
 
   request.call.path = "@other.example/";
-  CU_ASSERT_EQUAL (seen->port->submit (seen->port, &request, seen_on_event, seen, &seen->ticket),
-                   ERROR_INVALID);
+  CU_ASSERT_EQUAL (
+      client->port->submit (client->port, &request, client_on_event, client, &client->ticket),
+      ERROR_INVALID);
   request.call.path = "/a\r\nX-Ran: not_run";
-  CU_ASSERT_EQUAL (seen->port->submit (seen->port, &request, seen_on_event, seen, &seen->ticket),
-                   ERROR_INVALID);
+  CU_ASSERT_EQUAL (
+      client->port->submit (client->port, &request, client_on_event, client, &client->ticket),
+      ERROR_INVALID);
   request.call.path = "/a";
   request.call.program = "p\r\nIdempotency-Key: other";
-  CU_ASSERT_EQUAL (seen->port->submit (seen->port, &request, seen_on_event, seen, &seen->ticket),
-                   ERROR_INVALID);
-  talloc_free (seen);
+  CU_ASSERT_EQUAL (
+      client->port->submit (client->port, &request, client_on_event, client, &client->ticket),
+      ERROR_INVALID);
+  talloc_free (client);
 }
 
 const char test_suite_name[] = "backend_http";
 const struct TestCase test_cases[] = {
-  { "whole answer", test_whole_answer },
+  { "complete response", test_complete_response },
   { "stream in slices", test_stream_in_slices },
   { "stream that reports an error", test_stream_that_reports_an_error },
-  { "stream without its end is not whole", test_stream_without_its_end_is_not_whole },
+  { "stream without its end is not complete", test_stream_without_its_end_is_not_complete },
   { "refused connection did not run", test_refused_connection_did_not_run },
   { "timeout before connecting did not run", test_timeout_before_connecting_did_not_run },
   { "close after run on a used connection runs once",
@@ -622,6 +628,7 @@
   { "cancel in mid-stream", test_cancel_in_mid_stream },
   { "freeing the port in mid-call is silent", test_freeing_the_port_in_mid_call_is_silent },
   { "release and report", test_release_and_report },
-  { "unsafe words are refused", test_unsafe_words_are_refused },
+  { "unsafe paths and header values are rejected",
+    test_unsafe_paths_and_header_values_are_rejected },
   { NULL, NULL },
 };
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -17,11 +17,11 @@
   uint16_t port;
   int listen_fd, fd;
   char address[32];
-  bool ended, headed;
+  bool ended, head_received;
   enum HttpEnd end;
   uint32_t status, n_ends;
   char body[256];
-  char request[4096]; /* what the server has read */
+  char request[4096]; /* data that the server has read */
 };
 
 static void
@@ -29,7 +29,7 @@
 {
   struct Bench *b = data;
 
-  b->headed = true;
+  b->head_received = true;
   b->status = head->status;
 }
 
@@ -90,61 +90,61 @@
 
   snprintf (head, sizeof head, "GET /%s HTTP/1.1\r\nHost: x\r\n\r\n", id);
   b->ended = false;
-  b->headed = false;
+  b->head_received = false;
   b->body[0] = '\0';
   b->request[0] = '\0';
   b->call = http_client_submit (b->client, &request, &handler);
 }
 
-/* Sends a request, and waits until the server has read it. */
+/* Sends a request and waits until the server has read it. */
 static void
 bench_request (struct Bench *b, const char *id)
 {
-  char wanted[64];
+  char expected[64];
 
   bench_submit (b, id);
   CU_ASSERT_PTR_NOT_NULL (b->call);
   if (b->fd < 0)
     b->fd = raw_accept (b->listen_fd, b->events);
-  snprintf (wanted, sizeof wanted, "GET /%s ", id);
-  CU_ASSERT_TRUE (raw_read_until (b->fd, b->events, wanted, b->request, sizeof b->request));
+  snprintf (expected, sizeof expected, "GET /%s ", id);
+  CU_ASSERT_TRUE (raw_read_until (b->fd, b->events, expected, b->request, sizeof b->request));
 }
 
 static void
-bench_answer (struct Bench *b, const char *text)
+bench_respond (struct Bench *b, const char *text)
 {
   raw_send (b->fd, text);
   CU_ASSERT_TRUE (events_until (b->events, &b->ended));
 }
 
 static void
-test_a_kept_connection_is_used_again (void)
+test_an_idle_connection_is_reused (void)
 {
   struct Bench *b = bench_new ();
 
   bench_request (b, "1");
-  bench_answer (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok");
+  bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok");
   CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
   CU_ASSERT_STRING_EQUAL (b->body, "ok");
   bench_request (b, "2");
-  bench_answer (
+  bench_respond (
       b, "HTTP/1.1 200 OK\r\nX-Id: 2\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n");
   CU_ASSERT_STRING_EQUAL (b->body, "a");
   CU_ASSERT_EQUAL (http_client_opened (b->client), 1);
   bench_free (b);
 }
 
-/* A wage confirmation goes out on a kept connection; the desk confirms it, and its answer is lost
- * with the connection. Sent once more, the advance would be owed twice: the caller is told that it
- * may have run, and nothing else leaves. */
+/* Guards against a request that runs twice: the server runs a request that was sent on a reused
+ * connection, and the response is lost with the connection. The client reports that the request may
+ * have run, and sends nothing again. */
 static void
-test_a_reset_on_a_kept_connection_sends_nothing_again (void)
+test_a_reset_on_a_reused_connection_resends_nothing (void)
 {
   struct Bench *b = bench_new ();
   int again;
 
   bench_request (b, "1");
-  bench_answer (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 0\r\n\r\n");
+  bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 0\r\n\r\n");
   bench_request (b, "2");
   raw_reset (b->fd);
   b->fd = -1;
@@ -158,18 +158,18 @@
   bench_free (b);
 }
 
-/* The server closed the connection while it was idle: the next request takes another one. */
+/* The server closed the idle connection: the next request opens a new one. */
 static void
-test_a_closed_idle_connection_is_not_used (void)
+test_a_closed_idle_connection_is_not_reused (void)
 {
   struct Bench *b = bench_new ();
 
   bench_request (b, "1");
-  bench_answer (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 0\r\n\r\n");
+  bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 0\r\n\r\n");
   close (b->fd);
   b->fd = -1;
   bench_request (b, "2");
-  bench_answer (b, "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 0\r\n\r\n");
+  bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 0\r\n\r\n");
   CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
   CU_ASSERT_EQUAL (http_client_opened (b->client), 2);
   bench_free (b);
@@ -189,47 +189,48 @@
   bench_free (b);
 }
 
-/* A server answers twice, and the second answer comes where the next one's is due. It bears the
- * earlier request's id: it is dropped, and the right one is waited for. */
+/* A server responds twice to a request, and the second response arrives while the next request
+ * waits for its own. It carries the earlier request's id: it is discarded, and the client keeps
+ * waiting. */
 static void
-test_a_late_answer_to_another_request_is_dropped (void)
+test_a_late_response_to_another_request_is_discarded (void)
 {
   struct Bench *b = bench_new ();
 
   bench_request (b, "1");
-  bench_answer (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 3\r\n\r\none");
+  bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 3\r\n\r\none");
   bench_request (b, "2");
-  bench_answer (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 3\r\n\r\none"
-                   "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 3\r\n\r\ntwo");
+  bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 3\r\n\r\none"
+                    "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 3\r\n\r\ntwo");
   CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
   CU_ASSERT_STRING_EQUAL (b->body, "two");
   bench_free (b);
 }
 
-/* Bytes after a whole answer belong to no request: the connection is out of step, and is closed. */
+/* Bytes after a complete response belong to no request: the connection is closed. */
 static void
-test_extra_bytes_end_the_connection (void)
+test_extra_bytes_close_the_connection (void)
 {
   struct Bench *b = bench_new ();
 
   bench_request (b, "1");
-  bench_answer (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nokextra");
+  bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nokextra");
   CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
   CU_ASSERT_STRING_EQUAL (b->body, "ok");
   CU_ASSERT_TRUE (raw_wait_closed (b->fd, b->events));
   bench_free (b);
 }
 
-/* An answer without a length ends with its connection: whole when that closes in order, cut when it
- * is reset. */
+/* The end of the connection delimits a response without a length: the response is complete when the
+ * connection closes in an orderly way, truncated when it is reset. */
 static void
-test_an_answer_without_a_length_must_close_in_order (void)
+test_a_response_without_a_length_needs_an_orderly_close (void)
 {
   struct Bench *b = bench_new ();
 
   bench_request (b, "1");
   raw_send (b->fd, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it");
-  CU_ASSERT_TRUE (events_until (b->events, &b->headed));
+  CU_ASSERT_TRUE (events_until (b->events, &b->head_received));
   close (b->fd);
   b->fd = -1;
   CU_ASSERT_TRUE (events_until (b->events, &b->ended));
@@ -237,7 +238,7 @@
   CU_ASSERT_STRING_EQUAL (b->body, "all of it");
   bench_request (b, "2");
   raw_send (b->fd, "HTTP/1.1 200 OK\r\nX-Id: 2\r\n\r\nhalf of it");
-  CU_ASSERT_TRUE (events_until (b->events, &b->headed));
+  CU_ASSERT_TRUE (events_until (b->events, &b->head_received));
   raw_reset (b->fd);
   b->fd = -1;
   CU_ASSERT_TRUE (events_until (b->events, &b->ended));
@@ -246,7 +247,7 @@
 }
 
 static void
-test_a_cut_answer_is_broken_and_garbage_malformed (void)
+test_a_truncated_response_is_broken_and_garbage_malformed (void)
 {
   struct Bench *b = bench_new ();
 
@@ -257,12 +258,12 @@
   CU_ASSERT_TRUE (events_until (b->events, &b->ended));
   CU_ASSERT_EQUAL (b->end, HTTP_END_BROKEN);
   bench_request (b, "2");
-  bench_answer (b, "\x01\x02garbage\r\n\r\n");
+  bench_respond (b, "\x01\x02garbage\r\n\r\n");
   CU_ASSERT_EQUAL (b->end, HTTP_END_MALFORMED);
   bench_free (b);
 }
 
-/* The caller has left: the server must see it, or it works on for nobody. */
+/* The caller has disconnected: unless the server notices, it completes a request for no caller. */
 static void
 test_freeing_a_call_closes_its_connection (void)
 {
@@ -277,7 +278,7 @@
 }
 
 static void
-test_connections_to_one_server_are_bounded (void)
+test_connections_to_one_server_are_limited (void)
 {
   struct Bench *b = bench_new ();
 
@@ -292,19 +293,19 @@
 
 const char test_suite_name[] = "http_client";
 const struct TestCase test_cases[] = {
-  { "a kept connection is used again", test_a_kept_connection_is_used_again },
-  { "a reset on a kept connection sends nothing again",
-    test_a_reset_on_a_kept_connection_sends_nothing_again },
-  { "a closed idle connection is not used", test_a_closed_idle_connection_is_not_used },
+  { "an idle connection is reused", test_an_idle_connection_is_reused },
+  { "a reset on a reused connection resends nothing",
+    test_a_reset_on_a_reused_connection_resends_nothing },
+  { "a closed idle connection is not reused", test_a_closed_idle_connection_is_not_reused },
   { "no listener means not sent", test_no_listener_means_not_sent },
-  { "a late answer to another request is dropped",
-    test_a_late_answer_to_another_request_is_dropped },
-  { "extra bytes end the connection", test_extra_bytes_end_the_connection },
-  { "an answer without a length must close in order",
-    test_an_answer_without_a_length_must_close_in_order },
-  { "a cut answer is broken, garbage malformed",
-    test_a_cut_answer_is_broken_and_garbage_malformed },
+  { "a late response to another request is discarded",
+    test_a_late_response_to_another_request_is_discarded },
+  { "extra bytes close the connection", test_extra_bytes_close_the_connection },
+  { "a response without a length needs an orderly close",
+    test_a_response_without_a_length_needs_an_orderly_close },
+  { "a truncated response is broken, garbage malformed",
+    test_a_truncated_response_is_broken_and_garbage_malformed },
   { "freeing a call closes its connection", test_freeing_a_call_closes_its_connection },
-  { "connections to one server are bounded", test_connections_to_one_server_are_bounded },
+  { "connections to one server are limited", test_connections_to_one_server_are_limited },
   { NULL, NULL },
 };
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -23,20 +23,20 @@
   struct HttpServer *server;
   uint16_t port;
   int fd;
-  struct HttpExchange *exchange; /* the one that is open */
+  struct HttpExchange *exchange; /* the exchange in progress */
   uint32_t n_requests;
-  bool requested, gone;
-  bool answer_at_once;
+  bool requested, disconnected;
+  bool respond_at_once;
   char target[64], body[BODY_MAX_BYTES + 1];
-  char text[16384]; /* what the caller has read */
+  char text[16384]; /* data that the caller has read */
 };
 
 static void
-bench_on_gone (struct HttpExchange *exchange)
+bench_on_disconnect (struct HttpExchange *exchange)
 {
   struct Bench *b = exchange->handler_data;
 
-  b->gone = true;
+  b->disconnected = true;
   b->exchange = NULL;
 }
 
@@ -49,12 +49,12 @@
   b->requested = true;
   b->exchange = exchange;
   exchange->handler_data = b;
-  exchange->gone = bench_on_gone;
+  exchange->gone = bench_on_disconnect;
   snprintf (b->target, sizeof b->target, "%s", exchange->target);
   memcpy (b->body, exchange->body != NULL ? (const char *)exchange->body : "",
           exchange->body_bytes);
   b->body[exchange->body_bytes] = '\0';
-  if (b->answer_at_once)
+  if (b->respond_at_once)
     http_exchange_answer (exchange, 200, NULL, b->target, strlen (b->target));
 }
 
@@ -94,9 +94,9 @@
 }
 
 static bool
-bench_reads (struct Bench *b, const char *wanted)
+bench_read_until (struct Bench *b, const char *expected)
 {
-  return raw_read_until (b->fd, b->events, wanted, b->text, sizeof b->text);
+  return raw_read_until (b->fd, b->events, expected, b->text, sizeof b->text);
 }
 
 static void
@@ -104,20 +104,20 @@
 {
   struct Bench *b = bench_new ();
 
-  b->answer_at_once = true;
+  b->respond_at_once = true;
   raw_send (b->fd, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n");
-  CU_ASSERT_TRUE (bench_reads (b, "/1"));
+  CU_ASSERT_TRUE (bench_read_until (b, "/1"));
   raw_send (b->fd, "POST /2 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
                    "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-  CU_ASSERT_TRUE (bench_reads (b, "/2"));
+  CU_ASSERT_TRUE (bench_read_until (b, "/2"));
   CU_ASSERT_STRING_EQUAL (b->body, "abcde");
   CU_ASSERT_EQUAL (b->n_requests, 2);
   bench_free (b);
 }
 
-/* A caller sends three requests ahead. Each gets its own answer, in order. */
+/* A caller pipelines three requests. Each gets its own response, in order. */
 static void
-test_what_is_sent_ahead_waits_its_turn (void)
+test_pipelined_requests_are_handled_in_order (void)
 {
   struct Bench *b = bench_new ();
 
@@ -126,18 +126,18 @@
   CU_ASSERT_TRUE (events_until (b->events, &b->requested));
   events_for (b->events, 30);
   CU_ASSERT_EQUAL (b->n_requests, 1);
-  b->answer_at_once = true;
+  b->respond_at_once = true;
   http_exchange_answer (b->exchange, 200, NULL, "/1", 2);
-  CU_ASSERT_TRUE (bench_reads (b, "/3"));
+  CU_ASSERT_TRUE (bench_read_until (b, "/3"));
   CU_ASSERT_EQUAL (b->n_requests, 3);
   CU_ASSERT (strstr (b->text, "/1") < strstr (b->text, "/2"));
   bench_free (b);
 }
 
-/* A cook closes the page while an engine works on the question. Unless the close is seen at once,
- * the engine goes on for nobody, beside callers who wait. */
+/* A caller disconnects while its request is being handled. Unless the server notices at once, the
+ * request keeps an engine busy that other callers wait for. */
 static void
-test_a_caller_that_leaves_is_seen_at_work (void)
+test_a_disconnect_is_noticed_while_a_request_is_handled (void)
 {
   struct Bench *b = bench_new ();
 
@@ -146,15 +146,15 @@
   CU_ASSERT_EQUAL (http_server_in_flight (b->server), 1);
   close (b->fd);
   b->fd = -1;
-  CU_ASSERT_TRUE (events_until (b->events, &b->gone));
+  CU_ASSERT_TRUE (events_until (b->events, &b->disconnected));
   CU_ASSERT_EQUAL (http_server_in_flight (b->server), 0);
   bench_free (b);
 }
 
-/* A stream is cut because its server died. The caller must not take it for complete: no last chunk
- * comes, the connection ends. */
+/* A stream is truncated because its backend server failed. The caller must not treat it as
+ * complete: the connection closes without the last chunk. */
 static void
-test_an_aborted_answer_does_not_look_complete (void)
+test_an_aborted_response_does_not_look_complete (void)
 {
   struct Bench *b = bench_new ();
 
@@ -164,7 +164,7 @@
   http_exchange_begin (b->exchange, 200, NULL);
   http_exchange_write (b->exchange, "data: a\n\n", 9);
   http_exchange_abort (b->exchange);
-  CU_ASSERT_FALSE (bench_reads (b, "\r\n0\r\n\r\n"));
+  CU_ASSERT_FALSE (bench_read_until (b, "\r\n0\r\n\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (b->text, "9\r\ndata: a\n\n\r\n"));
   bench_free (b);
 }
@@ -178,24 +178,25 @@
   CU_ASSERT_TRUE (events_until (b->events, &b->requested));
   http_exchange_begin (b->exchange, 200, NULL);
   http_exchange_write (b->exchange, "data: a\n\n", 9);
-  CU_ASSERT_TRUE (bench_reads (b, "data: a"));
+  CU_ASSERT_TRUE (bench_read_until (b, "data: a"));
   http_exchange_end (b->exchange);
-  CU_ASSERT_TRUE (bench_reads (b, "\r\n0\r\n\r\n"));
+  CU_ASSERT_TRUE (bench_read_until (b, "\r\n0\r\n\r\n"));
   bench_free (b);
 }
 
-struct Refusal
+struct Rejection
 {
   const char *request;
   const char *status;
 };
 
-/* Two lengths, or a length and chunks: whoever reads the request next may see another end of it,
- * and a second request inside. None of these reaches the handler. */
+/* Guards against request smuggling: with two lengths, or a length and chunked encoding, the next
+ * server may find another end of the request, and a second request inside it. Like other malformed
+ * requests, none of these reaches the handler. */
 static void
-test_requests_with_two_meanings_are_refused (void)
+test_ambiguous_and_malformed_requests_are_rejected (void)
 {
-  static const struct Refusal refusals[] = {
+  static const struct Rejection rejections[] = {
     { "GET /1 HTTP/1.1\r\n\r\n", " 400 " },
     { "GET /1 HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n", " 400 " },
     { "POST /1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: "
@@ -210,12 +211,12 @@
     { "POST /1 HTTP/1.1\r\nHost: x\r\nContent-Length: 2001\r\n\r\n", " 413 " },
   };
 
-  for (size_t i = 0; i < sizeof refusals / sizeof refusals[0]; i++)
+  for (size_t i = 0; i < sizeof rejections / sizeof rejections[0]; i++)
     {
       struct Bench *b = bench_new ();
 
-      raw_send (b->fd, refusals[i].request);
-      CU_ASSERT_TRUE (bench_reads (b, refusals[i].status));
+      raw_send (b->fd, rejections[i].request);
+      CU_ASSERT_TRUE (bench_read_until (b, rejections[i].status));
       CU_ASSERT_TRUE (raw_wait_closed (b->fd, b->events));
       CU_ASSERT_EQUAL (b->n_requests, 0);
       bench_free (b);
@@ -232,7 +233,7 @@
   header[sizeof header - 1] = '\0';
   raw_send (b->fd, "GET /1 HTTP/1.1\r\nHost: x\r\nX-A: ");
   raw_send (b->fd, header);
-  CU_ASSERT_TRUE (bench_reads (b, " 431 "));
+  CU_ASSERT_TRUE (bench_read_until (b, " 431 "));
   bench_free (b);
 
   b = bench_new ();
@@ -243,36 +244,36 @@
       raw_send (b->fd, header + sizeof header - 1 - 400);
       raw_send (b->fd, "\r\n");
     }
-  CU_ASSERT_TRUE (bench_reads (b, " 413 "));
+  CU_ASSERT_TRUE (bench_read_until (b, " 413 "));
   CU_ASSERT_EQUAL (b->n_requests, 0);
   bench_free (b);
 }
 
-/* A caller that sends its headers a byte a minute holds a connection for ever. */
+/* Otherwise a caller that sends its headers very slowly would occupy a connection forever. */
 static void
-test_a_slow_caller_is_sent_away (void)
+test_a_slow_caller_is_rejected (void)
 {
   struct Bench *b = bench_new ();
 
   raw_send (b->fd, "GET /1 HTTP/1.1\r\nHo");
-  CU_ASSERT_TRUE (bench_reads (b, " 408 "));
+  CU_ASSERT_TRUE (bench_read_until (b, " 408 "));
   CU_ASSERT_EQUAL (b->n_requests, 0);
   bench_free (b);
 }
 
-/* During a planned stop a kept connection gets its answer, and is told that it was the last. */
+/* During a planned stop a persistent connection gets its response with "Connection: close". */
 static void
-test_a_draining_server_closes_after_the_answer (void)
+test_a_draining_server_closes_after_the_response (void)
 {
   struct Bench *b = bench_new ();
 
-  b->answer_at_once = true;
+  b->respond_at_once = true;
   raw_send (b->fd, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n");
-  CU_ASSERT_TRUE (bench_reads (b, "/1"));
+  CU_ASSERT_TRUE (bench_read_until (b, "/1"));
   CU_ASSERT_PTR_NULL (strstr (b->text, "Connection: close"));
   raw_send (b->fd, "GET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
   http_server_drain (b->server);
-  CU_ASSERT_TRUE (bench_reads (b, "/2"));
+  CU_ASSERT_TRUE (bench_read_until (b, "/2"));
   CU_ASSERT_PTR_NOT_NULL (strstr (b->text, "Connection: close"));
   CU_ASSERT_TRUE (raw_wait_closed (b->fd, b->events));
   bench_free (b);
@@ -281,13 +282,16 @@
 const char test_suite_name[] = "http_server";
 const struct TestCase test_cases[] = {
   { "requests follow each other", test_requests_follow_each_other_on_one_connection },
-  { "what is sent ahead waits its turn", test_what_is_sent_ahead_waits_its_turn },
-  { "a caller that leaves is seen at work", test_a_caller_that_leaves_is_seen_at_work },
-  { "an aborted answer does not look complete", test_an_aborted_answer_does_not_look_complete },
+  { "pipelined requests are handled in order", test_pipelined_requests_are_handled_in_order },
+  { "a disconnect is noticed while a request is handled",
+    test_a_disconnect_is_noticed_while_a_request_is_handled },
+  { "an aborted response does not look complete", test_an_aborted_response_does_not_look_complete },
   { "a stream ends with its last chunk", test_a_stream_ends_with_its_last_chunk },
-  { "requests with two meanings are refused", test_requests_with_two_meanings_are_refused },
+  { "ambiguous and malformed requests are rejected",
+    test_ambiguous_and_malformed_requests_are_rejected },
   { "headers and bodies are bounded", test_headers_and_bodies_are_bounded },
-  { "a slow caller is sent away", test_a_slow_caller_is_sent_away },
-  { "a draining server closes after the answer", test_a_draining_server_closes_after_the_answer },
+  { "a slow caller is rejected", test_a_slow_caller_is_rejected },
+  { "a draining server closes after the response",
+    test_a_draining_server_closes_after_the_response },
   { NULL, NULL },
 };
--- a/tests/test_instances_http.c
+++ b/tests/test_instances_http.c
@@ -13,7 +13,7 @@
   struct tevent_context *events;
   struct CurlLoop *loop;
   char url[64];
-  bool answered;
+  bool done;
   int32_t error;
   char text[64];
 };
@@ -44,7 +44,7 @@
 {
   struct Bench *b = data;
 
-  b->answered = true;
+  b->done = true;
   b->error = error;
   snprintf (b->text, sizeof b->text, "%.*s", (int)text_bytes, text != NULL ? text : "");
 }
@@ -55,20 +55,20 @@
   char *url = talloc_asprintf (b, "%s%s", b->url, path);
   struct InstancesPort *port = instances_http_new (b, b->loop, url, 60000);
 
-  b->answered = false;
+  b->done = false;
   CU_ASSERT_EQUAL (port->fetch (port, b, bench_on_list, b), ERROR_NONE);
-  while (!b->answered)
+  while (!b->done)
     tevent_loop_once (b->events);
   talloc_free (port);
   return b->error;
 }
 
 static void
-bench_on_posted (void *data, const struct HttpResult *result)
+bench_on_post_done (void *data, const struct HttpResult *result)
 {
   struct Bench *b = data;
 
-  b->answered = true;
+  b->done = true;
   CU_ASSERT_EQUAL (result->status, 200);
 }
 
@@ -80,9 +80,9 @@
 
   request.body = (const uint8_t *)body;
   request.body_bytes = strlen (body);
-  b->answered = false;
-  curl_loop_submit (b->loop, &request, NULL, bench_on_posted, b);
-  while (!b->answered)
+  b->done = false;
+  curl_loop_submit (b->loop, &request, NULL, bench_on_post_done, b);
+  while (!b->done)
     tevent_loop_once (b->events);
 }
 
@@ -100,7 +100,7 @@
 }
 
 static void
-test_failures_are_unreachable (void)
+test_failures_are_reported_as_unreachable (void)
 {
   struct Bench *b = bench_new ();
 
@@ -111,7 +111,7 @@
 }
 
 static void
-test_freed_owner_is_not_told (void)
+test_no_callback_after_the_owner_is_freed (void)
 {
   struct Bench *b = bench_new ();
   struct InstancesPort *port = NULL;
@@ -129,7 +129,7 @@
 const char test_suite_name[] = "instances_http";
 const struct TestCase test_cases[] = {
   { "list is read", test_list_is_read },
-  { "failures are unreachable", test_failures_are_unreachable },
-  { "freed owner is not told", test_freed_owner_is_not_told },
+  { "failures are reported as unreachable", test_failures_are_reported_as_unreachable },
+  { "no callback after the owner is freed", test_no_callback_after_the_owner_is_freed },
   { NULL, NULL },
 };
