--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -227,7 +227,7 @@
     }
   exchange->connection = connection;
   exchange->posted = true;
-  exchange->parked = true;
+  exchange->suspended = true;
   exchange->references++;
   MHD_suspend_connection (connection);
   mailbox_post (http->core, &exchange->mail);
--- a/adapters/exchange.c
+++ b/adapters/exchange.c
@@ -84,14 +84,15 @@
   exchange->n_headers++;
 }
 
-/* Resumes the connection if the HTTP thread has suspended it. exchange_read sets parked before it
- * checks the queue a last time: either that check finds the new chunk, or parked is seen here. */
+/* Resumes the connection if the HTTP thread has suspended it. exchange_read sets suspended before
+ * it checks the queue a last time: either that check finds the new chunk, or suspended is seen
+ * here. */
 static void
 exchange_wake (struct Exchange *exchange)
 {
   if (!atomic_load (&exchange->head_ready))
     return;
-  if (atomic_exchange (&exchange->parked, false))
+  if (atomic_exchange (&exchange->suspended, false))
     MHD_resume_connection (exchange->connection);
 }
 
@@ -178,8 +179,8 @@
 
 /* Called by libmicrohttpd for more of the response body.
  *
- * The thread that clears parked owns the connection until its next call on it. When the core has
- * cleared parked it is about to resume the connection, so this thread must suspend it; otherwise
+ * The thread that clears suspended owns the connection until its next call on it. When the core has
+ * cleared suspended it is about to resume the connection, so this thread must suspend it; otherwise
  * the connection could be finished and freed during the core's call. */
 static ssize_t
 exchange_read (void *data, uint64_t position, char *block, size_t size)
@@ -192,11 +193,11 @@
   filled = exchange_fill (exchange, block, size);
   if (filled > 0)
     return (ssize_t)filled;
-  atomic_store (&exchange->parked, true);
+  atomic_store (&exchange->suspended, true);
   /* Read before the queue, so that chunks queued before the end are not missed. */
   ended = atomic_load (&exchange->ended);
   if ((ended || !cds_wfcq_empty (&exchange->head, &exchange->tail))
-      && atomic_exchange (&exchange->parked, false))
+      && atomic_exchange (&exchange->suspended, false))
     {
       filled = exchange_fill (exchange, block, size);
       return filled > 0 ? (ssize_t)filled : (ssize_t)MHD_CONTENT_READER_END_OF_STREAM;
--- a/include/buckthornhead/exchange.h
+++ b/include/buckthornhead/exchange.h
@@ -44,7 +44,8 @@
 
   /* Shared by both threads. */
   _Atomic uint32_t references;
-  _Atomic bool head_ready, ended, closed, parked;
+  _Atomic bool head_ready, ended, closed;
+  _Atomic bool suspended; /* the connection is suspended, or about to be */
   struct MHD_Connection *connection;
   struct cds_wfcq_head head;
   struct cds_wfcq_tail tail;
