--- a/tests/fakes/ctl_run.c
+++ b/tests/fakes/ctl_run.c
@@ -10,23 +10,23 @@
   ID_BYTES = 36
 };
 
-/* The words of line as argv, "@" standing for the fake's address; words are parted by one space. */
+/* Splits line at single spaces into argv and replaces "@" by address. Returns argc. */
 static int
-split (TALLOC_CTX *ctx, const char *line, const char *address, char *argv[ARGUMENTS_MAX])
+split_arguments (TALLOC_CTX *ctx, const char *line, const char *address, char *argv[ARGUMENTS_MAX])
 {
   char *copy = talloc_strdup (ctx, line);
   char *rest = NULL;
   int n = 0;
 
-  for (char *word = strtok_r (copy, " ", &rest); word != NULL && n < ARGUMENTS_MAX - 1;
-       word = strtok_r (NULL, " ", &rest))
-    argv[n++] = strcmp (word, "@") == 0 ? talloc_strdup (ctx, address) : word;
+  for (char *argument = strtok_r (copy, " ", &rest); argument != NULL && n < ARGUMENTS_MAX - 1;
+       argument = strtok_r (NULL, " ", &rest))
+    argv[n++] = strcmp (argument, "@") == 0 ? talloc_strdup (ctx, address) : argument;
   argv[n] = NULL;
   return n;
 }
 
 static void
-hide_ids (char *log, const char *err)
+mask_change_id (char *log, const char *err)
 {
   const char *id = err != NULL ? strstr (err, "change id ") : NULL;
   char text[ID_BYTES + 1];
@@ -42,7 +42,7 @@
 }
 
 static void
-take_output (TALLOC_CTX *ctx, char **text)
+replace_with_copy (TALLOC_CTX *ctx, char **text)
 {
   char *copy = talloc_strdup (ctx, *text != NULL ? *text : "");
 
@@ -64,16 +64,16 @@
   r->fake = fake_operator_new (r, replies);
   if (r->fake == NULL)
     abort ();
-  argc = split (r, line, fake_operator_address (r->fake), argv);
+  argc = split_arguments (r, line, fake_operator_address (r->fake), argv);
   io.out = open_memstream (&r->out, &out_bytes);
   io.err = open_memstream (&r->err, &err_bytes);
   r->exit_code = command (argc, argv, &io);
   fclose (io.out);
   fclose (io.err);
-  take_output (r, &r->out);
-  take_output (r, &r->err);
+  replace_with_copy (r, &r->out);
+  replace_with_copy (r, &r->err);
   r->log = fake_operator_log (r->fake, r);
-  hide_ids (r->log, r->err);
+  mask_change_id (r->log, r->err);
   return r;
 }
 
--- a/tests/fakes/ctl_run.h
+++ b/tests/fakes/ctl_run.h
@@ -1,4 +1,4 @@
-/* Runs one command of the command line before a fake instance, for the tests of it. */
+/* Runs one command line command against a fake instance. */
 #pragma once
 
 #include "fake_operator.h"
@@ -11,24 +11,24 @@
   "{\"error\":{\"kind\":\"not_found\",\"message\":\"no such\",\"remedy\":\"look\"}}"
 #define CTL_PLATFORM_DOWN                                                                          \
   "{\"error\":{\"kind\":\"platform_down\",\"message\":\"no answer\",\"remedy\":\"wait\"}}"
-#define CTL_NOWHERE "127.0.0.1:1" /* nobody listens there */
+#define CTL_NOWHERE "127.0.0.1:1" /* nothing listens on this port */
 
-/* What one run gave; all of it belongs to it. */
+/* Result of one run; owns everything that its fields point to. */
 struct CtlRun
 {
   struct FakeOperator *fake;
   int exit_code;
   char *out, *err;
-  char *log; /* of the fake, with each change id written as ID */
+  char *log; /* requests that the fake received, with the change id replaced by "ID" */
 };
 
-/* The words of line, parted by one space, are the arguments; "@" stands for the fake's address.
- * $USER is asha. */
+/* Runs command with the arguments in line, separated by single spaces; "@" is replaced by the
+ * fake's address. Sets USER to asha. */
 struct CtlRun *
 run_command (const struct FakeReply *replies, CommandFn command, const char *line);
 struct CtlRun *
 run_ctl (const struct FakeReply *replies, const char *line);
 
-/* False for a NULL text, too. */
+/* Returns false for a NULL text. */
 bool
 contains (const char *text, const char *part);
--- a/tests/fakes/fake_kv.c
+++ b/tests/fakes/fake_kv.c
@@ -6,11 +6,11 @@
 
 enum FakeOpState
 {
-  FAKE_OP_WAITING,
-  FAKE_OP_HELD,         /* neither applied nor answered until released */
-  FAKE_OP_HELD_ANSWER,  /* applied */
-  FAKE_OP_LATE,         /* answered, applied when released */
-  FAKE_OP_LATE_RELEASED /* answered, applied at the next turn */
+  FAKE_OP_PENDING,
+  FAKE_OP_HELD_REQUEST,  /* neither applied nor completed until released */
+  FAKE_OP_HELD_RESPONSE, /* applied, completed when released */
+  FAKE_OP_LATE,          /* completed, applied when released */
+  FAKE_OP_LATE_RELEASED  /* completed, applied at the next step */
 };
 
 struct FakePort
@@ -24,15 +24,15 @@
 {
   struct FakeOp *next;
   struct FakeKv *kv;
-  struct FakePort *port; /* NULL once its client is gone */
+  struct FakePort *port; /* NULL once the port is freed or the result was reported */
   struct KvRequest request;
   enum FakeOpState state;
-  bool admitted; /* has met its fault already */
+  bool fault_chosen; /* the fault of its first step has been chosen */
   enum FakeKvFault release_fault;
-  int64_t until_ms; /* of a watch */
+  int64_t deadline_ms; /* when a watch without events completes */
   KvDone done;
   void *data;
-  struct KvResult result; /* of a held answer */
+  struct KvResult result; /* strings and values are children of the operation */
 };
 
 struct FakeRule
@@ -41,7 +41,7 @@
   int32_t op;
   const char *key_prefix;
   enum FakeKvFault fault;
-  uint32_t left;
+  uint32_t n_left;
   FakeKvHook hook;
   void *data;
 };
@@ -51,14 +51,14 @@
   struct TimerService *timers;
   struct Timer *tick;
   struct Store *store;
-  struct FakeOp *ops, **last;
+  struct FakeOp *ops, **ops_end;
   struct FakeRule *rules;
   enum FakeKvFault fault;
   uint64_t n_reads, n_writes;
 };
 
 static struct Bytes
-bytes_of_text (const char *text)
+bytes_from_text (const char *text)
 {
   return (struct Bytes){ (const uint8_t *)text, strlen (text) };
 }
@@ -69,7 +69,7 @@
   return strncmp (key, prefix, strlen (prefix)) == 0;
 }
 
-/* End of the range of all keys that start with prefix. */
+/* Returns the end of the range of keys that start with prefix. */
 static struct Bytes
 prefix_end (TALLOC_CTX *ctx, const char *prefix)
 {
@@ -147,20 +147,20 @@
 }
 
 static struct KvEntry
-entry_of (const struct StoreKey *kv, bool deleted)
+entry_from_key (const struct StoreKey *kv, bool deleted)
 {
-  return (struct KvEntry){ .key = (const char *)kv->key.at,
-                           .value = kv->value.at,
-                           .value_bytes = kv->value.n,
+  return (struct KvEntry){ .key = (const char *)kv->key.data,
+                           .value = kv->value.data,
+                           .value_bytes = kv->value.n_bytes,
                            .mod_revision = kv->mod_revision,
                            .deleted = deleted };
 }
 
-/* A copy that outlives changes of the store. */
+/* Returns a copy that stays valid when the store changes. */
 static struct KvEntry
 entry_copy (TALLOC_CTX *ctx, const struct StoreKey *kv, bool deleted)
 {
-  struct KvEntry entry = entry_of (kv, deleted);
+  struct KvEntry entry = entry_from_key (kv, deleted);
   uint8_t *value = talloc_size (ctx, entry.value_bytes + 1);
 
   if (entry.value_bytes > 0)
@@ -174,9 +174,9 @@
 fake_kv_find (const struct FakeKv *kv, const char *key)
 {
   struct StoreKey *const *first = NULL;
-  struct Bytes one = { (const uint8_t *)"", 0 };
+  struct Bytes key_only = { (const uint8_t *)"", 0 };
 
-  return store_range (kv->store, bytes_of_text (key), one, &first) > 0 ? *first : NULL;
+  return store_range (kv->store, bytes_from_text (key), key_only, &first) > 0 ? *first : NULL;
 }
 
 static bool
@@ -225,7 +225,7 @@
       return;
     }
   store_begin (kv->store);
-  written = store_put (kv->store, bytes_of_text (key), value, op->request.put.lease_id);
+  written = store_put (kv->store, bytes_from_text (key), value, op->request.put.lease_id);
   store_end (kv->store);
   op->result.error = written ? ERROR_NONE : ERROR_NOT_FOUND;
 }
@@ -245,7 +245,7 @@
       return;
     }
   store_begin (kv->store);
-  store_delete (kv->store, bytes_of_text (key), (struct Bytes){ (const uint8_t *)"", 0 });
+  store_delete (kv->store, bytes_from_text (key), (struct Bytes){ (const uint8_t *)"", 0 });
   store_end (kv->store);
 }
 
@@ -256,7 +256,7 @@
   const char *start = op->request.range.start != NULL ? op->request.range.start : prefix;
   uint32_t limit = op->request.range.limit;
   struct StoreKey *const *first = NULL;
-  size_t n = store_range (op->kv->store, bytes_of_text (start), prefix_end (op, prefix), &first);
+  size_t n = store_range (op->kv->store, bytes_from_text (start), prefix_end (op, prefix), &first);
   struct KvEntry *entries = NULL;
 
   op->result.more = limit > 0 && n > limit;
@@ -289,7 +289,7 @@
   op->result.error = found ? ERROR_NONE : ERROR_NOT_FOUND;
 }
 
-/* True when there is something to answer a watch with. */
+/* Returns true when the watch has events, an error or has timed out. */
 static bool
 fake_op_watch (struct FakeOp *op)
 {
@@ -305,22 +305,22 @@
   for (const struct StoreEvent *e = store_events (op->kv->store); e != NULL; e = e->next)
     {
       if (e->kv.mod_revision < start
-          || !starts_with ((const char *)e->kv.key.at, op->request.watch.prefix))
+          || !starts_with ((const char *)e->kv.key.data, op->request.watch.prefix))
         continue;
       entries = talloc_realloc (op, entries, struct KvEntry, n + 1);
       entries[n++] = entry_copy (op, &e->kv, e->deleted);
     }
   op->result.entries = entries;
   op->result.n_entries = n;
-  return n > 0 || timer_now_ms (op->kv->timers) >= op->until_ms;
+  return n > 0 || timer_now_ms (op->kv->timers) >= op->deadline_ms;
 }
 
-/* Takes effect. False for a watch that goes on waiting. */
+/* Applies the request. Returns false for a watch that stays pending. */
 static bool
 fake_op_apply (struct FakeOp *op)
 {
   struct FakeKv *kv = op->kv;
-  bool answered = true;
+  bool completed = true;
 
   store_expire (kv->store, timer_now_ms (kv->timers));
   op->result = (struct KvResult){ 0 };
@@ -345,11 +345,11 @@
       fake_op_lease (op);
       break;
     case KV_OP_WATCH:
-      answered = fake_op_watch (op);
+      completed = fake_op_watch (op);
       break;
     }
   op->result.revision = store_revision (kv->store);
-  return answered;
+  return completed;
 }
 
 static void
@@ -361,13 +361,13 @@
   while (*link != op)
     link = &(*link)->next;
   *link = op->next;
-  if (kv->last == &op->next)
-    kv->last = link;
+  if (kv->ops_end == &op->next)
+    kv->ops_end = link;
 }
 
-/* Answers, and forgets the request. */
+/* Calls the callback unless the port is freed, and frees the request. */
 static void
-fake_op_answer (struct FakeOp *op)
+fake_op_complete (struct FakeOp *op)
 {
   fake_op_unlink (op);
   if (op->port != NULL)
@@ -376,24 +376,24 @@
 }
 
 static void
-fake_op_answer_error (struct FakeOp *op, int32_t error)
+fake_op_fail (struct FakeOp *op, int32_t error)
 {
   op->result =
       (struct KvResult){ .error = request_is_read (&op->request) && error == ERROR_UNKNOWN_EFFECT
                                       ? ERROR_UNREACHABLE
                                       : error };
-  fake_op_answer (op);
+  fake_op_complete (op);
 }
 
 static enum FakeKvFault
-fake_op_fault (struct FakeOp *op)
+fake_op_choose_fault (struct FakeOp *op)
 {
   struct FakeKv *kv = op->kv;
   const char *key = request_key (&op->request);
 
   for (struct FakeRule *r = kv->rules; r != NULL; r = r->next)
     {
-      if (r->left == 0 || !starts_with (key, r->key_prefix)
+      if (r->n_left == 0 || !starts_with (key, r->key_prefix)
           || (r->op != FAKE_KV_ANY_OP && r->op != (int32_t)op->request.op))
         continue;
       if (r->hook != NULL)
@@ -404,8 +404,8 @@
             return fault;
           continue;
         }
-      if (r->left != FAKE_KV_ALWAYS)
-        r->left--;
+      if (r->n_left != FAKE_KV_ALWAYS)
+        r->n_left--;
       return r->fault;
     }
   if (op->port != NULL && op->port->fault != FAKE_KV_OK)
@@ -413,17 +413,17 @@
   return kv->fault;
 }
 
-/* A request that was answered as lost comes in after all. */
+/* Applies a request that was already reported as ERROR_UNKNOWN_EFFECT. */
 static void
 fake_op_apply_late (struct FakeOp *op)
 {
   fake_op_apply (op);
   op->port = NULL;
-  fake_op_answer (op);
+  fake_op_complete (op);
 }
 
 static void
-fake_op_make_late (struct FakeOp *op)
+fake_op_report_lost (struct FakeOp *op)
 {
   op->state = FAKE_OP_LATE;
   op->result = (struct KvResult){ .error = ERROR_UNKNOWN_EFFECT };
@@ -432,46 +432,46 @@
   op->port = NULL;
 }
 
-/* One step of one request; true when it was answered. */
+/* Advances one request. Returns true when it was completed. */
 static bool
 fake_op_step (struct FakeOp *op)
 {
-  enum FakeKvFault fault = op->admitted ? op->release_fault : fake_op_fault (op);
+  enum FakeKvFault fault = op->fault_chosen ? op->release_fault : fake_op_choose_fault (op);
 
-  if (op->request.op == KV_OP_WATCH && op->admitted && fault == FAKE_KV_OK)
+  if (op->request.op == KV_OP_WATCH && op->fault_chosen && fault == FAKE_KV_OK)
     fault = op->port != NULL && op->port->fault != FAKE_KV_OK ? op->port->fault : op->kv->fault;
-  if (!op->admitted)
+  if (!op->fault_chosen)
     *(request_is_read (&op->request) ? &op->kv->n_reads : &op->kv->n_writes) += 1;
-  op->admitted = true;
+  op->fault_chosen = true;
   switch (fault)
     {
     case FAKE_KV_OK:
       if (!fake_op_apply (op))
         return false;
-      fake_op_answer (op);
+      fake_op_complete (op);
       return true;
     case FAKE_KV_REFUSE:
-      fake_op_answer_error (op, ERROR_UNREACHABLE);
+      fake_op_fail (op, ERROR_UNREACHABLE);
       return true;
     case FAKE_KV_LIMIT:
-      fake_op_answer_error (op, ERROR_RATE_LIMITED);
+      fake_op_fail (op, ERROR_RATE_LIMITED);
       return true;
     case FAKE_KV_LOSE_REQUEST:
-      fake_op_answer_error (op, ERROR_UNKNOWN_EFFECT);
+      fake_op_fail (op, ERROR_UNKNOWN_EFFECT);
       return true;
     case FAKE_KV_LOSE_ANSWER:
       fake_op_apply (op);
-      fake_op_answer_error (op, ERROR_UNKNOWN_EFFECT);
+      fake_op_fail (op, ERROR_UNKNOWN_EFFECT);
       return true;
     case FAKE_KV_LATE:
-      fake_op_make_late (op);
+      fake_op_report_lost (op);
       return true;
     case FAKE_KV_HOLD_REQUEST:
-      op->state = FAKE_OP_HELD;
+      op->state = FAKE_OP_HELD_REQUEST;
       return false;
     case FAKE_KV_HOLD_ANSWER:
       fake_op_apply (op);
-      op->state = FAKE_OP_HELD_ANSWER;
+      op->state = FAKE_OP_HELD_RESPONSE;
       return false;
     }
   return false;
@@ -480,10 +480,10 @@
 static bool
 fake_op_is_ready (const struct FakeOp *op)
 {
-  return op->state == FAKE_OP_WAITING || op->state == FAKE_OP_LATE_RELEASED;
+  return op->state == FAKE_OP_PENDING || op->state == FAKE_OP_LATE_RELEASED;
 }
 
-/* Takes one step of the first request that can go on. */
+/* Advances the first ready request that makes progress. Returns false when none does. */
 static bool
 fake_kv_step (struct FakeKv *kv)
 {
@@ -496,7 +496,7 @@
           fake_op_apply_late (op);
           return true;
         }
-      /* After an answer the list may be another one. */
+      /* The callback may have changed the list. */
       if (fake_op_step (op))
         return true;
     }
@@ -517,13 +517,13 @@
 fake_kv_on_tick (void *data)
 {
   struct FakeKv *kv = data;
-  bool watching = false;
+  bool any_ready = false;
 
   kv->tick = NULL;
   fake_kv_run (kv);
   for (struct FakeOp *op = kv->ops; op != NULL; op = op->next)
-    watching = watching || fake_op_is_ready (op);
-  if (watching && kv->tick == NULL)
+    any_ready = any_ready || fake_op_is_ready (op);
+  if (any_ready && kv->tick == NULL)
     kv->tick = timer_subscribe (kv, kv->timers, FAKE_KV_LATENCY_MS, 0, fake_kv_on_tick, kv);
 }
 
@@ -547,14 +547,14 @@
 
   for (struct FakeOp *op = kv->ops; op != NULL; op = op->next)
     {
-      if (op->state == FAKE_OP_WAITING || op->state == FAKE_OP_LATE_RELEASED)
+      if (op->state == FAKE_OP_PENDING || op->state == FAKE_OP_LATE_RELEASED)
         continue;
       n++;
       if (op->state == FAKE_OP_LATE)
         op->state = FAKE_OP_LATE_RELEASED;
-      else if (op->state == FAKE_OP_HELD)
+      else if (op->state == FAKE_OP_HELD_REQUEST)
         {
-          op->state = FAKE_OP_WAITING;
+          op->state = FAKE_OP_PENDING;
           op->release_fault = fault;
         }
     }
@@ -562,8 +562,8 @@
     {
       struct FakeOp *next = op->next;
 
-      if (op->state == FAKE_OP_HELD_ANSWER)
-        fake_op_answer (op);
+      if (op->state == FAKE_OP_HELD_RESPONSE)
+        fake_op_complete (op);
       op = next;
     }
   if (n > 0)
@@ -594,9 +594,9 @@
   op->done = done;
   op->data = data;
   if (request->op == KV_OP_WATCH)
-    op->until_ms = timer_now_ms (kv->timers) + request->watch.wait_ms;
-  *kv->last = op;
-  kv->last = &op->next;
+    op->deadline_ms = timer_now_ms (kv->timers) + request->watch.wait_ms;
+  *kv->ops_end = op;
+  kv->ops_end = &op->next;
   fake_kv_schedule (kv);
   return ERROR_NONE;
 }
@@ -617,7 +617,7 @@
 
   kv->timers = timers;
   kv->store = store_new (kv);
-  kv->last = &kv->ops;
+  kv->ops_end = &kv->ops;
   return kv;
 }
 
@@ -652,7 +652,7 @@
 
   rule->op = FAKE_KV_ANY_OP;
   rule->key_prefix = talloc_strdup (rule, key_prefix != NULL ? key_prefix : "");
-  rule->left = FAKE_KV_ALWAYS;
+  rule->n_left = FAKE_KV_ALWAYS;
   while (*link != NULL)
     link = &(*link)->next;
   *link = rule;
@@ -667,7 +667,7 @@
 
   rule->op = op;
   rule->fault = fault;
-  rule->left = n;
+  rule->n_left = n;
 }
 
 void
@@ -685,7 +685,7 @@
   const struct StoreKey *present = fake_kv_find (kv, key);
 
   if (present != NULL && entry != NULL)
-    *entry = entry_of (present, false);
+    *entry = entry_from_key (present, false);
   return present != NULL;
 }
 
@@ -693,10 +693,10 @@
 fake_kv_prefix_range (const struct FakeKv *kv, const char *prefix, struct StoreKey *const **first)
 {
   struct Bytes end = prefix_end (NULL, prefix);
-  size_t n = store_range (kv->store, bytes_of_text (prefix), end, first);
+  size_t n = store_range (kv->store, bytes_from_text (prefix), end, first);
 
   if (prefix[0] != '\0')
-    talloc_free ((void *)end.at);
+    talloc_free ((void *)end.data);
   return n;
 }
 
@@ -705,7 +705,7 @@
 {
   struct StoreKey *const *first = NULL;
 
-  return n < fake_kv_prefix_range (kv, prefix, &first) ? (const char *)first[n]->key.at : NULL;
+  return n < fake_kv_prefix_range (kv, prefix, &first) ? (const char *)first[n]->key.data : NULL;
 }
 
 size_t
@@ -720,7 +720,7 @@
 fake_kv_poke (struct FakeKv *kv, const char *key, const void *value, size_t value_bytes)
 {
   store_begin (kv->store);
-  store_put (kv->store, bytes_of_text (key), (struct Bytes){ value, value_bytes }, 0);
+  store_put (kv->store, bytes_from_text (key), (struct Bytes){ value, value_bytes }, 0);
   store_end (kv->store);
   return store_revision (kv->store);
 }
@@ -729,7 +729,7 @@
 fake_kv_remove (struct FakeKv *kv, const char *key)
 {
   store_begin (kv->store);
-  store_delete (kv->store, bytes_of_text (key), (struct Bytes){ (const uint8_t *)"", 0 });
+  store_delete (kv->store, bytes_from_text (key), (struct Bytes){ (const uint8_t *)"", 0 });
   store_end (kv->store);
 }
 
--- a/tests/fakes/fake_operator.c
+++ b/tests/fakes/fake_operator.c
@@ -11,7 +11,7 @@
 {
   LOG_BYTES = 16384,
   BODY_BYTES = 8192,
-  STATUS_SCRIPT_AT_END = 500
+  STATUS_AFTER_LAST_REPLY = 500
 };
 
 struct FakeOperator
@@ -19,11 +19,11 @@
   struct MHD_Daemon *daemon;
   char address[32];
   const struct FakeReply *next;
-  pthread_mutex_t mutex; /* of .next and .log: the server has a thread of its own */
+  pthread_mutex_t mutex; /* guards next and log, which the HTTP server thread uses */
   char log[LOG_BYTES];
 };
 
-/* One request while its body arrives. */
+/* A request whose body is being received. */
 struct FakeRequest
 {
   char body[BODY_BYTES];
@@ -55,10 +55,10 @@
 }
 
 static struct FakeReply
-take_reply (struct FakeOperator *fake,
-            const char *method,
-            const struct FakeRequest *request,
-            const char *authorization)
+log_and_take_reply (struct FakeOperator *fake,
+                    const char *method,
+                    const struct FakeRequest *request,
+                    const char *authorization)
 {
   struct FakeReply reply;
   size_t n;
@@ -72,13 +72,13 @@
   if (reply.body != NULL)
     fake->next++;
   else
-    reply.status = STATUS_SCRIPT_AT_END;
+    reply.status = STATUS_AFTER_LAST_REPLY;
   pthread_mutex_unlock (&fake->mutex);
   return reply;
 }
 
 static enum MHD_Result
-answer (struct MHD_Connection *connection, const struct FakeReply *reply)
+send_reply (struct MHD_Connection *connection, const struct FakeReply *reply)
 {
   const char *body = reply->body != NULL ? reply->body : "";
   struct MHD_Response *response =
@@ -90,14 +90,14 @@
 }
 
 static enum MHD_Result
-handle (void *data,
-        struct MHD_Connection *connection,
-        const char *url,
-        const char *method,
-        const char *version,
-        const char *upload,
-        size_t *upload_bytes,
-        void **context)
+handle_request (void *data,
+                struct MHD_Connection *connection,
+                const char *url,
+                const char *method,
+                const char *version,
+                const char *upload,
+                size_t *upload_bytes,
+                void **context)
 {
   struct FakeOperator *fake = data;
   struct FakeRequest *request = *context;
@@ -115,13 +115,13 @@
       *upload_bytes = 0;
       return MHD_YES;
     }
-  /* The first call comes before the body. */
+  /* libmicrohttpd calls the handler once before the body. */
   if (strcmp (method, "POST") == 0 && request->body[0] == '\0')
     return MHD_YES;
-  reply = take_reply (
+  reply = log_and_take_reply (
       fake, method, request,
       MHD_lookup_connection_value (connection, MHD_HEADER_KIND, MHD_HTTP_HEADER_AUTHORIZATION));
-  return reply.status == 0 ? MHD_NO : answer (connection, &reply);
+  return reply.status == 0 ? MHD_NO : send_reply (connection, &reply);
 }
 
 static int
@@ -147,7 +147,7 @@
   pthread_mutex_init (&fake->mutex, NULL);
   talloc_set_destructor (fake, fake_operator_free);
   fake->daemon =
-      MHD_start_daemon (MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle, fake,
+      MHD_start_daemon (MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle_request, fake,
                         MHD_OPTION_SOCK_ADDR, &loopback, MHD_OPTION_URI_LOG_CALLBACK, begin_request,
                         fake, MHD_OPTION_NOTIFY_COMPLETED, end_request, fake, MHD_OPTION_END);
   info =
--- a/tests/fakes/fake_operator.h
+++ b/tests/fakes/fake_operator.h
@@ -1,5 +1,4 @@
-/* Fake of an instance's operators' interface: answers requests in order from a script and notes
- * each one. */
+/* Fake operator interface of an instance: sends scripted replies in order, logs all requests. */
 #pragma once
 
 #include <stdbool.h>
@@ -9,14 +8,14 @@
 
 struct FakeReply
 {
-  uint32_t status; /* 0: the connection is closed without an answer, the request was taken */
+  uint32_t status; /* 0: closes the connection without a response, after logging the request */
   const char *body;
 };
 
 struct FakeOperator;
 
-/* Serves replies (the last one ends with a NULL body and status 0) on a loopback port until freed.
- * After the last reply everything is answered with status 500. */
+/* Serves replies on a loopback port until freed. An entry with a NULL body ends the list; from then
+ * on every request gets status 500. */
 struct FakeOperator *
 fake_operator_new (TALLOC_CTX *ctx, const struct FakeReply *replies);
 
@@ -24,6 +23,7 @@
 const char *
 fake_operator_address (const struct FakeOperator *fake);
 
-/* What came, a line each: METHOD URL[ BODY][ (AUTHORIZATION)]; belongs to ctx. */
+/* Returns the received requests, one line each: METHOD URL[ BODY][ (AUTHORIZATION)]. The text is
+ * allocated on ctx. */
 char *
 fake_operator_log (struct FakeOperator *fake, TALLOC_CTX *ctx);
--- a/tests/fakes/fake_timer.c
+++ b/tests/fakes/fake_timer.c
@@ -59,7 +59,7 @@
 }
 
 static struct Timer *
-fake_timer_next (struct FakeTimers *fake, int64_t until_ms)
+fake_timer_next_due (struct FakeTimers *fake, int64_t until_ms)
 {
   struct Timer *next = NULL;
 
@@ -77,7 +77,7 @@
   int64_t until_ms = fake->now_ms + ms;
   struct Timer *next;
 
-  while ((next = fake_timer_next (fake, until_ms)) != NULL)
+  while ((next = fake_timer_next_due (fake, until_ms)) != NULL)
     {
       if (next->due_ms > fake->now_ms)
         fake->now_ms = next->due_ms;
--- a/tests/fakes/fake_timer.h
+++ b/tests/fakes/fake_timer.h
@@ -1,4 +1,4 @@
-/* Timer service whose clock a test moves by hand. */
+/* Timer service with a clock that only the test advances. */
 #pragma once
 
 #include <buckthornhead/timer.h>
@@ -6,6 +6,6 @@
 struct TimerService *
 fake_timer_new (TALLOC_CTX *ctx);
 
-/* Moves the clock on by ms, firing what comes due, in order of due time. */
+/* Advances the clock by ms and fires the timers that expire, in order of their due time. */
 void
 fake_timer_advance (struct TimerService *service, int64_t ms);
--- a/tests/fakes/raw_socket.c
+++ b/tests/fakes/raw_socket.c
@@ -10,8 +10,8 @@
 
 enum
 {
-  LIMIT_MS = 5000,
-  STEP_MS = 5
+  TIMEOUT_MS = 5000,
+  POLL_MS = 5
 };
 
 static int64_t
@@ -24,7 +24,10 @@
 }
 
 static void
-on_step (struct tevent_context *events, struct tevent_timer *timer, struct timeval now, void *data)
+on_poll_timeout (struct tevent_context *events,
+                 struct tevent_timer *timer,
+                 struct timeval now,
+                 void *data)
 {
   (void)events;
   (void)timer;
@@ -32,16 +35,16 @@
   *(bool *)data = true;
 }
 
-/* One turn of the loop, at most STEP_MS long. */
+/* Runs the event loop once, for at most POLL_MS. */
 static void
-step (struct tevent_context *events)
+run_loop_once (struct tevent_context *events)
 {
-  bool over = false;
+  bool timed_out = false;
   struct tevent_timer *timer = tevent_add_timer (
-      events, events, tevent_timeval_current_ofs (0, STEP_MS * 1000), on_step, &over);
+      events, events, tevent_timeval_current_ofs (0, POLL_MS * 1000), on_poll_timeout, &timed_out);
 
   tevent_loop_once (events);
-  if (!over)
+  if (!timed_out)
     talloc_free (timer);
 }
 
@@ -84,14 +87,14 @@
 int
 raw_accept (int listen_fd, struct tevent_context *events)
 {
-  int64_t end_ms = now_ms () + LIMIT_MS;
+  int64_t deadline_ms = now_ms () + TIMEOUT_MS;
   int fd = -1;
 
-  while (fd < 0 && now_ms () < end_ms)
+  while (fd < 0 && now_ms () < deadline_ms)
     {
       fd = accept4 (listen_fd, NULL, NULL, SOCK_CLOEXEC);
       if (fd < 0)
-        step (events);
+        run_loop_once (events);
     }
   return fd;
 }
@@ -115,13 +118,13 @@
 void
 raw_reset (int fd)
 {
-  struct linger now = { .l_onoff = 1, .l_linger = 0 };
+  struct linger reset = { .l_onoff = 1, .l_linger = 0 };
 
-  setsockopt (fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  setsockopt (fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   close (fd);
 }
 
-/* Appends what is there. 0: closed, below 0: nothing now. */
+/* Appends the available bytes. Returns 0 when the peer has closed, -1 when there is no data. */
 static ssize_t
 read_some (int fd, char *text, size_t text_bytes)
 {
@@ -137,9 +140,9 @@
 raw_read_until (
     int fd, struct tevent_context *events, const char *wanted, char *text, size_t text_bytes)
 {
-  int64_t end_ms = now_ms () + LIMIT_MS;
+  int64_t deadline_ms = now_ms () + TIMEOUT_MS;
 
-  while (now_ms () < end_ms)
+  while (now_ms () < deadline_ms)
     {
       ssize_t n = read_some (fd, text, text_bytes);
 
@@ -147,7 +150,7 @@
         return true;
       if (n == 0)
         return false;
-      step (events);
+      run_loop_once (events);
     }
   return false;
 }
@@ -155,15 +158,15 @@
 bool
 raw_wait_closed (int fd, struct tevent_context *events)
 {
-  int64_t end_ms = now_ms () + LIMIT_MS;
+  int64_t deadline_ms = now_ms () + TIMEOUT_MS;
   char text[4096];
 
-  while (now_ms () < end_ms)
+  while (now_ms () < deadline_ms)
     {
       text[0] = '\0';
       if (read_some (fd, text, sizeof text) == 0)
         return true;
-      step (events);
+      run_loop_once (events);
     }
   return false;
 }
@@ -171,18 +174,18 @@
 bool
 events_until (struct tevent_context *events, const bool *flag)
 {
-  int64_t end_ms = now_ms () + LIMIT_MS;
+  int64_t deadline_ms = now_ms () + TIMEOUT_MS;
 
-  while (!*flag && now_ms () < end_ms)
-    step (events);
+  while (!*flag && now_ms () < deadline_ms)
+    run_loop_once (events);
   return *flag;
 }
 
 void
 events_for (struct tevent_context *events, int64_t ms)
 {
-  int64_t end_ms = now_ms () + ms;
+  int64_t deadline_ms = now_ms () + ms;
 
-  while (now_ms () < end_ms)
-    step (events);
+  while (now_ms () < deadline_ms)
+    run_loop_once (events);
 }
--- a/tests/fakes/store.c
+++ b/tests/fakes/store.c
@@ -11,7 +11,7 @@
 struct StoreLease
 {
   struct StoreLease *next;
-  int64_t id, ttl_s, lapses_ms;
+  int64_t id, ttl_s, expires_ms;
 };
 
 struct Store
@@ -19,10 +19,10 @@
   struct StoreKey **keys;
   size_t n_keys;
   int64_t revision;
-  bool wrote;
+  bool modified;
   struct StoreLease *leases;
   int64_t next_lease;
-  struct StoreEvent *oldest, **newest_next;
+  struct StoreEvent *first_event, **events_end;
   size_t n_events, event_bytes;
   int64_t compacted;
 };
@@ -30,32 +30,32 @@
 static int
 bytes_compare (struct Bytes a, struct Bytes b)
 {
-  int order = memcmp (a.at, b.at, a.n < b.n ? a.n : b.n);
+  int order = memcmp (a.data, b.data, a.n_bytes < b.n_bytes ? a.n_bytes : b.n_bytes);
 
   if (order != 0)
     return order;
-  return a.n < b.n ? -1 : a.n > b.n;
+  return a.n_bytes < b.n_bytes ? -1 : a.n_bytes > b.n_bytes;
 }
 
 static struct Bytes
 bytes_copy (TALLOC_CTX *ctx, struct Bytes from)
 {
-  uint8_t *at = talloc_array (ctx, uint8_t, from.n + 1);
+  uint8_t *data = talloc_array (ctx, uint8_t, from.n_bytes + 1);
 
-  if (from.n > 0)
-    memcpy (at, from.at, from.n);
-  at[from.n] = '\0';
-  return (struct Bytes){ at, from.n };
+  if (from.n_bytes > 0)
+    memcpy (data, from.data, from.n_bytes);
+  data[from.n_bytes] = '\0';
+  return (struct Bytes){ data, from.n_bytes };
 }
 
 bool
-bytes_in_range (struct Bytes at, struct Bytes key, struct Bytes range_end)
+bytes_in_range (struct Bytes bytes, struct Bytes key, struct Bytes range_end)
 {
-  bool no_end = range_end.n == 1 && range_end.at[0] == 0;
+  bool no_end = range_end.n_bytes == 1 && range_end.data[0] == 0;
 
-  if (range_end.n == 0)
-    return bytes_compare (at, key) == 0;
-  return bytes_compare (at, key) >= 0 && (no_end || bytes_compare (at, range_end) < 0);
+  if (range_end.n_bytes == 0)
+    return bytes_compare (bytes, key) == 0;
+  return bytes_compare (bytes, key) >= 0 && (no_end || bytes_compare (bytes, range_end) < 0);
 }
 
 struct Store *
@@ -65,7 +65,7 @@
 
   store->revision = 1;
   store->next_lease = 1000;
-  store->newest_next = &store->oldest;
+  store->events_end = &store->first_event;
   return store;
 }
 
@@ -78,17 +78,17 @@
 void
 store_begin (struct Store *store)
 {
-  store->wrote = false;
+  store->modified = false;
 }
 
 void
 store_end (struct Store *store)
 {
-  if (store->wrote)
+  if (store->modified)
     store->revision++;
 }
 
-/* Index of the first key that is not below key. */
+/* Returns the index of the first key that is not below key. */
 static size_t
 store_lower_bound (const struct Store *store, struct Bytes key)
 {
@@ -110,16 +110,16 @@
 static void
 store_trim_history (struct Store *store)
 {
-  while (store->oldest != NULL
+  while (store->first_event != NULL
          && (store->n_events > HISTORY_MAX_EVENTS || store->event_bytes > HISTORY_MAX_BYTES))
     {
-      struct StoreEvent *event = store->oldest;
+      struct StoreEvent *event = store->first_event;
 
-      store->oldest = event->next;
-      if (store->oldest == NULL)
-        store->newest_next = &store->oldest;
+      store->first_event = event->next;
+      if (store->first_event == NULL)
+        store->events_end = &store->first_event;
       store->n_events--;
-      store->event_bytes -= event->kv.value.n;
+      store->event_bytes -= event->kv.value.n_bytes;
       store->compacted = event->kv.mod_revision;
       talloc_free (event);
     }
@@ -138,10 +138,10 @@
     }
   event->kv.key = bytes_copy (event, kv->key);
   event->kv.mod_revision = store->revision + 1;
-  *store->newest_next = event;
-  store->newest_next = &event->next;
+  *store->events_end = event;
+  store->events_end = &event->next;
   store->n_events++;
-  store->event_bytes += event->kv.value.n;
+  store->event_bytes += event->kv.value.n_bytes;
   store_trim_history (store);
 }
 
@@ -182,12 +182,12 @@
     kv = store->keys[i];
   else
     kv = store_insert (store, i, key);
-  talloc_free ((void *)kv->value.at);
+  talloc_free ((void *)kv->value.data);
   kv->value = bytes_copy (kv, value);
   kv->mod_revision = store->revision + 1;
   kv->version++;
   kv->lease = lease;
-  store->wrote = true;
+  store->modified = true;
   store_add_event (store, kv, false);
   return true;
 }
@@ -202,7 +202,7 @@
   for (size_t j = i; j < store->n_keys; j++)
     store->keys[j] = store->keys[j + 1];
   talloc_free (kv);
-  store->wrote = true;
+  store->modified = true;
 }
 
 size_t
@@ -241,7 +241,7 @@
 
   lease->id = store->next_lease++;
   lease->ttl_s = ttl_s;
-  lease->lapses_ms = now_ms + ttl_s * 1000;
+  lease->expires_ms = now_ms + ttl_s * 1000;
   lease->next = store->leases;
   store->leases = lease;
   return lease->id;
@@ -254,7 +254,7 @@
 
   if (lease == NULL)
     return 0;
-  lease->lapses_ms = now_ms + lease->ttl_s * 1000;
+  lease->expires_ms = now_ms + lease->ttl_s * 1000;
   return lease->ttl_s;
 }
 
@@ -289,7 +289,7 @@
     {
       struct StoreLease *next = lease->next;
 
-      if (lease->lapses_ms <= now_ms)
+      if (lease->expires_ms <= now_ms)
         {
           store_revoke (store, lease->id);
           n++;
@@ -302,7 +302,7 @@
 const struct StoreEvent *
 store_events (const struct Store *store)
 {
-  return store->oldest;
+  return store->first_event;
 }
 
 int64_t
--- a/tests/fakes/store.h
+++ b/tests/fakes/store.h
@@ -1,7 +1,7 @@
-/* A key-value store in memory: ordered keys with revisions, leases and a bounded history. The fake
- * port and the stand-in platform are two faces of it.
+/* In-memory key-value store with ordered keys, revisions, leases and a bounded history. Used by
+ * fake_kv and by the platform stand-in.
  *
- * Not locked: its user holds a lock around every call. */
+ * Not thread-safe: a threaded caller holds its own lock during every call. */
 #pragma once
 
 #include <stdbool.h>
@@ -10,11 +10,11 @@
 
 #include <talloc.h>
 
-/* A key or a value; keys are ordered by byte. */
+/* A key or a value; keys are in byte order. */
 struct Bytes
 {
-  const uint8_t *at;
-  size_t n;
+  const uint8_t *data;
+  size_t n_bytes;
 };
 
 struct StoreKey
@@ -26,7 +26,7 @@
 struct StoreEvent
 {
   struct StoreEvent *next;
-  struct StoreKey kv; /* without a value when deleted */
+  struct StoreKey kv; /* only key and mod_revision when deleted */
   bool deleted;
 };
 
@@ -37,39 +37,41 @@
 int64_t
 store_revision (const struct Store *store);
 
-/* Writes between begin and end share one revision. */
+/* Writes between store_begin and store_end share one revision. */
 void
 store_begin (struct Store *store);
 void
 store_end (struct Store *store);
 
-/* False when lease is neither 0 nor a live lease. */
+/* Returns false when lease is neither 0 nor a live lease. */
 bool
 store_put (struct Store *store, struct Bytes key, struct Bytes value, int64_t lease);
-/* Keys from key up to range_end; an empty range_end means key alone, one zero byte no end. */
+/* Deletes the keys from key up to, excluding, range_end and returns their number. An empty
+ * range_end means key alone, a single zero byte all keys from key on. */
 size_t
 store_delete (struct Store *store, struct Bytes key, struct Bytes range_end);
-/* Returns how many keys are in the range, *first being the first of them. */
+/* Returns the number of keys in the range and sets *first to the first of them. */
 size_t
 store_range (const struct Store *store,
              struct Bytes key,
              struct Bytes range_end,
              struct StoreKey *const **first);
 bool
-bytes_in_range (struct Bytes at, struct Bytes key, struct Bytes range_end);
+bytes_in_range (struct Bytes bytes, struct Bytes key, struct Bytes range_end);
 
 int64_t
 store_grant (struct Store *store, int64_t ttl_s, int64_t now_ms);
-/* Returns the time to live in seconds, 0 for a lease that is gone. */
+/* Returns the time to live in seconds, 0 for an expired or unknown lease. */
 int64_t
 store_keepalive (struct Store *store, int64_t lease, int64_t now_ms);
 bool
 store_revoke (struct Store *store, int64_t lease);
-/* Removes lapsed leases with their keys. Returns how many there were. */
+/* Removes expired leases and their keys. Returns the number of leases removed. */
 size_t
 store_expire (struct Store *store, int64_t now_ms);
 
-/* Oldest kept event, in order of revision; and the highest revision no longer kept. */
+/* Returns the oldest retained event; the list is in order of revision. store_compacted returns the
+ * revision of the last event that was discarded. */
 const struct StoreEvent *
 store_events (const struct Store *store);
 int64_t
--- a/tests/standins/platform_gateway.c
+++ b/tests/standins/platform_gateway.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  CODE_NOT_FOUND = 5 /* of the gateway's error answers */
+  CODE_NOT_FOUND = 5 /* gRPC status code in error responses */
 };
 
 struct GatewayPath
@@ -40,9 +40,9 @@
   return json_pack ("{s:s, s:i, s:s}", "error", message, "code", (int)code, "message", message);
 }
 
-/* 64-bit numbers come as strings or as numbers. */
+/* Reads a 64-bit integer, which the gateway accepts as a string or as a number. */
 static int64_t
-number_of (const json_t *object, const char *name)
+get_number (const json_t *object, const char *name)
 {
   const json_t *value = json_object_get (object, name);
 
@@ -57,21 +57,21 @@
   char text[24];
 
   if (value == 0)
-    return; /* the gateway leaves zero values out */
+    return; /* the gateway omits zero values */
   snprintf (text, sizeof text, "%lld", (long long)value);
   json_object_set_new (object, name, json_string (text));
 }
 
 static struct Bytes
-bytes_of (TALLOC_CTX *ctx, const json_t *object, const char *name)
+get_bytes (TALLOC_CTX *ctx, const json_t *object, const char *name)
 {
   const char *text = json_string_value (json_object_get (object, name));
   struct Bytes bytes = { (const uint8_t *)"", 0 };
   size_t n = 0;
-  uint8_t *at = text != NULL ? base64_bytes (ctx, text, &n) : NULL;
+  uint8_t *data = text != NULL ? base64_bytes (ctx, text, &n) : NULL;
 
-  if (at != NULL)
-    bytes = (struct Bytes){ at, n };
+  if (data != NULL)
+    bytes = (struct Bytes){ data, n };
   return bytes;
 }
 
@@ -80,9 +80,9 @@
 {
   char *text = NULL;
 
-  if (bytes.n == 0)
+  if (bytes.n_bytes == 0)
     return;
-  text = base64_text (NULL, bytes.at, bytes.n);
+  text = base64_text (NULL, bytes.data, bytes.n_bytes);
   json_object_set_new (object, name, json_string (text));
   talloc_free (text);
 }
@@ -97,7 +97,7 @@
 }
 
 static json_t *
-answer_new (const struct Store *store)
+response_new (const struct Store *store)
 {
   return json_pack ("{s:o}", "header", header_json (store_revision (store)));
 }
@@ -121,81 +121,82 @@
 gateway_range (struct Store *store, TALLOC_CTX *ctx, const json_t *request)
 {
   struct StoreKey *const *first = NULL;
-  size_t n = store_range (store, bytes_of (ctx, request, "key"),
-                          bytes_of (ctx, request, "range_end"), &first);
-  size_t limit = (size_t)number_of (request, "limit");
-  size_t n_given = limit > 0 && limit < n ? limit : n;
+  size_t n = store_range (store, get_bytes (ctx, request, "key"),
+                          get_bytes (ctx, request, "range_end"), &first);
+  size_t limit = (size_t)get_number (request, "limit");
+  size_t n_returned = limit > 0 && limit < n ? limit : n;
   bool keys_only = json_is_true (json_object_get (request, "keys_only"));
-  json_t *answer = answer_new (store);
+  json_t *response = response_new (store);
   json_t *kvs = json_array ();
 
-  for (size_t i = 0; i < n_given; i++)
+  for (size_t i = 0; i < n_returned; i++)
     json_array_append_new (kvs, kv_json (first[i], keys_only));
-  if (n_given > 0)
-    json_object_set (answer, "kvs", kvs);
+  if (n_returned > 0)
+    json_object_set (response, "kvs", kvs);
   json_decref (kvs);
-  set_number (answer, "count", (int64_t)n);
-  if (n_given < n)
-    json_object_set_new (answer, "more", json_true ());
-  return answer;
+  set_number (response, "count", (int64_t)n);
+  if (n_returned < n)
+    json_object_set_new (response, "more", json_true ());
+  return response;
 }
 
 static bool
 gateway_put (struct Store *store, TALLOC_CTX *ctx, const json_t *request)
 {
-  return store_put (store, bytes_of (ctx, request, "key"), bytes_of (ctx, request, "value"),
-                    number_of (request, "lease"));
+  return store_put (store, get_bytes (ctx, request, "key"), get_bytes (ctx, request, "value"),
+                    get_number (request, "lease"));
 }
 
 static size_t
 gateway_delete (struct Store *store, TALLOC_CTX *ctx, const json_t *request)
 {
-  return store_delete (store, bytes_of (ctx, request, "key"), bytes_of (ctx, request, "range_end"));
+  return store_delete (store, get_bytes (ctx, request, "key"),
+                       get_bytes (ctx, request, "range_end"));
 }
 
 static bool
 gateway_compare (struct Store *store, TALLOC_CTX *ctx, const json_t *compare)
 {
   struct StoreKey *const *first = NULL;
-  struct Bytes one = { (const uint8_t *)"", 0 };
-  bool exists = store_range (store, bytes_of (ctx, compare, "key"), one, &first) > 0;
+  struct Bytes key_only = { (const uint8_t *)"", 0 };
+  bool exists = store_range (store, get_bytes (ctx, compare, "key"), key_only, &first) > 0;
   const char *target = json_string_value (json_object_get (compare, "target"));
   const char *result = json_string_value (json_object_get (compare, "result"));
   int64_t actual = 0;
-  int64_t wanted = 0;
+  int64_t expected = 0;
 
   if (target == NULL || strcmp (target, "VERSION") == 0)
     {
       actual = exists ? first[0]->version : 0;
-      wanted = number_of (compare, "version");
+      expected = get_number (compare, "version");
     }
   else if (strcmp (target, "CREATE") == 0)
     {
       actual = exists ? first[0]->create_revision : 0;
-      wanted = number_of (compare, "create_revision");
+      expected = get_number (compare, "create_revision");
     }
   else
     {
       actual = exists ? first[0]->mod_revision : 0;
-      wanted = number_of (compare, "mod_revision");
+      expected = get_number (compare, "mod_revision");
     }
   if (result == NULL || strcmp (result, "EQUAL") == 0)
-    return actual == wanted;
+    return actual == expected;
   if (strcmp (result, "GREATER") == 0)
-    return actual > wanted;
+    return actual > expected;
   if (strcmp (result, "LESS") == 0)
-    return actual < wanted;
-  return actual != wanted;
+    return actual < expected;
+  return actual != expected;
 }
 
-/* One request of a transaction's branch; NULL when a lease is gone. */
+/* Executes one operation of a transaction. Returns NULL when the lease of a put does not exist. */
 static json_t *
 gateway_branch_op (struct Store *store, TALLOC_CTX *ctx, const json_t *op)
 {
   const json_t *put = json_object_get (op, "request_put");
   const json_t *range = json_object_get (op, "request_range");
   const json_t *delete_range = json_object_get (op, "request_delete_range");
-  json_t *inner = NULL;
+  json_t *deleted = NULL;
 
   if (put != NULL)
     {
@@ -206,79 +207,79 @@
     }
   if (range != NULL)
     return json_pack ("{s:o}", "response_range", gateway_range (store, ctx, range));
-  inner = json_object ();
-  set_number (inner, "deleted", (int64_t)gateway_delete (store, ctx, delete_range));
-  return json_pack ("{s:o}", "response_delete_range", inner);
+  deleted = json_object ();
+  set_number (deleted, "deleted", (int64_t)gateway_delete (store, ctx, delete_range));
+  return json_pack ("{s:o}", "response_delete_range", deleted);
 }
 
 static uint32_t
 gateway_txn (
-    struct Store *store, TALLOC_CTX *ctx, const json_t *request, json_t **answer, bool *conflict)
+    struct Store *store, TALLOC_CTX *ctx, const json_t *request, json_t **response, bool *conflict)
 {
   const json_t *compares = json_object_get (request, "compare");
-  const json_t *branch = NULL;
+  const json_t *operations = NULL;
   json_t *responses = json_array ();
   bool holds = true;
-  bool lease_gone = false;
+  bool lease_missing = false;
 
   for (size_t i = 0; i < json_array_size (compares); i++)
     holds = holds && gateway_compare (store, ctx, json_array_get (compares, i));
   *conflict = !holds;
-  branch = json_object_get (request, holds ? "success" : "failure");
+  operations = json_object_get (request, holds ? "success" : "failure");
   store_begin (store);
-  for (size_t i = 0; i < json_array_size (branch) && !lease_gone; i++)
+  for (size_t i = 0; i < json_array_size (operations) && !lease_missing; i++)
     {
-      json_t *response = gateway_branch_op (store, ctx, json_array_get (branch, i));
+      json_t *op_response = gateway_branch_op (store, ctx, json_array_get (operations, i));
 
-      lease_gone = response == NULL;
-      if (!lease_gone)
-        json_array_append_new (responses, response);
+      lease_missing = op_response == NULL;
+      if (!lease_missing)
+        json_array_append_new (responses, op_response);
     }
   store_end (store);
-  if (lease_gone)
+  if (lease_missing)
     {
       json_decref (responses);
-      *answer = gateway_error (CODE_NOT_FOUND, "etcdserver: requested lease not found");
+      *response = gateway_error (CODE_NOT_FOUND, "etcdserver: requested lease not found");
       return 404;
     }
-  *answer = answer_new (store);
+  *response = response_new (store);
   if (holds)
-    json_object_set_new (*answer, "succeeded", json_true ());
-  json_object_set_new (*answer, "responses", responses);
+    json_object_set_new (*response, "succeeded", json_true ());
+  json_object_set_new (*response, "responses", responses);
   return 200;
 }
 
 static uint32_t
 gateway_lease (
-    struct Store *store, const char *path, const json_t *request, int64_t now_ms, json_t **answer)
+    struct Store *store, const char *path, const json_t *request, int64_t now_ms, json_t **response)
 {
-  int64_t id = number_of (request, "ID");
+  int64_t id = get_number (request, "ID");
 
   if (strcmp (path, "/v3/lease/grant") == 0)
     {
-      int64_t ttl_s = number_of (request, "TTL");
+      int64_t ttl_s = get_number (request, "TTL");
 
       id = store_grant (store, ttl_s, now_ms);
-      *answer = answer_new (store);
-      set_number (*answer, "ID", id);
-      set_number (*answer, "TTL", ttl_s);
+      *response = response_new (store);
+      set_number (*response, "ID", id);
+      set_number (*response, "TTL", ttl_s);
       return 200;
     }
   if (strcmp (path, "/v3/lease/keepalive") == 0)
     {
-      json_t *result = answer_new (store);
+      json_t *result = response_new (store);
 
       set_number (result, "ID", id);
       set_number (result, "TTL", store_keepalive (store, id, now_ms));
-      *answer = json_pack ("{s:o}", "result", result);
+      *response = json_pack ("{s:o}", "result", result);
       return 200;
     }
   if (!store_revoke (store, id))
     {
-      *answer = gateway_error (CODE_NOT_FOUND, "etcdserver: requested lease not found");
+      *response = gateway_error (CODE_NOT_FOUND, "etcdserver: requested lease not found");
       return 404;
     }
-  *answer = answer_new (store);
+  *response = response_new (store);
   return 200;
 }
 
@@ -287,7 +288,7 @@
               const char *path,
               const json_t *request,
               int64_t now_ms,
-              json_t **answer,
+              json_t **response,
               bool *conflict)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
@@ -295,9 +296,9 @@
 
   *conflict = false;
   if (strcmp (path, "/v3/kv/range") == 0)
-    *answer = gateway_range (store, ctx, request);
+    *response = gateway_range (store, ctx, request);
   else if (strcmp (path, "/v3/kv/txn") == 0)
-    status = gateway_txn (store, ctx, request, answer, conflict);
+    status = gateway_txn (store, ctx, request, response, conflict);
   else if (strcmp (path, "/v3/kv/put") == 0)
     {
       bool put = false;
@@ -306,8 +307,8 @@
       put = gateway_put (store, ctx, request);
       store_end (store);
       status = put ? 200 : 404;
-      *answer = put ? answer_new (store)
-                    : gateway_error (CODE_NOT_FOUND, "etcdserver: requested lease not found");
+      *response = put ? response_new (store)
+                      : gateway_error (CODE_NOT_FOUND, "etcdserver: requested lease not found");
     }
   else if (strcmp (path, "/v3/kv/deleterange") == 0)
     {
@@ -316,11 +317,11 @@
       store_begin (store);
       n = gateway_delete (store, ctx, request);
       store_end (store);
-      *answer = answer_new (store);
-      set_number (*answer, "deleted", (int64_t)n);
+      *response = response_new (store);
+      set_number (*response, "deleted", (int64_t)n);
     }
   else
-    status = gateway_lease (store, path, request, now_ms, answer);
+    status = gateway_lease (store, path, request, now_ms, response);
   talloc_free (ctx);
   return status;
 }
@@ -335,9 +336,9 @@
 
   if (create == NULL)
     return false;
-  watch->key = bytes_of (ctx, create, "key");
-  watch->range_end = bytes_of (ctx, create, "range_end");
-  watch->next_revision = number_of (create, "start_revision");
+  watch->key = get_bytes (ctx, create, "key");
+  watch->range_end = get_bytes (ctx, create, "range_end");
+  watch->next_revision = get_number (create, "start_revision");
   if (watch->next_revision == 0)
     watch->next_revision = store_revision (store) + 1;
   return true;
@@ -346,7 +347,7 @@
 json_t *
 gateway_watch_created (const struct Store *store)
 {
-  json_t *result = answer_new (store);
+  json_t *result = response_new (store);
 
   json_object_set_new (result, "created", json_true ());
   return json_pack ("{s:o}", "result", result);
@@ -360,7 +361,7 @@
 
   if (watch->next_revision <= store_compacted (store))
     {
-      result = answer_new (store);
+      result = response_new (store);
       json_object_set_new (result, "canceled", json_true ());
       set_number (result, "compact_revision", store_compacted (store));
       watch->next_revision = store_revision (store) + 1;
@@ -385,7 +386,7 @@
       json_decref (events);
       return NULL;
     }
-  result = answer_new (store);
+  result = response_new (store);
   json_object_set_new (result, "events", events);
   return json_pack ("{s:o}", "result", result);
 }
--- a/tests/standins/platform_gateway.h
+++ b/tests/standins/platform_gateway.h
@@ -1,4 +1,4 @@
-/* The published JSON gateway of the key-value service, over the stand-in's store. */
+/* JSON gateway of the etcd API (v3), served from a Store. */
 #pragma once
 
 #include "fakes/store.h"
@@ -17,20 +17,20 @@
 enum GatewayKind
 gateway_kind (const char *path);
 
-/* Does one unary call; returns the HTTP status and gives a new answer. *conflict is set when the
- * conditions of a transaction did not hold. */
+/* Executes a unary call. Returns the HTTP status and sets *response to a new reference. *conflict
+ * is true when the conditions of a transaction did not hold. */
 uint32_t
 gateway_call (struct Store *store,
               const char *path,
               const json_t *request,
               int64_t now_ms,
-              json_t **answer,
+              json_t **response,
               bool *conflict);
 
 json_t *
 gateway_error (int32_t code, const char *message);
 
-/* What a watch's create_request asks for; both byte strings belong to ctx. */
+/* Position of a watch. gateway_watch_parse allocates both byte strings on its ctx. */
 struct GatewayWatch
 {
   struct Bytes key, range_end;
@@ -43,6 +43,7 @@
                      struct GatewayWatch *watch);
 json_t *
 gateway_watch_created (const struct Store *store);
-/* The events since next_revision, which it moves on; NULL when there are none. */
+/* Returns a message with the events from next_revision on, or the cancellation of the watch when
+ * these are compacted, and advances next_revision. Returns NULL when there are no events. */
 json_t *
 gateway_watch_next (const struct Store *store, struct GatewayWatch *watch);
