--- a/tests/standins/engine.c
+++ b/tests/standins/engine.c
@@ -12,7 +12,7 @@
 {
   struct EngineOptions options;
   struct EngineModel *model;
-  pthread_mutex_t lock; /* of the orders */
+  pthread_mutex_t lock; /* guards fencing and orders */
   int64_t fencing;
   json_t *orders;
 };
@@ -29,17 +29,17 @@
   json_t *body = json_loads (request->body, 0, NULL);
   const char *program = json_string_value (json_object_get (body, "program"));
   struct EngineFaults *faults = engine_model_lock_faults (engine->model);
-  bool ignored = faults->ignore_release;
-  bool lost = faults->lose_release > 0;
+  bool ignore = faults->ignore_release;
+  bool lose = faults->lose_release > 0;
   enum MHD_Result result;
 
-  faults->lose_release -= lost;
+  faults->lose_release -= lose;
   engine_model_unlock_faults (engine->model);
-  if (lost)
+  if (lose)
     result = MHD_NO;
   else if (program == NULL)
     result = engine_reply_error (request, MHD_HTTP_BAD_REQUEST, "no program in the body");
-  else if (ignored)
+  else if (ignore)
     result = engine_reply_error (request, MHD_HTTP_SERVICE_UNAVAILABLE, "release ignored");
   else
     result =
@@ -86,7 +86,7 @@
 }
 
 static enum MHD_Result
-engine_take_order (struct Engine *engine, struct StandinRequest *request)
+engine_accept_order (struct Engine *engine, struct StandinRequest *request)
 {
   json_t *order = json_loads (request->body, 0, NULL);
   json_int_t fencing = json_integer_value (json_object_get (order, "fencing"));
@@ -98,7 +98,7 @@
       json_decref (order);
       result = standin_reply_json (request, MHD_HTTP_CONFLICT,
                                    json_pack ("{s:{s:s}, s:I}", "error", "message",
-                                              "old fencing number", "fencing", engine->fencing));
+                                              "stale fencing number", "fencing", engine->fencing));
       goto out;
     }
   if (fencing > engine->fencing)
@@ -151,14 +151,14 @@
 static enum MHD_Result
 engine_control (struct Engine *engine, struct StandinRequest *request)
 {
-  json_t *wanted = json_loads (request->body, 0, NULL);
+  json_t *settings = json_loads (request->body, 0, NULL);
   struct EngineFaults *faults = engine_model_lock_faults (engine->model);
   const char *name;
   json_t *value;
 
-  json_object_foreach (wanted, name, value) { engine_set_fault (faults, name, value); }
+  json_object_foreach (settings, name, value) { engine_set_fault (faults, name, value); }
   engine_model_unlock_faults (engine->model);
-  json_decref (wanted);
+  json_decref (settings);
   return standin_reply_json (request, MHD_HTTP_OK, json_pack ("{s:b}", "set", 1));
 }
 
@@ -178,7 +178,7 @@
   if (standin_is (request, "GET", "/held"))
     return engine_reply_held (engine, request);
   if (standin_is (request, "POST", "/orders"))
-    return engine_take_order (engine, request);
+    return engine_accept_order (engine, request);
   if (standin_is (request, "GET", "/orders"))
     return engine_reply_orders (engine, request);
   if (standin_is (request, "GET", "/log"))
@@ -266,7 +266,9 @@
   options.incarnation = incarnation;
   if (!engine_parse_options (argc, argv, &options, &listen))
     {
-      fprintf (stderr, "engine: bad options; run without arguments for the list\n");
+      fprintf (
+          stderr,
+          "engine: invalid options; --listen is required, rates and batch size must be positive\n");
       return 2;
     }
   engine.options = options;
--- a/tests/standins/engine_cache.c
+++ b/tests/standins/engine_cache.c
@@ -5,8 +5,8 @@
 enum
 {
   N_BUCKETS = 8192,
-  N_EVENTS_KEPT = 2048,
-  EVENT_GAP = 17 /* every so many-th event is never published */
+  EVENTS_MAX = 2048,
+  EVENT_GAP = 17 /* every EVENT_GAP-th event is never published */
 };
 
 struct CacheEntry
@@ -14,14 +14,14 @@
   struct EngineSegment segment;
   struct CacheEntry *next_in_bucket;
   struct CacheEntry *newer, *older;
-  char **programs; /* talloc array, child of the entry */
+  char **programs; /* programs that hold the entry; a talloc array, child of the entry */
 };
 
 struct CacheEvent
 {
   uint64_t number;
-  int64_t when_ms;
-  bool stored; /* else evicted or released */
+  int64_t time_ms;
+  bool stored; /* otherwise evicted or released */
   struct EngineSegment segment;
 };
 
@@ -30,7 +30,7 @@
   uint64_t capacity_tokens, used_tokens;
   struct CacheEntry *buckets[N_BUCKETS];
   struct CacheEntry *newest, *oldest;
-  struct CacheEvent events[N_EVENTS_KEPT];
+  struct CacheEvent events[EVENTS_MAX];
   uint64_t last_event;
   int64_t now_ms;
 };
@@ -52,14 +52,14 @@
 }
 
 static void
-cache_note (struct EngineCache *cache, const struct CacheEntry *entry, bool stored)
+cache_record_event (struct EngineCache *cache, const struct CacheEntry *entry, bool stored)
 {
   struct CacheEvent *event;
 
   cache->last_event++;
-  event = &cache->events[cache->last_event % N_EVENTS_KEPT];
+  event = &cache->events[cache->last_event % EVENTS_MAX];
   event->number = cache->last_event;
-  event->when_ms = cache->now_ms;
+  event->time_ms = cache->now_ms;
   event->stored = stored;
   event->segment = entry->segment;
 }
@@ -67,11 +67,11 @@
 static struct CacheEntry **
 cache_find (struct EngineCache *cache, uint64_t hash)
 {
-  struct CacheEntry **at = &cache->buckets[hash % N_BUCKETS];
+  struct CacheEntry **link = &cache->buckets[hash % N_BUCKETS];
 
-  while (*at != NULL && (*at)->segment.hash != hash)
-    at = &(*at)->next_in_bucket;
-  return at;
+  while (*link != NULL && (*link)->segment.hash != hash)
+    link = &(*link)->next_in_bucket;
+  return link;
 }
 
 static void
@@ -106,12 +106,12 @@
   *cache_find (cache, entry->segment.hash) = entry->next_in_bucket;
   cache_unlink (cache, entry);
   cache->used_tokens -= entry->segment.tokens;
-  cache_note (cache, entry, false);
+  cache_record_event (cache, entry, false);
   talloc_free (entry);
 }
 
 static size_t
-entry_index_of (const struct CacheEntry *entry, const char *program)
+entry_program_index (const struct CacheEntry *entry, const char *program)
 {
   size_t n = talloc_array_length (entry->programs);
 
@@ -122,9 +122,9 @@
 }
 
 static bool
-entry_held_by (const struct CacheEntry *entry, const char *program)
+entry_is_held_by (const struct CacheEntry *entry, const char *program)
 {
-  return entry_index_of (entry, program) < talloc_array_length (entry->programs);
+  return entry_program_index (entry, program) < talloc_array_length (entry->programs);
 }
 
 static void
@@ -132,7 +132,7 @@
 {
   size_t n = talloc_array_length (entry->programs);
 
-  if (program[0] == '\0' || entry_held_by (entry, program))
+  if (program[0] == '\0' || entry_is_held_by (entry, program))
     return;
   entry->programs = talloc_realloc (entry, entry->programs, char *, n + 1);
   entry->programs[n] = talloc_strdup (entry->programs, program);
@@ -142,7 +142,7 @@
 entry_remove_program (struct CacheEntry *entry, const char *program)
 {
   size_t n = talloc_array_length (entry->programs);
-  size_t i = entry_index_of (entry, program);
+  size_t i = entry_program_index (entry, program);
 
   if (i == n)
     return;
@@ -169,13 +169,13 @@
 cache_insert (struct EngineCache *cache, const struct EngineSegment *segment)
 {
   struct CacheEntry *entry = talloc_zero (cache, struct CacheEntry);
-  struct CacheEntry **at = cache_find (cache, segment->hash);
+  struct CacheEntry **link = cache_find (cache, segment->hash);
 
   entry->segment = *segment;
-  *at = entry;
+  *link = entry;
   cache_link_newest (cache, entry);
   cache->used_tokens += segment->tokens;
-  cache_note (cache, entry, true);
+  cache_record_event (cache, entry, true);
 }
 
 void
@@ -184,7 +184,7 @@
                     size_t n,
                     const char *program)
 {
-  /* From the end, so that the start of a prompt is the newest and goes last. */
+  /* From the end, so that the start of a prompt is the most recently used and is evicted last. */
   for (size_t i = n; i-- > 0;)
     {
       struct CacheEntry *entry;
@@ -209,7 +209,7 @@
   for (struct CacheEntry *entry = cache->newest; entry != NULL; entry = next)
     {
       next = entry->older;
-      if (!entry_held_by (entry, program))
+      if (!entry_is_held_by (entry, program))
         continue;
       entry_remove_program (entry, program);
       if (talloc_array_length (entry->programs) == 0)
@@ -224,7 +224,7 @@
   uint64_t tokens = 0;
 
   for (struct CacheEntry *entry = cache->newest; entry != NULL; entry = entry->older)
-    if (entry_held_by (entry, program))
+    if (entry_is_held_by (entry, program))
       tokens += entry->segment.tokens;
   return tokens;
 }
@@ -258,13 +258,13 @@
   json_t *events = json_array ();
   uint64_t first = after + 1;
 
-  if (cache->last_event > N_EVENTS_KEPT && first <= cache->last_event - N_EVENTS_KEPT)
-    first = cache->last_event - N_EVENTS_KEPT + 1;
+  if (cache->last_event > EVENTS_MAX && first <= cache->last_event - EVENTS_MAX)
+    first = cache->last_event - EVENTS_MAX + 1;
   for (uint64_t n = first; n <= cache->last_event; n++)
     {
-      const struct CacheEvent *event = &cache->events[n % N_EVENTS_KEPT];
+      const struct CacheEvent *event = &cache->events[n % EVENTS_MAX];
 
-      if (event->when_ms > before_ms)
+      if (event->time_ms > before_ms)
         break;
       if (n % EVENT_GAP != 0)
         json_array_append_new (events, cache_event_json (event));
--- a/tests/standins/engine_cache.h
+++ b/tests/standins/engine_cache.h
@@ -1,7 +1,8 @@
-/* Prefix cache of the engine stand-in: limited memory, least recently used goes first.
+/* Prefix cache of the engine stand-in, with limited memory and LRU eviction.
  *
- * A prompt is a chain of segments, one a message; a segment's hash covers everything before it.
- * Not thread-safe: the engine's lock guards it. */
+ * A prompt is a chain of segments, one per message; the hash of a segment also covers all segments
+ * before it.
+ * Not thread-safe: guarded by the lock of the engine model. */
 #pragma once
 
 #include <stdbool.h>
@@ -22,18 +23,19 @@
 struct EngineCache *
 engine_cache_new (TALLOC_CTX *ctx, uint64_t capacity_tokens);
 
-/* Tokens of the longest cached run of segments from the start. */
+/* Returns the number of tokens of the longest cached prefix of segments. */
 uint32_t
 engine_cache_match (struct EngineCache *cache, const struct EngineSegment *segments, size_t n);
 
-/* Holds segments for program ("" for nobody), evicting others as needed. */
+/* Stores segments, held by program ("": by none), and evicts the least recently used ones as
+ * needed. */
 void
 engine_cache_store (struct EngineCache *cache,
                     const struct EngineSegment *segments,
                     size_t n,
                     const char *program);
 
-/* Drops what only program holds. Tokens freed. */
+/* Drops the segments that only program holds. Returns the number of tokens freed. */
 uint64_t
 engine_cache_release (struct EngineCache *cache, const char *program);
 uint64_t
@@ -41,12 +43,13 @@
 uint64_t
 engine_cache_used_tokens (const struct EngineCache *cache);
 
-/* Cache events are numbered from 1 and published late and with gaps. */
+/* Returns the number of the last event. Events are numbered from 1; they are published late and
+ * with gaps. */
 uint64_t
 engine_cache_last_event (const struct EngineCache *cache);
-/* Events after `after` that happened before before_ms, without every EVENT_GAP-th. */
+/* Returns the events after number `after` up to the time before_ms, without every EVENT_GAP-th. */
 json_t *
 engine_cache_events (const struct EngineCache *cache, uint64_t after, int64_t before_ms);
-/* The engine's clock, for stamping events. */
+/* Sets the time that later events are stamped with. */
 void
 engine_cache_set_time (struct EngineCache *cache, int64_t now_ms);
--- a/tests/standins/engine_completion.c
+++ b/tests/standins/engine_completion.c
@@ -9,11 +9,11 @@
 enum
 {
   BYTES_PER_TOKEN = 4,
-  TOKENS_PER_MESSAGE = 4, /* for its role and framing */
+  TOKENS_PER_MESSAGE = 4, /* overhead of a message for its role and framing */
   ANSWER_TOKENS_MIN = 8,
   ANSWER_TOKENS_SPREAD = 24,
   MAX_TOKENS_DEFAULT = 4096,
-  WAIT_MS = 50, /* between looks whether the client has gone */
+  WAIT_MS = 50, /* between checks whether the client has disconnected */
   STREAM_BLOCK_BYTES = 4096
 };
 
@@ -26,11 +26,11 @@
   struct EngineCall call;
   uint64_t hash; /* of the prompt */
   uint32_t turn;
-  bool limited; /* max_tokens cut the answer */
+  bool truncated; /* max_tokens truncates the answer */
   bool close_mid_stream, close_after_run;
   uint32_t sent_tokens;
   bool ended;
-  char *pending; /* bytes of the stream not yet given to microhttpd */
+  char *pending; /* bytes of the stream; those after pending_sent are still to be sent */
   size_t pending_bytes, pending_sent;
 };
 
@@ -40,7 +40,7 @@
   return (uint32_t)(TOKENS_PER_MESSAGE + (n_bytes + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN);
 }
 
-/* Token i of the answer: "answer <hash> turn n" and then numbered words. */
+/* Writes token i of the answer: "answer <hash> turn n", followed by numbered words. */
 static void
 completion_token (const struct Completion *completion, uint32_t i, char token[32])
 {
@@ -118,7 +118,8 @@
   completion->hash = hash;
 }
 
-/* Length of the answer: by the prompt's hash, within min_tokens and max_tokens. */
+/* Derives the length of the answer from the hash of the prompt, within min_tokens and max_tokens. A
+ * length set as a fault overrides min_tokens. */
 static void
 completion_set_length (struct Completion *completion, const json_t *body, uint32_t answer_tokens)
 {
@@ -136,14 +137,14 @@
     target = min;
   if (answer_tokens > 0)
     target = answer_tokens;
-  completion->limited = target > max;
-  call->target_tokens = (uint32_t)(completion->limited ? max : target);
+  completion->truncated = target > max;
+  call->target_tokens = (uint32_t)(completion->truncated ? max : target);
   text = completion_text (completion);
   completion_add_message (completion, call->n_segments - 1, completion->hash, "assistant", text);
   free (text);
 }
 
-/* Another answer than that of any run before, on any engine. */
+/* Makes the answer differ from that of every earlier run, on any engine. */
 static void
 completion_vary (struct Completion *completion, uint64_t n_varied)
 {
@@ -224,10 +225,10 @@
 static const char *
 completion_finish_reason (const struct Completion *completion)
 {
-  return completion->limited ? "length" : "stop";
+  return completion->truncated ? "length" : "stop";
 }
 
-/* False when the client has gone or the answer is to be lost. */
+/* Returns false when the client disconnects or a fault loses the response. */
 static bool
 completion_wait_done (struct Completion *completion)
 {
@@ -236,7 +237,7 @@
 
   do
     {
-      if (standin_client_gone (completion->request))
+      if (standin_client_closed (completion->request))
         return false;
       state =
           engine_model_wait (completion->model, &completion->call, UINT32_MAX, WAIT_MS, &generated);
@@ -252,11 +253,11 @@
   json_t *choice =
       json_pack ("{s:i, s:{s:s, s:s}, s:s}", "index", 0, "message", "role", "assistant", "content",
                  text, "finish_reason", completion_finish_reason (completion));
-  json_t *answer = completion_envelope (completion, "chat.completion", choice);
+  json_t *response = completion_envelope (completion, "chat.completion", choice);
 
   free (text);
-  json_object_set_new (answer, "usage", completion_usage (completion));
-  return standin_reply_json (completion->request, MHD_HTTP_OK, answer);
+  json_object_set_new (response, "usage", completion_usage (completion));
+  return standin_reply_json (completion->request, MHD_HTTP_OK, response);
 }
 
 static void
@@ -307,7 +308,7 @@
   completion->ended = true;
 }
 
-/* Waits for more of the stream. False when it breaks off here. */
+/* Waits for the next part of the stream. Returns false when the stream is to be cut off. */
 static bool
 completion_fill (struct Completion *completion)
 {
@@ -319,7 +320,7 @@
   completion->pending_sent = 0;
   do
     {
-      if (standin_client_gone (completion->request))
+      if (standin_client_closed (completion->request))
         return false;
       state =
           engine_model_wait (completion->model, call, completion->sent_tokens, WAIT_MS, &generated);
--- a/tests/standins/engine_completion.h
+++ b/tests/standins/engine_completion.h
@@ -4,6 +4,6 @@
 #include "engine_model.h"
 #include "http_server.h"
 
-/* Answers request in the OpenAI chat shape under model_name, which must outlive the request. */
+/* Responds to request in the format of the OpenAI chat API. model_name must outlive the request. */
 enum MHD_Result
 engine_complete (struct EngineModel *model, const char *model_name, struct StandinRequest *request);
--- a/tests/standins/engine_model.c
+++ b/tests/standins/engine_model.c
@@ -11,13 +11,13 @@
   CRASH_EXIT_STATUS = 70
 };
 
-/* Each further call in the batch slows every call by this much. */
+/* Each further call in the batch adds this fraction to the decode time of every call. */
 static const double batch_slowdown = 0.04;
 
 struct LoadSample
 {
   struct EngineLoad load;
-  int64_t when_ms;
+  int64_t time_ms;
 };
 
 struct EngineModel
@@ -67,7 +67,7 @@
 }
 
 static struct EngineLoad
-model_count (const struct EngineModel *model)
+model_current_load (const struct EngineModel *model)
 {
   struct EngineLoad load = { .used_tokens = engine_cache_used_tokens (model->cache),
                              .last_event = engine_cache_last_event (model->cache) };
@@ -98,7 +98,7 @@
   json_array_append_new (model->log, json_pack ("{s:s, s:s, s:s}", "key", call->key, "program",
                                                 call->program, "state", "running"));
   call->cached_tokens = engine_cache_match (model->cache, call->segments, call->n_segments - 1);
-  /* At least one token is computed, also of a prompt that is cached whole. */
+  /* At least one token is computed, even when the whole prompt is cached. */
   if (call->cached_tokens > 0 && call->cached_tokens == call->prompt_tokens)
     call->cached_tokens--;
   call->prefill_left = call->prompt_tokens - call->cached_tokens;
@@ -107,7 +107,7 @@
 static uint32_t
 model_admit_waiting (struct EngineModel *model)
 {
-  uint32_t n_running = model_count (model).running;
+  uint32_t n_running = model_current_load (model).running;
 
   for (struct EngineCall *call = model->first; call != NULL; call = call->next)
     {
@@ -126,13 +126,13 @@
 {
   for (struct EngineCall *call = model->first; call != NULL && tokens > 0; call = call->next)
     {
-      double part;
+      double n_prefilled;
 
       if (call->state != ENGINE_CALL_RUNNING || call->prefill_left <= 0)
         continue;
-      part = call->prefill_left < tokens ? call->prefill_left : tokens;
-      call->prefill_left -= part;
-      tokens -= part;
+      n_prefilled = call->prefill_left < tokens ? call->prefill_left : tokens;
+      call->prefill_left -= n_prefilled;
+      tokens -= n_prefilled;
       if (call->prefill_left <= 0)
         engine_cache_store (model->cache, call->segments, call->n_segments - 1, call->program);
     }
@@ -166,11 +166,11 @@
 static void
 model_sample_load (struct EngineModel *model, int64_t now_ms)
 {
-  if (now_ms - model->sampled.when_ms < model->options.report_lag_ms)
+  if (now_ms - model->sampled.time_ms < model->options.report_lag_ms)
     return;
   model->reported = model->sampled;
-  model->sampled.load = model_count (model);
-  model->sampled.when_ms = now_ms;
+  model->sampled.load = model_current_load (model);
+  model->sampled.time_ms = now_ms;
 }
 
 static void
@@ -241,15 +241,16 @@
                    int64_t wait_ms,
                    uint32_t *generated_tokens)
 {
-  int64_t due_us = clock_us () + wait_ms * 1000;
-  struct timespec due = { .tv_sec = due_us / 1000000, .tv_nsec = due_us % 1000000 * 1000 };
+  int64_t deadline_us = clock_us () + wait_ms * 1000;
+  struct timespec deadline = { .tv_sec = deadline_us / 1000000,
+                               .tv_nsec = deadline_us % 1000000 * 1000 };
   enum EngineCallState state;
   int error = 0;
 
   pthread_mutex_lock (&model->lock);
   while (error == 0 && call->generated_tokens <= seen_tokens
          && (call->state == ENGINE_CALL_WAITING || call->state == ENGINE_CALL_RUNNING))
-    error = pthread_cond_timedwait (&call->changed, &model->lock, &due);
+    error = pthread_cond_timedwait (&call->changed, &model->lock, &deadline);
   state = call->state;
   *generated_tokens = call->generated_tokens;
   pthread_mutex_unlock (&model->lock);
@@ -259,13 +260,13 @@
 void
 engine_model_remove (struct EngineModel *model, struct EngineCall *call)
 {
-  struct EngineCall **at = &model->first;
+  struct EngineCall **link = &model->first;
 
   pthread_mutex_lock (&model->lock);
-  while (*at != NULL && *at != call)
-    at = &(*at)->next;
-  if (*at != NULL)
-    *at = call->next;
+  while (*link != NULL && *link != call)
+    link = &(*link)->next;
+  if (*link != NULL)
+    *link = call->next;
   if (call->state == ENGINE_CALL_RUNNING)
     model_log_state (model, call, "cancelled");
   call->state = ENGINE_CALL_CANCELLED;
@@ -279,7 +280,7 @@
   struct EngineLoad load;
 
   pthread_mutex_lock (&model->lock);
-  load = model->options.report_lag_ms > 0 ? model->reported.load : model_count (model);
+  load = model->options.report_lag_ms > 0 ? model->reported.load : model_current_load (model);
   pthread_mutex_unlock (&model->lock);
   return load;
 }
--- a/tests/standins/engine_model.h
+++ b/tests/standins/engine_model.h
@@ -1,7 +1,7 @@
-/* The engine stand-in's batching: admits all, runs up to max_batch at once, knows no priorities.
+/* Batching model of the engine stand-in: queues every call, runs up to max_batch at once, in order
+ * of arrival and without priorities.
  *
- * A thread advances all running calls by the real time that has passed. Every function takes the
- * model's lock itself. */
+ * A thread advances all running calls by the elapsed real time. Every function locks the model. */
 #pragma once
 
 #include "engine_cache.h"
@@ -13,23 +13,23 @@
   const char *name;
   const char *model;
   const char *incarnation;
-  double tokens_per_second;         /* of one call alone */
-  double prefill_tokens_per_second; /* of the whole engine */
+  double tokens_per_second;         /* decode rate of a call that runs alone */
+  double prefill_tokens_per_second; /* total of all calls */
   uint32_t max_batch;
   uint64_t cache_tokens;
   int64_t report_lag_ms;
-  bool fencing; /* refuses orders with an old fencing number */
+  bool fencing; /* rejects orders with a stale fencing number */
 };
 
-/* Faults that a test turns on with POST /control. */
+/* Faults that a test sets with POST /control. */
 struct EngineFaults
 {
-  char crash_on[128]; /* "": none; a call whose body contains it ends the process */
-  uint32_t close_after_run, close_mid_stream, lose_release; /* the next n */
+  char crash_on[128]; /* "": none; a call whose body contains it crashes the process */
+  uint32_t close_after_run, close_mid_stream, lose_release; /* number of next requests affected */
   bool ignore_release, hang;
-  bool vary; /* no two runs give the same answer, as engines with a temperature do */
+  bool vary; /* every run gives another answer, as with a sampling temperature above 0 */
   uint64_t n_varied;
-  uint32_t answer_tokens; /* 0: as the request says; else the length of every answer */
+  uint32_t answer_tokens; /* length of every answer; 0: by the request */
   double slow_factor;
 };
 
@@ -49,11 +49,11 @@
   char program[80];
   char key[256];
   char *body;
-  struct EngineSegment *segments; /* the prompt's, then one for the answer */
+  struct EngineSegment *segments; /* of the prompt, then one for the answer */
   size_t n_segments;
   uint32_t prompt_tokens, cached_tokens, target_tokens, generated_tokens;
   double prefill_left, progress;
-  uint64_t number; /* in the log */
+  uint64_t number; /* index in the log */
 };
 
 struct EngineLoad
@@ -78,29 +78,29 @@
                    uint32_t seen_tokens,
                    int64_t wait_ms,
                    uint32_t *generated_tokens);
-/* Takes the call out, cancelling it if it has not ended. */
+/* Removes the call and cancels it if it has not ended. */
 void
 engine_model_remove (struct EngineModel *model, struct EngineCall *call);
 
-/* What the engine reports: report_lag_ms to twice that old. */
+/* Returns the load that the engine reports, which is report_lag_ms to 2 * report_lag_ms old. */
 struct EngineLoad
 engine_model_load (struct EngineModel *model);
 json_t *
 engine_model_events (struct EngineModel *model, uint64_t after);
-/* Memory held for a program, its calls in the engine included. */
+/* Returns the number of tokens held for a program, including those of its running calls. */
 uint64_t
 engine_model_held_tokens (struct EngineModel *model, const char *program);
 uint64_t
 engine_model_release (struct EngineModel *model, const char *program);
-/* Every call that ran: [{"key","program","state"}]. */
+/* Returns every call that was started: [{"key","program","state"}]. */
 json_t *
 engine_model_log (struct EngineModel *model);
 
-/* Faults are read and changed under the lock. */
+/* Faults are read and changed while the model is locked. */
 struct EngineFaults *
 engine_model_lock_faults (struct EngineModel *model);
 void
 engine_model_unlock_faults (struct EngineModel *model);
-/* True while *counter of the faults, which it lowers by one, is above 0. */
+/* Decrements a counter of the faults. Returns false when it was 0 already. */
 bool
 engine_model_take_fault (struct EngineModel *model, uint32_t *counter);
--- a/tests/standins/http_server.c
+++ b/tests/standins/http_server.c
@@ -40,7 +40,7 @@
 }
 
 static bool
-standin_take_body (struct StandinRequest *request, const char *bytes, size_t n_bytes)
+standin_append_body (struct StandinRequest *request, const char *bytes, size_t n_bytes)
 {
   char *body = realloc (request->body, request->body_bytes + n_bytes + 1);
 
@@ -70,7 +70,7 @@
   if (request == NULL)
     {
       request = calloc (1, sizeof *request);
-      if (request == NULL || !standin_take_body (request, "", 0))
+      if (request == NULL || !standin_append_body (request, "", 0))
         {
           free (request);
           return MHD_NO;
@@ -83,10 +83,10 @@
   request->path = url;
   if (*upload_bytes > 0)
     {
-      bool taken = standin_take_body (request, upload, *upload_bytes);
+      bool appended = standin_append_body (request, upload, *upload_bytes);
 
       *upload_bytes = 0;
-      return taken ? MHD_YES : MHD_NO;
+      return appended ? MHD_YES : MHD_NO;
     }
   return service->handle (service->data, request);
 }
@@ -145,7 +145,7 @@
 
   if (!standin_parse_address (listen, &address))
     {
-      fprintf (stderr, "--listen %s: not IP:PORT\n", listen);
+      fprintf (stderr, "--listen %s: expected IP:PORT\n", listen);
       return 2;
     }
   daemon = MHD_start_daemon (
@@ -157,12 +157,12 @@
       (void *)service, MHD_OPTION_END);
   if (daemon == NULL)
     {
-      fprintf (stderr, "--listen %s: cannot listen; is the port taken?\n", listen);
+      fprintf (stderr, "--listen %s: cannot listen; is the port in use?\n", listen);
       return 1;
     }
   standin_print_address (daemon, &address);
   standin_wait_for_signal ();
-  /* Not MHD_stop_daemon: that waits for requests which a hang was asked for. */
+  /* Not MHD_stop_daemon: it would wait for requests that hang because of a fault. */
   _exit (0);
 }
 
@@ -210,7 +210,7 @@
 }
 
 bool
-standin_client_gone (const struct StandinRequest *request)
+standin_client_closed (const struct StandinRequest *request)
 {
   const union MHD_ConnectionInfo *info =
       MHD_get_connection_info (request->connection, MHD_CONNECTION_INFO_CONNECTION_FD);
--- a/tests/standins/http_server.h
+++ b/tests/standins/http_server.h
@@ -1,4 +1,4 @@
-/* HTTP service of a stand-in: one thread a connection, whole bodies, JSON answers. */
+/* HTTP server of a stand-in: one thread per connection, complete request bodies, JSON responses. */
 #pragma once
 
 #include <stdbool.h>
@@ -15,12 +15,12 @@
   const char *path;
   char *body; /* NUL-terminated */
   size_t body_bytes;
-  void *state; /* the handler's own; freed by StandinService.finished */
+  void *state; /* for the handler; freed by StandinService.finished */
 };
 
 struct StandinService
 {
-  /* Answers with one of the functions below; MHD_NO closes the connection without an answer. */
+  /* Responds by one of the functions below; MHD_NO closes the connection without a response. */
   enum MHD_Result (*handle) (void *data, struct StandinRequest *request);
   void (*finished) (void *data, struct StandinRequest *request); /* may be NULL */
   void *data;
@@ -34,11 +34,11 @@
 void
 standin_block_signals (void);
 
-/* Takes over the reference to json. */
+/* Sends json as the response and takes over its reference. */
 enum MHD_Result
 standin_reply_json (struct StandinRequest *request, uint32_t status, json_t *json);
 
-/* "" when the header or argument is absent. */
+/* Return "" when the header or query argument is absent. */
 const char *
 standin_header (const struct StandinRequest *request, const char *name);
 const char *
@@ -47,12 +47,12 @@
 bool
 standin_is (const struct StandinRequest *request, const char *method, const char *path);
 
-/* True once the client has closed its side. */
+/* Returns true once the client has closed its side of the connection. */
 bool
-standin_client_gone (const struct StandinRequest *request);
+standin_client_closed (const struct StandinRequest *request);
 
-/* FNV-1a, continued from hash (start with STANDIN_HASH_START): the same on every machine, so that
- * golden files hold. */
+/* Continues an FNV-1a hash; the first hash is STANDIN_HASH_START. The result is the same on every
+ * platform, because golden files contain it. */
 #define STANDIN_HASH_START UINT64_C (0xcbf29ce484222325)
 uint64_t
 standin_hash (uint64_t hash, const void *bytes, size_t n_bytes);
--- a/tests/standins/tool.c
+++ b/tests/standins/tool.c
@@ -19,18 +19,18 @@
 {
   const char *name;
   pthread_mutex_t lock;
-  json_t *keys;  /* runs by idempotency key */
-  json_t *paths; /* runs by path */
+  json_t *keys;  /* number of runs per idempotency key */
+  json_t *paths; /* number of runs per path */
   uint64_t n_runs;
   /* Faults, set by POST /control. */
   bool hang, crash;
   uint32_t close_after_run;
-  uint32_t status; /* 0: answers normally; else this status without running */
+  uint32_t status; /* 0: normal response; otherwise this status, without a run */
   uint32_t delay_ms;
 };
 
 static json_int_t
-count_up (json_t *counts, const char *name)
+count_run (json_t *counts, const char *name)
 {
   json_int_t n = json_integer_value (json_object_get (counts, name)) + 1;
 
@@ -38,7 +38,7 @@
   return n;
 }
 
-/* The effect: not idempotent, every run counts. */
+/* The side effect of a call. It is not idempotent: every run is counted. */
 static json_t *
 tool_run (struct Tool *tool, const struct StandinRequest *request)
 {
@@ -47,23 +47,23 @@
   char result[32];
 
   tool->n_runs++;
-  count_up (tool->paths, request->path);
+  count_run (tool->paths, request->path);
   if (key[0] != '\0')
-    count_up (tool->keys, key);
+    count_run (tool->keys, key);
   snprintf (result, sizeof result, "%016" PRIx64, hash);
   return json_pack ("{s:s, s:s, s:s}", "service", tool->name, "path", request->path, "result",
                     result);
 }
 
-/* Until the client gives up or the fault is lifted. */
+/* Waits until the fault "hang" is cleared. Returns false when the client disconnects first. */
 static bool
-tool_hang (struct Tool *tool, const struct StandinRequest *request)
+tool_wait_while_hanging (struct Tool *tool, const struct StandinRequest *request)
 {
   for (;;)
     {
       bool hang;
 
-      if (standin_client_gone (request))
+      if (standin_client_closed (request))
         return false;
       pthread_mutex_lock (&tool->lock);
       hang = tool->hang;
@@ -77,11 +77,11 @@
 static enum MHD_Result
 tool_call (struct Tool *tool, struct StandinRequest *request)
 {
-  json_t *answer;
+  json_t *response;
   uint32_t status, delay_ms;
   bool close;
 
-  if (!tool_hang (tool, request))
+  if (!tool_wait_while_hanging (tool, request))
     return MHD_NO;
   pthread_mutex_lock (&tool->lock);
   if (tool->crash)
@@ -94,13 +94,13 @@
                                json_pack ("{s:{s:s}}", "error", "message", "refused"));
   usleep (delay_ms * 1000);
   pthread_mutex_lock (&tool->lock);
-  answer = tool_run (tool, request);
+  response = tool_run (tool, request);
   close = tool->close_after_run > 0;
   tool->close_after_run -= close;
   pthread_mutex_unlock (&tool->lock);
   if (!close)
-    return standin_reply_json (request, MHD_HTTP_OK, answer);
-  json_decref (answer);
+    return standin_reply_json (request, MHD_HTTP_OK, response);
+  json_decref (response);
   return MHD_NO;
 }
 
@@ -136,14 +136,14 @@
 static enum MHD_Result
 tool_control (struct Tool *tool, struct StandinRequest *request)
 {
-  json_t *wanted = json_loads (request->body, 0, NULL);
+  json_t *faults = json_loads (request->body, 0, NULL);
   const char *name;
   json_t *value;
 
   pthread_mutex_lock (&tool->lock);
-  json_object_foreach (wanted, name, value) { tool_set_fault (tool, name, value); }
+  json_object_foreach (faults, name, value) { tool_set_fault (tool, name, value); }
   pthread_mutex_unlock (&tool->lock);
-  json_decref (wanted);
+  json_decref (faults);
   return standin_reply_json (request, MHD_HTTP_OK, json_pack ("{s:b}", "set", 1));
 }
 
