--- a/tests/standins/caller.c
+++ b/tests/standins/caller.c
@@ -1,14 +1,14 @@
-/* Runs a scripted program as an agent service would and prints one JSON line a step.
+/* Runs a scripted program like an agent service and prints one JSON line per step.
  *
  * Script: {"steps": [STEP...]}. A step has one of these keys, and may have "expect", an object
  * whose members must equal those of the step's line:
  *   "create": body of POST /v1/programs
  *   "call": {"model", "system"?, "user"? | "tool_result": true, "max_tokens"?, "min_tokens"?,
- *            "stream"?} or {"service", "path", "body"?, "idempotent"?}; with "again": true the
- *            last call once more, same sequence number and same body
- *   "lone": {"service", "path", "key", "body"?, "again"?}: a call outside any program
- *   "pause_ms": a tool runs at the caller's side
- *   "sub_agents": [{"branch", "steps"}...], at the same time
+ *            "stream"?} or {"service", "path", "body"?, "idempotent"?}; "again": true repeats the
+ *            last call with the same sequence number and body
+ *   "lone": {"service", "path", "key", "body"?, "again"?}: a call without a program
+ *   "pause_ms": the run time of a tool on the caller's side
+ *   "sub_agents": [{"branch", "steps"}...], run concurrently
  *   "state", "history": true
  *   "end": reason */
 #include "caller_client.h"
@@ -26,12 +26,12 @@
 
 enum
 {
-  GIVE_UP_MS = 60000,
+  REQUEST_TIMEOUT_MS = 60000,
   HEADERS_MAX = 4,
   HEADER_BYTES = 256
 };
 
-/* One line of calls of a program: its main branch or a sub-agent. */
+/* A branch of a program: the main one or that of a sub-agent. */
 struct Agent
 {
   struct CallerOptions options;
@@ -41,9 +41,9 @@
   uint64_t sequence; /* of the last call */
   json_t *messages;
   char *last_body;   /* of the last call */
-  char *tool_result; /* answer of the last service call */
-  json_t *lines;     /* what the steps print, in order */
-  bool unmet;        /* an expectation was */
+  char *tool_result; /* response body of the last service call */
+  json_t *lines;     /* output lines of the steps, in order */
+  bool unmet;        /* the "expect" of some step was not met */
   const json_t *steps;
 };
 
@@ -51,7 +51,7 @@
 agent_run (struct Agent *agent);
 
 static const char *
-text_of (const json_t *object, const char *name, const char *fallback)
+json_text_or (const json_t *object, const char *name, const char *fallback)
 {
   const char *text = json_string_value (json_object_get (object, name));
 
@@ -80,17 +80,17 @@
 }
 
 static void
-line_add_answer (json_t *line, const struct CallerAnswer *answer)
+line_add_response (json_t *line, const struct CallerResponse *response)
 {
-  json_object_set_new (line, "status", json_integer (answer->status));
-  if (answer->ran[0] != '\0')
-    json_object_set_new (line, "ran", json_string (answer->ran));
-  if (answer->has_charge)
-    json_object_set_new (line, "charge_tokens", json_integer ((json_int_t)answer->charge_tokens));
-  if (answer->n_attempts > 1)
-    json_object_set_new (line, "attempts", json_integer (answer->n_attempts));
-  if (answer->error != NULL)
-    json_object_set (line, "error", answer->error);
+  json_object_set_new (line, "status", json_integer (response->status));
+  if (response->ran[0] != '\0')
+    json_object_set_new (line, "ran", json_string (response->ran));
+  if (response->has_charge)
+    json_object_set_new (line, "charge_tokens", json_integer ((json_int_t)response->charge_tokens));
+  if (response->n_attempts > 1)
+    json_object_set_new (line, "attempts", json_integer (response->n_attempts));
+  if (response->error != NULL)
+    json_object_set (line, "error", response->error);
 }
 
 static void
@@ -100,16 +100,17 @@
   struct CallerRequest request = {
     .method = "POST",
     .path = "/v1/programs",
-    .program = text_of (body, "program", ""),
+    .program = json_text_or (body, "program", ""),
     .body = text,
   };
-  struct CallerAnswer answer;
+  struct CallerResponse response;
 
-  caller_client_send (agent->client, &request, &answer);
-  snprintf (agent->program, sizeof agent->program, "%s", text_of (answer.body, "program", ""));
-  line_add_answer (line, &answer);
+  caller_client_send (agent->client, &request, &response);
+  snprintf (agent->program, sizeof agent->program, "%s",
+            json_text_or (response.body, "program", ""));
+  line_add_response (line, &response);
   json_object_set_new (line, "program", json_string (agent->program));
-  caller_answer_clear (&answer);
+  caller_response_clear (&response);
   free (text);
 }
 
@@ -125,10 +126,10 @@
 agent_chat_body (struct Agent *agent, const json_t *call)
 {
   static const char *const copied[] = { "max_tokens", "min_tokens" };
-  json_t *body = json_pack ("{s:s}", "model", text_of (call, "model", ""));
+  json_t *body = json_pack ("{s:s}", "model", json_text_or (call, "model", ""));
 
-  agent_add_message (agent, "system", text_of (call, "system", NULL));
-  agent_add_message (agent, "user", text_of (call, "user", NULL));
+  agent_add_message (agent, "system", json_text_or (call, "system", NULL));
+  agent_add_message (agent, "user", json_text_or (call, "user", NULL));
   if (json_is_true (json_object_get (call, "tool_result")))
     agent_add_message (agent, "tool", agent->tool_result);
   json_object_set (body, "messages", agent->messages);
@@ -141,37 +142,39 @@
 }
 
 static void
-agent_take_chat (struct Agent *agent,
-                 const struct CallerAnswer *answer,
-                 bool stream,
-                 bool remember,
-                 json_t *line)
+agent_read_chat_response (struct Agent *agent,
+                          const struct CallerResponse *response,
+                          bool stream,
+                          bool keep_message,
+                          json_t *line)
 {
-  const json_t *choice = json_array_get (json_object_get (answer->body, "choices"), 0);
+  const json_t *choice = json_array_get (json_object_get (response->body, "choices"), 0);
   const char *content =
-      stream ? answer->text : text_of (json_object_get (choice, "message"), "content", NULL);
+      stream ? response->text : json_text_or (json_object_get (choice, "message"), "content", NULL);
 
-  if (content == NULL || answer->error != NULL || answer->status != 200)
+  if (content == NULL || response->error != NULL || response->status != 200)
     return;
   json_object_set_new (line, "answer", json_string (content));
-  if (remember)
+  if (keep_message)
     agent_add_message (agent, "assistant", content);
 }
 
 static void
-agent_take_service (struct Agent *agent, const struct CallerAnswer *answer, json_t *line)
+agent_read_service_response (struct Agent *agent,
+                             const struct CallerResponse *response,
+                             json_t *line)
 {
-  if (answer->error != NULL || answer->status == 0)
+  if (response->error != NULL || response->status == 0)
     return;
   free (agent->tool_result);
-  agent->tool_result = strdup (answer->text);
-  if (answer->body != NULL)
-    json_object_set (line, "answer", answer->body);
+  agent->tool_result = strdup (response->text);
+  if (response->body != NULL)
+    json_object_set (line, "answer", response->body);
   else
-    json_object_set_new (line, "answer", json_string (answer->text));
+    json_object_set_new (line, "answer", json_string (response->text));
 }
 
-/* The body to send, kept as agent->last_body; sets the sequence number. */
+/* Returns the body to send, which agent->last_body keeps, and sets the sequence number. */
 static const char *
 agent_next_body (struct Agent *agent, const json_t *call)
 {
@@ -191,15 +194,15 @@
 static void
 agent_call (struct Agent *agent, const json_t *call, json_t *line)
 {
-  const char *service = text_of (call, "service", NULL);
+  const char *service = json_text_or (call, "service", NULL);
   char headers[HEADERS_MAX][HEADER_BYTES];
   const char *header_list[HEADERS_MAX];
   struct CallerRequest request = { .method = "POST", .program = agent->program };
-  struct CallerAnswer answer;
+  struct CallerResponse response;
   char path[256];
 
   request.body = agent_next_body (agent, call);
-  request.resent = json_is_true (json_object_get (call, "again"));
+  request.is_resend = json_is_true (json_object_get (call, "again"));
   snprintf (path, sizeof path, "/v1/programs/%s/calls?branch=%s&sequence=%" PRIu64, agent->program,
             agent->branch, agent->sequence);
   request.path = path;
@@ -214,21 +217,21 @@
     {
       snprintf (headers[request.n_headers++], HEADER_BYTES, "X-Target-Service: %s", service);
       snprintf (headers[request.n_headers++], HEADER_BYTES, "X-Target-Path: %s",
-                text_of (call, "path", "/"));
+                json_text_or (call, "path", "/"));
     }
-  caller_client_send (agent->client, &request, &answer);
+  caller_client_send (agent->client, &request, &response);
   json_object_set_new (line, "branch", json_string (agent->branch));
   json_object_set_new (line, "sequence", json_integer ((json_int_t)agent->sequence));
-  line_add_answer (line, &answer);
+  line_add_response (line, &response);
   if (service != NULL)
-    agent_take_service (agent, &answer, line);
+    agent_read_service_response (agent, &response, line);
   else
-    agent_take_chat (agent, &answer, request.stream, !request.resent, line);
-  caller_answer_clear (&answer);
+    agent_read_chat_response (agent, &response, request.stream, !request.is_resend, line);
+  caller_response_clear (&response);
 }
 
 static void
-agent_lone (struct Agent *agent, const json_t *call, json_t *line)
+agent_call_without_program (struct Agent *agent, const json_t *call, json_t *line)
 {
   const json_t *body = json_object_get (call, "body");
   char *text = body != NULL ? json_dumps (body, JSON_COMPACT) : strdup ("");
@@ -242,31 +245,31 @@
     .headers = &header,
     .n_headers = 1,
     .body = text,
-    .resent = json_is_true (json_object_get (call, "again")),
+    .is_resend = json_is_true (json_object_get (call, "again")),
   };
-  struct CallerAnswer answer;
-
-  snprintf (key, sizeof key, "Idempotency-Key: %s", text_of (call, "key", ""));
-  snprintf (path, sizeof path, "/v1/services/%s%s", text_of (call, "service", ""),
-            text_of (call, "path", "/"));
-  caller_client_send (agent->client, &request, &answer);
-  line_add_answer (line, &answer);
-  agent_take_service (agent, &answer, line);
-  caller_answer_clear (&answer);
+  struct CallerResponse response;
+
+  snprintf (key, sizeof key, "Idempotency-Key: %s", json_text_or (call, "key", ""));
+  snprintf (path, sizeof path, "/v1/services/%s%s", json_text_or (call, "service", ""),
+            json_text_or (call, "path", "/"));
+  caller_client_send (agent->client, &request, &response);
+  line_add_response (line, &response);
+  agent_read_service_response (agent, &response, line);
+  caller_response_clear (&response);
   free (text);
 }
 
-/* state, history, end. */
+/* Sends the requests of the steps "state", "history" and "end". */
 static void
-agent_ask (struct Agent *agent, const char *verb, const char *reason, json_t *line)
+agent_query (struct Agent *agent, const char *subpath, const char *reason, json_t *line)
 {
   char path[256];
   char *body = NULL;
   struct CallerRequest request = { .method = "GET", .path = path, .program = agent->program };
-  struct CallerAnswer answer;
+  struct CallerResponse response;
 
-  snprintf (path, sizeof path, "/v1/programs/%s%s%s", agent->program, verb[0] != '\0' ? "/" : "",
-            verb);
+  snprintf (path, sizeof path, "/v1/programs/%s%s%s", agent->program, subpath[0] != '\0' ? "/" : "",
+            subpath);
   if (reason != NULL)
     {
       json_t *json = json_pack ("{s:s}", "reason", reason);
@@ -276,11 +279,11 @@
       request.method = "POST";
       request.body = body;
     }
-  caller_client_send (agent->client, &request, &answer);
-  line_add_answer (line, &answer);
-  if (answer.body != NULL && answer.error == NULL)
-    json_object_set (line, "answer", answer.body);
-  caller_answer_clear (&answer);
+  caller_client_send (agent->client, &request, &response);
+  line_add_response (line, &response);
+  if (response.body != NULL && response.error == NULL)
+    json_object_set (line, "answer", response.body);
+  caller_response_clear (&response);
   free (body);
 }
 
@@ -291,38 +294,38 @@
   return NULL;
 }
 
-/* Runs them at the same time; their lines come in the script's order. */
+/* Runs the sub-agents concurrently; their lines are in the order of the script. */
 static void
 agent_run_sub_agents (struct Agent *agent, const json_t *list, json_t *line)
 {
   size_t n = json_array_size (list);
-  struct Agent *subs = calloc (n, sizeof *subs);
+  struct Agent *sub_agents = calloc (n, sizeof *sub_agents);
   pthread_t *threads = calloc (n, sizeof *threads);
-  json_t *printed = json_array ();
+  json_t *sub_lines = json_array ();
 
   for (size_t i = 0; i < n; i++)
     {
       const json_t *item = json_array_get (list, i);
 
-      agent_init (&subs[i], &agent->options, text_of (item, "branch", "sub"));
-      snprintf (subs[i].program, sizeof subs[i].program, "%s", agent->program);
-      subs[i].steps = json_object_get (item, "steps");
-      pthread_create (&threads[i], NULL, sub_agent_thread, &subs[i]);
+      agent_init (&sub_agents[i], &agent->options, json_text_or (item, "branch", "sub"));
+      snprintf (sub_agents[i].program, sizeof sub_agents[i].program, "%s", agent->program);
+      sub_agents[i].steps = json_object_get (item, "steps");
+      pthread_create (&threads[i], NULL, sub_agent_thread, &sub_agents[i]);
     }
   for (size_t i = 0; i < n; i++)
     {
       pthread_join (threads[i], NULL);
-      agent->unmet |= subs[i].unmet;
-      json_array_append (printed, subs[i].lines);
-      agent_clear (&subs[i]);
+      agent->unmet |= sub_agents[i].unmet;
+      json_array_append (sub_lines, sub_agents[i].lines);
+      agent_clear (&sub_agents[i]);
     }
-  json_object_set_new (line, "sub_agents", printed);
+  json_object_set_new (line, "sub_agents", sub_lines);
   free (threads);
-  free (subs);
+  free (sub_agents);
 }
 
 static void
-agent_check (struct Agent *agent, const json_t *expected, json_t *line)
+agent_check_expected (struct Agent *agent, const json_t *expected, json_t *line)
 {
   json_t *unmet = json_object ();
   const char *name;
@@ -342,26 +345,26 @@
 }
 
 static const char *
-agent_do (struct Agent *agent, const json_t *step, json_t *line)
+agent_run_step (struct Agent *agent, const json_t *step, json_t *line)
 {
-  const json_t *what;
-
-  if ((what = json_object_get (step, "create")) != NULL)
-    return agent_create (agent, what, line), "create";
-  if ((what = json_object_get (step, "call")) != NULL)
-    return agent_call (agent, what, line), "call";
-  if ((what = json_object_get (step, "lone")) != NULL)
-    return agent_lone (agent, what, line), "lone";
-  if ((what = json_object_get (step, "pause_ms")) != NULL)
-    return usleep ((useconds_t)json_integer_value (what) * 1000), "pause";
-  if ((what = json_object_get (step, "sub_agents")) != NULL)
-    return agent_run_sub_agents (agent, what, line), "sub_agents";
+  const json_t *value;
+
+  if ((value = json_object_get (step, "create")) != NULL)
+    return agent_create (agent, value, line), "create";
+  if ((value = json_object_get (step, "call")) != NULL)
+    return agent_call (agent, value, line), "call";
+  if ((value = json_object_get (step, "lone")) != NULL)
+    return agent_call_without_program (agent, value, line), "lone";
+  if ((value = json_object_get (step, "pause_ms")) != NULL)
+    return usleep ((useconds_t)json_integer_value (value) * 1000), "pause";
+  if ((value = json_object_get (step, "sub_agents")) != NULL)
+    return agent_run_sub_agents (agent, value, line), "sub_agents";
   if (json_object_get (step, "state") != NULL)
-    return agent_ask (agent, "", NULL, line), "state";
+    return agent_query (agent, "", NULL, line), "state";
   if (json_object_get (step, "history") != NULL)
-    return agent_ask (agent, "history", NULL, line), "history";
-  if ((what = json_object_get (step, "end")) != NULL)
-    return agent_ask (agent, "end", json_string_value (what), line), "end";
+    return agent_query (agent, "history", NULL, line), "history";
+  if ((value = json_object_get (step, "end")) != NULL)
+    return agent_query (agent, "end", json_string_value (value), line), "end";
   return "unknown step";
 }
 
@@ -375,8 +378,8 @@
   {
     json_t *line = json_pack ("{s:s}", "do", "");
 
-    json_object_set_new (line, "do", json_string (agent_do (agent, step, line)));
-    agent_check (agent, json_object_get (step, "expect"), line);
+    json_object_set_new (line, "do", json_string (agent_run_step (agent, step, line)));
+    agent_check_expected (agent, json_object_get (step, "expect"), line);
     json_array_append_new (agent->lines, line);
     if (strcmp (agent->branch, "main") == 0)
       {
@@ -398,7 +401,7 @@
     { "give-up-ms", required_argument, NULL, 'g' },
     { NULL, 0, NULL, 0 },
   };
-  struct CallerOptions options = { .give_up_ms = GIVE_UP_MS };
+  struct CallerOptions options = { .timeout_ms = REQUEST_TIMEOUT_MS };
   const char *script_file = NULL;
   json_error_t error;
   json_t *script;
@@ -416,7 +419,7 @@
         script_file = optarg;
         break;
       case 'g':
-        options.give_up_ms = strtoll (optarg, NULL, 10);
+        options.timeout_ms = strtoll (optarg, NULL, 10);
         break;
       default:
         return 2;
--- a/tests/standins/caller_client.c
+++ b/tests/standins/caller_client.c
@@ -31,13 +31,13 @@
   struct CallerOptions options;
   CURL *easy;
   struct AddressList entries;
-  struct AddressList known; /* answer to "where to connect?" */
-  char known_for[80];       /* program */
-  int64_t known_until_ms;
-  size_t next; /* index into known, or into entries when known is empty */
+  struct AddressList cached; /* from the last response of /v1/connect */
+  char cached_program[80];   /* program that the query was for */
+  int64_t cached_until_ms;
+  size_t next_index; /* in cached */
 };
 
-/* One attempt on the wire. */
+/* Response to one HTTP request. */
 struct Attempt
 {
   char *bytes;
@@ -45,7 +45,7 @@
   char ran[16];
   bool has_charge;
   uint64_t charge_tokens;
-  int64_t retry_after_ms; /* -1: not said */
+  int64_t retry_after_ms; /* -1: header absent */
 };
 
 static int64_t
@@ -159,7 +159,7 @@
   return headers;
 }
 
-/* HTTP status, or 0 when no whole answer came. */
+/* Returns the HTTP status, or 0 without a complete response. */
 static uint32_t
 client_attempt (struct CallerClient *client,
                 const char *address,
@@ -195,14 +195,14 @@
   return code == CURLE_OK ? (uint32_t)status : 0;
 }
 
-/* Asks one address where to connect for program. */
+/* Queries one address for the addresses to connect to for program. */
 static bool
-client_ask (struct CallerClient *client, const char *address, const char *program)
+client_query_addresses (struct CallerClient *client, const char *address, const char *program)
 {
   struct CallerRequest request = { .method = "GET" };
   struct Attempt attempt;
   char path[256];
-  json_t *answer, *addresses, *one;
+  json_t *response, *addresses, *address_json;
   size_t i;
 
   snprintf (path, sizeof path, "/v1/connect?program=%s", program);
@@ -212,49 +212,52 @@
       free (attempt.bytes);
       return false;
     }
-  answer = json_loads (attempt.bytes != NULL ? attempt.bytes : "", 0, NULL);
-  addresses = json_object_get (answer, "addresses");
-  client->known.n = 0;
-  json_array_foreach (addresses, i, one)
+  response = json_loads (attempt.bytes != NULL ? attempt.bytes : "", 0, NULL);
+  addresses = json_object_get (response, "addresses");
+  client->cached.n = 0;
+  json_array_foreach (addresses, i, address_json)
   {
-    if (json_is_string (one))
-      address_list_add (&client->known, json_string_value (one), json_string_length (one));
+    if (json_is_string (address_json))
+      address_list_add (&client->cached, json_string_value (address_json),
+                        json_string_length (address_json));
   }
-  client->known_until_ms = clock_ms () + json_integer_value (json_object_get (answer, "keep_ms"));
-  snprintf (client->known_for, sizeof client->known_for, "%s", program);
-  json_decref (answer);
+  client->cached_until_ms =
+      clock_ms () + json_integer_value (json_object_get (response, "keep_ms"));
+  snprintf (client->cached_program, sizeof client->cached_program, "%s", program);
+  json_decref (response);
   free (attempt.bytes);
-  return client->known.n > 0;
+  return client->cached.n > 0;
 }
 
-/* The address for the next attempt; failures counts those in a row before it. */
+/* Returns the address for the next attempt after a number of consecutive failures. */
 static const char *
-client_address (struct CallerClient *client, const char *program, uint32_t failures)
+client_choose_address (struct CallerClient *client, const char *program, uint32_t failures)
 {
-  bool fresh = client->known.n > 0 && strcmp (client->known_for, program) == 0
-               && clock_ms () < client->known_until_ms;
+  bool fresh = client->cached.n > 0 && strcmp (client->cached_program, program) == 0
+               && clock_ms () < client->cached_until_ms;
 
   if (failures == 0 && fresh)
-    return client->known.addresses[client->next % client->known.n];
-  if (failures > 0 && fresh && failures < client->known.n)
-    return client->known.addresses[++client->next % client->known.n];
-  client->next = 0;
+    return client->cached.addresses[client->next_index % client->cached.n];
+  if (failures > 0 && fresh && failures < client->cached.n)
+    return client->cached.addresses[++client->next_index % client->cached.n];
+  client->next_index = 0;
   if (client->entries.n == 0)
     return "";
   for (size_t i = 0; i < client->entries.n; i++)
-    if (client_ask (client, client->entries.addresses[(i + failures) % client->entries.n], program))
-      return client->known.addresses[0];
+    if (client_query_addresses (
+            client, client->entries.addresses[(i + failures) % client->entries.n], program))
+      return client->cached.addresses[0];
   return client->entries.addresses[failures % client->entries.n];
 }
 
-/* Puts the content of an event stream together. */
+/* Concatenates the content of an event stream. */
 static void
-answer_read_stream (struct CallerAnswer *answer, char *bytes)
+response_read_stream (struct CallerResponse *response, char *bytes)
 {
   size_t n_bytes = 0;
   char *line = bytes;
 
-  answer->text = calloc (1, strlen (bytes) + 1);
+  response->text = calloc (1, strlen (bytes) + 1);
   while (*line != '\0')
     {
       char *end = line + strcspn (line, "\n");
@@ -263,70 +266,71 @@
 
       *end = '\0';
       if (strncmp (line, "data: [DONE]", 12) == 0)
-        answer->stream_ended = true;
+        response->stream_ended = true;
       event = strncmp (line, "data: ", 6) == 0 ? json_loads (line + 6, 0, NULL) : NULL;
       choice = json_array_get (json_object_get (event, "choices"), 0);
       content = json_object_get (json_object_get (choice, "delta"), "content");
       if (json_is_string (content))
         {
-          memcpy (answer->text + n_bytes, json_string_value (content),
+          memcpy (response->text + n_bytes, json_string_value (content),
                   json_string_length (content));
           n_bytes += json_string_length (content);
         }
       if (json_object_get (event, "error") != NULL)
-        answer->body = json_incref (event);
+        response->body = json_incref (event);
       json_decref (event);
       line = last ? end : end + 1;
     }
 }
 
 static void
-answer_take (struct CallerAnswer *answer,
-             const struct CallerRequest *request,
-             uint32_t status,
-             struct Attempt *attempt)
+response_read (struct CallerResponse *response,
+               const struct CallerRequest *request,
+               uint32_t status,
+               struct Attempt *attempt)
 {
   char *bytes = attempt->bytes != NULL ? attempt->bytes : strdup ("");
   const char *ran;
 
-  answer->status = status;
-  answer->has_charge = attempt->has_charge;
-  answer->charge_tokens = attempt->charge_tokens;
-  snprintf (answer->ran, sizeof answer->ran, "%s", attempt->ran);
+  response->status = status;
+  response->has_charge = attempt->has_charge;
+  response->charge_tokens = attempt->charge_tokens;
+  snprintf (response->ran, sizeof response->ran, "%s", attempt->ran);
   if (request->stream && status < STATUS_OK_END && bytes[0] != '{')
     {
-      answer_read_stream (answer, bytes);
+      response_read_stream (response, bytes);
       free (bytes);
     }
   else
     {
-      answer->text = bytes;
-      answer->body = json_loads (bytes, JSON_DECODE_ANY, NULL);
+      response->text = bytes;
+      response->body = json_loads (bytes, JSON_DECODE_ANY, NULL);
     }
-  answer->error = json_object_get (answer->body, "error");
-  ran = json_string_value (json_object_get (answer->error, "ran"));
+  response->error = json_object_get (response->body, "error");
+  ran = json_string_value (json_object_get (response->error, "ran"));
   if (ran != NULL)
-    snprintf (answer->ran, sizeof answer->ran, "%s", ran);
+    snprintf (response->ran, sizeof response->ran, "%s", ran);
 }
 
-/* How long to wait before the next attempt, or -1 when the answer is final. */
+/* Returns the delay before the next attempt, or -1 when the response is final. */
 static int64_t
-answer_retry_ms (const struct CallerAnswer *answer,
-                 const struct CallerRequest *request,
-                 const struct Attempt *attempt)
+response_retry_ms (const struct CallerResponse *response,
+                   const struct CallerRequest *request,
+                   const struct Attempt *attempt)
 {
-  const json_t *retry = json_object_get (answer->error, "retry_after_ms");
-  const char *kind = json_string_value (json_object_get (answer->error, "kind"));
+  const json_t *retry = json_object_get (response->error, "retry_after_ms");
+  const char *kind = json_string_value (json_object_get (response->error, "kind"));
 
-  if (answer->status == 0)
+  if (response->status == 0)
     return RETRY_DEFAULT_MS;
-  if (answer->error == NULL && answer->status < STATUS_OK_END)
-    return request->stream && answer->body == NULL && !answer->stream_ended ? RETRY_DEFAULT_MS : -1;
+  if (response->error == NULL && response->status < STATUS_OK_END)
+    return request->stream && response->body == NULL && !response->stream_ended ? RETRY_DEFAULT_MS
+                                                                                : -1;
   if (retry != NULL)
     return json_integer_value (retry);
   if (attempt->retry_after_ms >= 0)
     return attempt->retry_after_ms;
-  /* The entry lost the home's answer: the same sequence number fetches the real one. */
+  /* The entry gateway lost the home's response: resending the sequence number fetches it. */
   if (kind != NULL && strcmp (kind, "unknown_effect") == 0)
     return RETRY_DEFAULT_MS;
   return -1;
@@ -335,39 +339,40 @@
 void
 caller_client_send (struct CallerClient *client,
                     const struct CallerRequest *request,
-                    struct CallerAnswer *answer)
+                    struct CallerResponse *response)
 {
-  int64_t give_up_ms = clock_ms () + client->options.give_up_ms;
+  int64_t deadline_ms = clock_ms () + client->options.timeout_ms;
   uint32_t failures = 0;
   uint32_t n_attempts = 0;
-  uint32_t n_before = request->resent ? 1 : 0;
+  uint32_t n_earlier_attempts = request->is_resend ? 1 : 0;
 
-  memset (answer, 0, sizeof *answer);
+  memset (response, 0, sizeof *response);
   for (;;)
     {
-      const char *address = client_address (client, request->program, failures);
+      const char *address = client_choose_address (client, request->program, failures);
       struct Attempt attempt;
       uint32_t status;
       int64_t retry_ms;
 
-      status = client_attempt (client, address, request, n_before + ++n_attempts, &attempt);
-      answer_take (answer, request, status, &attempt);
-      answer->n_attempts = n_attempts;
-      retry_ms = answer_retry_ms (answer, request, &attempt);
-      if (retry_ms < 0 || clock_ms () + retry_ms > give_up_ms)
+      status =
+          client_attempt (client, address, request, n_earlier_attempts + ++n_attempts, &attempt);
+      response_read (response, request, status, &attempt);
+      response->n_attempts = n_attempts;
+      retry_ms = response_retry_ms (response, request, &attempt);
+      if (retry_ms < 0 || clock_ms () + retry_ms > deadline_ms)
         return;
       failures = status == 0 ? failures + 1 : 0;
       if (retry_ms > RETRY_MAX_MS)
         retry_ms = RETRY_MAX_MS;
       usleep ((useconds_t)retry_ms * 1000);
-      caller_answer_clear (answer);
+      caller_response_clear (response);
     }
 }
 
 void
-caller_answer_clear (struct CallerAnswer *answer)
+caller_response_clear (struct CallerResponse *response)
 {
-  json_decref (answer->body);
-  free (answer->text);
-  memset (answer, 0, sizeof *answer);
+  json_decref (response->body);
+  free (response->text);
+  memset (response, 0, sizeof *response);
 }
--- a/tests/standins/caller_client.h
+++ b/tests/standins/caller_client.h
@@ -1,7 +1,8 @@
-/* What a well-behaved caller does on the wire: asks where to connect, keeps the answer as long as
- * it may, connects there, and sends a request again, unchanged, until it has a final answer.
+/* HTTP client that follows the rules for callers: it queries /v1/connect for the addresses to
+ * connect to, caches them for the permitted time, and resends a request unchanged until it gets a
+ * final response.
  *
- * Not thread-safe: each thread has a client of its own. */
+ * Not thread-safe: each thread needs its own client. */
 #pragma once
 
 #include <stdbool.h>
@@ -14,36 +15,36 @@
 
 struct CallerOptions
 {
-  const char *entries; /* "IP:port[,IP:port...]": where to ask first */
-  int64_t give_up_ms;  /* for one request with all its resends */
+  const char *entries; /* "IP:port[,IP:port...]": addresses that are queried first */
+  int64_t timeout_ms;  /* of one request including all resends */
 };
 
 struct CallerRequest
 {
   const char *method;
-  const char *path;    /* with its query */
-  const char *program; /* to ask where to connect; "" for none */
+  const char *path;    /* including the query string */
+  const char *program; /* program to query addresses for; "" for none */
   const char *const *headers;
   size_t n_headers;
   const char *body; /* NULL: none */
-  bool resent;      /* not the first time that it is sent, by anyone */
-  bool stream;      /* the answer is an event stream, whole only with its end marker */
+  bool is_resend;   /* the request was sent before, possibly by another client */
+  bool stream;      /* the response is an event stream, complete only with its end marker */
 };
 
-struct CallerAnswer
+struct CallerResponse
 {
-  uint32_t status; /* 0: gave up without any answer */
+  uint32_t status; /* 0: timed out without a response */
   uint32_t n_attempts;
   char ran[16]; /* header X-Ran or the error's "ran" */
   bool has_charge;
   uint64_t charge_tokens;
-  json_t *body;  /* what is not an event stream, when it is JSON */
-  char *text;    /* body as it came; of an event stream the content put together */
+  json_t *body;  /* the JSON body, or the error event of an event stream; NULL: none */
+  char *text;    /* the raw body, or the concatenated content of an event stream */
   json_t *error; /* borrowed from body: the object "error", or NULL */
   bool stream_ended;
 };
 
-/* NULL when options name no entry. */
+/* Returns NULL when options contain no entry address. */
 struct CallerClient *
 caller_client_new (const struct CallerOptions *options);
 void
@@ -52,6 +53,6 @@
 void
 caller_client_send (struct CallerClient *client,
                     const struct CallerRequest *request,
-                    struct CallerAnswer *answer);
+                    struct CallerResponse *response);
 void
-caller_answer_clear (struct CallerAnswer *answer);
+caller_response_clear (struct CallerResponse *response);
--- a/tests/standins/main.c
+++ b/tests/standins/main.c
@@ -1,4 +1,4 @@
-/* buckthornhead-standin: small stand-ins for the outside systems, for tests only. */
+/* buckthornhead-standin: test-only stand-ins for the systems that buckthornhead talks to. */
 #include "standin.h"
 
 #include <stdio.h>
@@ -11,12 +11,11 @@
   const char *help;
 };
 
-/* One line a command. */
 static const struct StandinCommand commands[] = {
   { "platform", platform_run, "key-value service and list of backend servers" },
   { "engine", standin_engine_run, "model engine" },
   { "tool", standin_tool_run, "plain or tool service" },
-  { "caller", standin_caller_run, "a service that runs a scripted program" },
+  { "caller", standin_caller_run, "service that runs a scripted program" },
 };
 
 enum
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -1,9 +1,9 @@
-/* The commands of buckthornhead-standin: one outside system each, in a file of its own. */
+/* Commands of buckthornhead-standin, one per outside system. */
 #pragma once
 
 #include <stdint.h>
 
-/* argv[0] is the command's name. Returns the process's exit status. */
+/* argv[0] is the name of the command. Returns the exit status of the process. */
 int32_t
 platform_run (int argc, char **argv);
 int
