--- a/tests/standins/installation.c
+++ b/tests/standins/installation.c
@@ -9,10 +9,10 @@
 
 enum
 {
-  RESTART_MS = 1000 /* between two starts of a server, by what it says */
+  RESTART_MS = 1000 /* difference of the advertised start times of two starts of a server */
 };
 
-static const uint64_t FIRST_BORN_MS = 1796263000000;
+static const uint64_t FIRST_START_UNIX_MS = 1796263000000;
 
 static void
 put_text (struct Installation *in, const char *key, const char *text)
@@ -57,7 +57,7 @@
 }
 
 static void
-server_list (struct Server *server)
+server_write_entry (struct Server *server)
 {
   char key[64], text[512];
 
@@ -67,7 +67,7 @@
             "\"state\":\"%s\",\"cold_remaining_ms\":0,\"sequence\":%u,"
             "\"born\":%llu}",
             server->service, server->address, server->zone, server->state, ++server->sequence,
-            (unsigned long long)server->born);
+            (unsigned long long)server->started_unix_ms);
   put_text (server->installation, key, text);
 }
 
@@ -82,7 +82,7 @@
   server->engine = engine;
   server->port = port;
   server->event_ms = 5;
-  server->born = FIRST_BORN_MS;
+  server->started_unix_ms = FIRST_START_UNIX_MS;
   snprintf (server->id, sizeof server->id, "i-%u", port);
   snprintf (server->service, sizeof server->service, "%s", service);
   snprintf (server->zone, sizeof server->zone, "%s", zone);
@@ -92,7 +92,7 @@
     abort ();
   pthread_mutex_lock (&in->lock);
   in->n_servers++;
-  server_list (server);
+  server_write_entry (server);
   pthread_mutex_unlock (&in->lock);
   return server->number;
 }
@@ -172,7 +172,7 @@
 installation_forget_history (struct Installation *in)
 {
   pthread_mutex_lock (&in->lock);
-  in->history = ++in->revision;
+  in->compacted_revision = ++in->revision;
   pthread_mutex_unlock (&in->lock);
 }
 
@@ -200,7 +200,7 @@
 {
   pthread_mutex_lock (&in->lock);
   snprintf (in->servers[server].state, sizeof in->servers[server].state, "%s", state);
-  server_list (&in->servers[server]);
+  server_write_entry (&in->servers[server]);
   pthread_mutex_unlock (&in->lock);
 }
 
@@ -212,9 +212,9 @@
   pthread_mutex_unlock (&in->lock);
 }
 
-/* The last run of request; under lock. */
+/* Returns the last run of request and counts all its runs in *n. The caller holds the lock. */
 static const struct Run *
-run_find (struct Installation *in, const char *request, uint32_t *n)
+run_find_last (struct Installation *in, const char *request, uint32_t *n)
 {
   const struct Run *found = NULL;
 
@@ -234,7 +234,7 @@
   uint32_t n;
 
   pthread_mutex_lock (&in->lock);
-  run_find (in, request, &n);
+  run_find_last (in, request, &n);
   pthread_mutex_unlock (&in->lock);
   return n;
 }
@@ -257,7 +257,7 @@
   uint32_t n;
 
   pthread_mutex_lock (&in->lock);
-  n = in->n_closes_seen;
+  n = in->n_client_closes;
   pthread_mutex_unlock (&in->lock);
   return n;
 }
@@ -270,7 +270,7 @@
   uint32_t n;
 
   pthread_mutex_lock (&in->lock);
-  run = run_find (in, request, &n);
+  run = run_find_last (in, request, &n);
   if (run != NULL)
     body = talloc_strdup (ctx, run->body);
   pthread_mutex_unlock (&in->lock);
@@ -291,7 +291,7 @@
       if (strstr (in->runs[i].headers, line) == NULL)
         continue;
       n++;
-      for (; in->runs[first].ran_ms <= in->runs[i].ran_ms - span_ms; first++)
+      for (; in->runs[first].started_ms <= in->runs[i].started_ms - span_ms; first++)
         n -= strstr (in->runs[first].headers, line) != NULL;
       most = n > most ? n : most;
     }
@@ -312,7 +312,7 @@
   uint32_t n;
 
   pthread_mutex_lock (&in->lock);
-  run = run_find (in, request, &n);
+  run = run_find_last (in, request, &n);
   at = run != NULL ? strstr (run->headers, wanted) : NULL;
   value = at != NULL
               ? talloc_strndup (ctx, at + strlen (wanted), strcspn (at + strlen (wanted), "\n"))
@@ -327,8 +327,8 @@
   struct Server *server = &in->servers[number];
 
   pthread_mutex_lock (&in->lock);
-  server->born += RESTART_MS;
+  server->started_unix_ms += RESTART_MS;
   server->sequence = 0;
-  server_list (server);
+  server_write_entry (server);
   pthread_mutex_unlock (&in->lock);
 }
--- a/tests/standins/installation.h
+++ b/tests/standins/installation.h
@@ -1,6 +1,6 @@
-/* The users' platform and its servers inside a test: the metadata store, model replicas and plain
- * services, as their published pages describe them. Faults are set from the test. Threads of its
- * own serve; all functions may be called from the test's thread. */
+/* In-process stand-in for the users' platform: its metadata store and its servers (model replicas
+ * and plain services), as its published documentation describes them. Tests inject faults. The
+ * store and the servers run in their own threads; the functions below lock the installation. */
 #pragma once
 
 #include <stdbool.h>
@@ -20,20 +20,21 @@
 enum StoreMode
 {
   STORE_SERVES,
-  STORE_REFUSES, /* 503 to everyone */
-  STORE_SILENT   /* takes calls and answers none */
+  STORE_REFUSES, /* responds 503 to every call */
+  STORE_SILENT   /* accepts calls and does not respond */
 };
 
-/* What a server does with the requests that come from now on. */
+/* How a server handles requests that arrive from now on. */
 enum ServerMode
 {
   SERVER_ANSWERS,
-  SERVER_FULL,       /* refuses, not run */
-  SERVER_LOSES,      /* runs the request and closes without an answer */
-  SERVER_MUTE,       /* runs one request, whose answer never comes; then answers again */
-  SERVER_BREAKS_OFF, /* closes after half of the stream and half an event, or half of the body */
-  SERVER_SPOILS,     /* answers without its proof */
-  SERVER_HANGS       /* runs, and answers nothing until it is told otherwise */
+  SERVER_FULL,       /* rejects with 503 and X-Not-Executed, without running the request */
+  SERVER_LOSES,      /* runs the request and closes the connection without a response */
+  SERVER_MUTE,       /* runs one request without ever responding, then is SERVER_ANSWERS */
+  SERVER_BREAKS_OFF, /* runs the request; an engine closes within an event in the middle of the
+                        stream, another server without a response */
+  SERVER_SPOILS,     /* responds without X-Response-Seal */
+  SERVER_HANGS       /* runs the request and responds only after the mode has changed */
 };
 
 struct Installation *
@@ -41,7 +42,8 @@
 void
 installation_end (struct Installation *installation);
 
-/* Adds a server and lists it. engine: answers are streams. Returns its number. */
+/* Adds a server and its entry in the store. An engine responds with event streams. Returns the
+ * number of the server. */
 uint32_t
 installation_add (struct Installation *installation,
                   const char *service,
@@ -49,18 +51,19 @@
                   const char *zone,
                   uint16_t port);
 
-/* The operators write a configuration of this version: /turns/ is a stream route to "engines" that
- * keeps turns, /safe/ and /once/ go to "desk", and extra (JSON of further routes, or "") is added.
- */
+/* Writes a configuration with this version as operators do: /turns/ is a stream route to "engines"
+ * that retains turns, /safe/ and /once/ are routed to "desk". extra is "" or JSON of further
+ * routes. */
 void
 installation_configure (struct Installation *installation, uint64_t version, const char *extra);
-/* The customers of later configurations, a JSON list; NULL: none, and requests need no key. */
+/* Sets the customers, a JSON list, of configurations written later. NULL: none, and requests need
+ * no API key. */
 void
 installation_set_customers (struct Installation *installation, const char *json);
-/* Any key that operators write. */
+/* Writes a key of the store. */
 void
 installation_put (struct Installation *installation, const char *key, const char *json);
-/* The value at key, belonging to ctx; NULL when there is none. */
+/* Returns the value of key, allocated on ctx, or NULL when the key does not exist. */
 char *
 installation_get (struct Installation *installation, TALLOC_CTX *ctx, const char *key);
 void
@@ -68,40 +71,41 @@
 
 void
 installation_set_store (struct Installation *installation, enum StoreMode mode);
-/* The store forgets what changed up to now: a call that waits for changes since before gets 410. */
+/* Compacts the history of the store: a watch from an earlier revision gets 410. */
 void
 installation_forget_history (struct Installation *installation);
-/* Calls that reached the store so far. */
+/* Returns the number of calls that the store has received. */
 uint64_t
 installation_store_calls (struct Installation *installation);
 
 void
 server_set_mode (struct Installation *installation, uint32_t server, enum ServerMode mode);
-/* "ready" or "draining" in the list. */
+/* Sets the state in the server's entry, "ready" or "draining". */
 void
 server_set_state (struct Installation *installation, uint32_t server, const char *state);
-/* Starts again under its id: another process, as its entry says. */
+/* Simulates a restart under the same id: the entry gets a later start time and sequence 1. */
 void
 server_restart (struct Installation *installation, uint32_t server);
-/* Milliseconds between two events of a stream. */
+/* Sets the interval between two events of a stream. */
 void
 server_set_pace (struct Installation *installation, uint32_t server, uint32_t event_ms);
 
-/* Requests that ran at any server with this id; and all that ran at one server. */
+/* Return how often a request id ran on any server, and how many requests ran on one server. */
 uint32_t
 installation_runs_of (struct Installation *installation, const char *request);
 uint32_t
 server_runs (struct Installation *installation, uint32_t server);
-/* Streams whose caller closed before their end, as a server saw it. */
+/* Returns the number of streams whose client closed the connection before their end. */
 uint32_t
 installation_closes_seen (struct Installation *installation);
-/* The most requests of a customer that ran at all servers within any span of that length. */
+/* Returns the maximum number of requests of a customer that all servers together started within any
+ * period of span_ms. */
 uint32_t
 installation_fullest (struct Installation *installation, const char *customer, int64_t span_ms);
-/* The body with which request ran last; NULL when it did not. Belongs to ctx. */
+/* Returns the body of the last run of request, allocated on ctx; NULL when it did not run. */
 char *
 installation_body_of (struct Installation *installation, TALLOC_CTX *ctx, const char *request);
-/* Value of a header with which request ran last; "" when absent. Belongs to ctx. */
+/* Returns a header of the last run of request, allocated on ctx; "" when absent. */
 char *
 installation_header_of (struct Installation *installation,
                         TALLOC_CTX *ctx,
--- a/tests/standins/installation_internal.h
+++ b/tests/standins/installation_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the store and the servers of the emulated installation. */
+/* Shared by the store and the servers of the platform stand-in of installation.h. */
 #pragma once
 
 #include "installation.h"
@@ -17,16 +17,16 @@
   char key[200];
   char *value; /* base64 */
   int64_t revision;
-  bool deleted; /* kept, so that watches hear of it */
+  bool deleted; /* deleted keys are kept so that watches report them */
 };
 
-/* A request that a server began to work on. */
+/* A request that a server started to process. */
 struct Run
 {
   char request[65];
   uint32_t server;
   char *body;
-  int64_t ran_ms;
+  int64_t started_ms;
   char *headers; /* "Name: value\n"... */
 };
 
@@ -39,7 +39,7 @@
   uint16_t port;
   enum ServerMode mode;
   uint32_t event_ms, sequence;
-  uint64_t born; /* Unix milliseconds */
+  uint64_t started_unix_ms; /* "born" in the entry */
   struct MHD_Daemon *daemon;
 };
 
@@ -52,18 +52,18 @@
   bool ended;
   uint64_t n_store_calls;
   int64_t revision;
-  int64_t history; /* revision after which changes are known */
+  int64_t compacted_revision; /* lowest revision that a watch may start after */
   struct StoreItem items[KEYS_MAX];
   size_t n_items;
   struct Server servers[INSTALLATION_SERVERS_MAX];
   uint32_t n_servers;
   struct Run runs[RUNS_MAX];
   size_t n_runs;
-  uint32_t n_closes_seen;
+  uint32_t n_client_closes;
   char *customers; /* JSON list in each configuration; NULL: none */
 };
 
-/* Under lock. */
+/* The caller holds the lock. */
 void
 store_put (struct Installation *installation, const char *key, const char *base64);
 struct StoreItem *
@@ -74,8 +74,8 @@
 int
 server_start (struct Server *server);
 
-/* Collects a request's body over MHD's calls: true once it is whole. The text is NUL-terminated and
- * freed by request_completed. */
+/* Collects the body of a request over several calls of the libmicrohttpd handler. Returns true once
+ * it is complete. The body is NUL-terminated and freed by request_completed. */
 struct RequestBody
 {
   char *bytes;
--- a/tests/standins/installation_server.c
+++ b/tests/standins/installation_server.c
@@ -8,17 +8,17 @@
 
 enum
 {
-  EVENTS = 4,
-  HANG_STEP_MS = 10
+  EVENTS_PER_STREAM = 4,
+  HANG_POLL_MS = 10
 };
 
-/* A stream on its way. */
+/* An event stream that is being sent. */
 struct Stream
 {
   struct Server *server;
   char request[65];
   uint32_t n_sent;
-  bool breaks_off, cut; /* cut: half an event has left */
+  bool cut_short, partial_event_sent; /* cut_short: closes in the middle of the stream */
 };
 
 bool
@@ -63,7 +63,7 @@
 }
 
 static const char *
-header (struct MHD_Connection *connection, const char *name)
+request_header (struct MHD_Connection *connection, const char *name)
 {
   const char *value = MHD_lookup_connection_value (connection, MHD_HEADER_KIND, name);
 
@@ -71,7 +71,7 @@
 }
 
 static enum MHD_Result
-header_add (void *data, enum MHD_ValueKind kind, const char *name, const char *value)
+append_header (void *data, enum MHD_ValueKind kind, const char *name, const char *value)
 {
   char **headers = data;
   char *grown = NULL;
@@ -85,10 +85,10 @@
 }
 
 static void
-run_note (struct Server *server,
-          struct MHD_Connection *connection,
-          const char *request,
-          const char *body)
+run_record (struct Server *server,
+            struct MHD_Connection *connection,
+            const char *request,
+            const char *body)
 {
   struct Installation *in = server->installation;
   struct Run *run = &in->runs[in->n_runs];
@@ -100,10 +100,10 @@
   snprintf (run->request, sizeof run->request, "%s", request);
   run->server = server->number;
   clock_gettime (CLOCK_MONOTONIC, &now);
-  run->ran_ms = (int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000;
+  run->started_ms = (int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000;
   run->body = strdup (body);
   run->headers = strdup ("");
-  MHD_get_connection_values (connection, MHD_HEADER_KIND, header_add, &run->headers);
+  MHD_get_connection_values (connection, MHD_HEADER_KIND, append_header, &run->headers);
 }
 
 static ssize_t
@@ -114,13 +114,13 @@
   int n;
 
   (void)at;
-  if (stream->n_sent == EVENTS)
+  if (stream->n_sent == EVENTS_PER_STREAM)
     return MHD_CONTENT_READER_END_OF_STREAM;
-  if (stream->breaks_off && stream->cut)
+  if (stream->cut_short && stream->partial_event_sent)
     return MHD_CONTENT_READER_END_WITH_ERROR;
-  if (stream->breaks_off && stream->n_sent >= EVENTS / 2)
+  if (stream->cut_short && stream->n_sent >= EVENTS_PER_STREAM / 2)
     {
-      stream->cut = true;
+      stream->partial_event_sent = true;
       return snprintf (buffer, buffer_bytes, "id: %u\nda", stream->n_sent + 1);
     }
   pthread_mutex_lock (&stream->server->installation->lock);
@@ -134,30 +134,30 @@
 }
 
 static void
-stream_end (void *data)
+stream_on_free (void *data)
 {
   struct Stream *stream = data;
   struct Installation *in = stream->server->installation;
 
   pthread_mutex_lock (&in->lock);
-  if (stream->n_sent < EVENTS && !stream->breaks_off)
-    in->n_closes_seen++;
+  if (stream->n_sent < EVENTS_PER_STREAM && !stream->cut_short)
+    in->n_client_closes++;
   pthread_mutex_unlock (&in->lock);
   free (stream);
 }
 
 static struct MHD_Response *
-stream_response (struct Server *server, const char *request, uint32_t after, bool breaks_off)
+stream_response (struct Server *server, const char *request, uint32_t after, bool cut_short)
 {
   struct Stream *stream = calloc (1, sizeof *stream);
   struct MHD_Response *response;
 
   stream->server = server;
   stream->n_sent = after;
-  stream->breaks_off = breaks_off;
+  stream->cut_short = cut_short;
   snprintf (stream->request, sizeof stream->request, "%s", request);
-  response =
-      MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, 4096, stream_next, stream, stream_end);
+  response = MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, 4096, stream_next, stream,
+                                                stream_on_free);
   MHD_add_response_header (response, "Content-Type", "text/event-stream");
   return response;
 }
@@ -172,7 +172,7 @@
 }
 
 static enum MHD_Result
-refuse (struct MHD_Connection *connection, unsigned status)
+reply_not_executed (struct MHD_Connection *connection, unsigned status)
 {
   struct MHD_Response *response = MHD_create_response_from_buffer (0, "", MHD_RESPMEM_PERSISTENT);
   enum MHD_Result result;
@@ -184,7 +184,7 @@
 }
 
 static void
-wait_while_hanging (struct Server *server)
+server_wait_while_hanging (struct Server *server)
 {
   struct Installation *in = server->installation;
 
@@ -192,14 +192,14 @@
   while (server->mode == SERVER_HANGS && !in->ended)
     {
       pthread_mutex_unlock (&in->lock);
-      usleep (HANG_STEP_MS * 1000);
+      usleep (HANG_POLL_MS * 1000);
       pthread_mutex_lock (&in->lock);
     }
   pthread_mutex_unlock (&in->lock);
 }
 
 static void
-wait_until_end (struct Installation *in)
+installation_wait_end (struct Installation *in)
 {
   pthread_mutex_lock (&in->lock);
   while (!in->ended)
@@ -219,7 +219,7 @@
 {
   struct Server *server = data;
   struct Installation *in = server->installation;
-  const char *request = header (connection, "X-Request-Id");
+  const char *request = request_header (connection, "X-Request-Id");
   struct MHD_Response *response;
   enum MHD_Result result;
   enum ServerMode mode;
@@ -230,24 +230,24 @@
   (void)version;
   if (!request_collect (state, upload, upload_bytes, &result))
     return result;
-  if (header (connection, "X-Expect-Instance")[0] != '\0'
-      && strcmp (header (connection, "X-Expect-Instance"), server->id) != 0)
-    return refuse (connection, 421);
+  if (request_header (connection, "X-Expect-Instance")[0] != '\0'
+      && strcmp (request_header (connection, "X-Expect-Instance"), server->id) != 0)
+    return reply_not_executed (connection, 421);
   pthread_mutex_lock (&in->lock);
   mode = server->mode;
   if (mode != SERVER_FULL)
-    run_note (server, connection, request, ((struct RequestBody *)*state)->bytes);
+    run_record (server, connection, request, ((struct RequestBody *)*state)->bytes);
   if (mode == SERVER_MUTE)
     server->mode = SERVER_ANSWERS;
   pthread_mutex_unlock (&in->lock);
   if (mode == SERVER_MUTE)
-    wait_until_end (in);
+    installation_wait_end (in);
   if (mode == SERVER_FULL)
-    return refuse (connection, 503);
+    return reply_not_executed (connection, 503);
   if (mode == SERVER_LOSES || (mode == SERVER_BREAKS_OFF && !server->engine))
     return MHD_NO;
-  wait_while_hanging (server);
-  after = (uint32_t)strtoul (header (connection, "Last-Event-Id"), NULL, 10);
+  server_wait_while_hanging (server);
+  after = (uint32_t)strtoul (request_header (connection, "Last-Event-Id"), NULL, 10);
   response = server->engine ? stream_response (server, request, after, mode == SERVER_BREAKS_OFF)
                             : plain_response (request);
   MHD_add_response_header (response, "X-Request-Id", request);
--- a/tests/standins/installation_store.c
+++ b/tests/standins/installation_store.c
@@ -45,20 +45,20 @@
 }
 
 static bool
-item_is_under (const struct StoreItem *item, const char *prefix)
+item_has_prefix (const struct StoreItem *item, const char *prefix)
 {
   return strncmp (item->key, prefix, strlen (prefix)) == 0;
 }
 
 static const char *
-argument (struct MHD_Connection *connection, const char *name)
+query_argument (struct MHD_Connection *connection, const char *name)
 {
   const char *value = MHD_lookup_connection_value (connection, MHD_GET_ARGUMENT_KIND, name);
 
   return value != NULL ? value : "";
 }
 
-/* The least key after one, under prefix; NULL when there is none. */
+/* Returns the first item after key `after` that starts with prefix, in key order, or NULL. */
 static const struct StoreItem *
 item_next (const struct Installation *in, const char *prefix, const char *after)
 {
@@ -68,7 +68,7 @@
     {
       const struct StoreItem *item = &in->items[i];
 
-      if (!item->deleted && item_is_under (item, prefix) && strcmp (item->key, after) > 0
+      if (!item->deleted && item_has_prefix (item, prefix) && strcmp (item->key, after) > 0
           && (next == NULL || strcmp (item->key, next->key) < 0))
         next = item;
     }
@@ -78,8 +78,8 @@
 static json_t *
 store_range (struct Installation *in, struct MHD_Connection *connection)
 {
-  const char *prefix = argument (connection, "prefix");
-  const struct StoreItem *item = item_next (in, prefix, argument (connection, "after"));
+  const char *prefix = query_argument (connection, "prefix");
+  const struct StoreItem *item = item_next (in, prefix, query_argument (connection, "after"));
   json_t *items = json_array ();
 
   for (; item != NULL; item = item_next (in, prefix, item->key))
@@ -88,67 +88,68 @@
                     (json_int_t)in->revision);
 }
 
-/* Waits for a change after the caller's revision. */
+/* Waits for a change after the revision in the argument "after". */
 static json_t *
 store_watch (struct Installation *in, struct MHD_Connection *connection, unsigned *status)
 {
-  const char *prefix = argument (connection, "prefix");
-  int64_t after = atoll (argument (connection, "after"));
-  long wait_ms = atol (argument (connection, "wait_ms"));
+  const char *prefix = query_argument (connection, "prefix");
+  int64_t after = atoll (query_argument (connection, "after"));
+  long wait_ms = atol (query_argument (connection, "wait_ms"));
   json_t *events = json_array ();
-  struct timespec end;
+  struct timespec deadline;
 
-  if (after < in->history)
+  if (after < in->compacted_revision)
     {
       *status = 410;
       return events;
     }
-  clock_gettime (CLOCK_REALTIME, &end);
-  end.tv_sec += wait_ms / 1000;
-  end.tv_nsec += wait_ms % 1000 * 1000000;
-  if (end.tv_nsec >= 1000000000)
+  clock_gettime (CLOCK_REALTIME, &deadline);
+  deadline.tv_sec += wait_ms / 1000;
+  deadline.tv_nsec += wait_ms % 1000 * 1000000;
+  if (deadline.tv_nsec >= 1000000000)
     {
-      end.tv_sec++;
-      end.tv_nsec -= 1000000000;
+      deadline.tv_sec++;
+      deadline.tv_nsec -= 1000000000;
     }
   for (;;)
     {
       for (size_t i = 0; i < in->n_items; i++)
-        if (in->items[i].revision > after && item_is_under (&in->items[i], prefix))
+        if (in->items[i].revision > after && item_has_prefix (&in->items[i], prefix))
           json_array_append_new (events, item_json (&in->items[i]));
       if (json_array_size (events) > 0 || in->ended
-          || pthread_cond_timedwait (&in->changed, &in->lock, &end) != 0)
+          || pthread_cond_timedwait (&in->changed, &in->lock, &deadline) != 0)
         break;
     }
   return json_pack ("{s:o, s:I}", "events", events, "at", (json_int_t)in->revision);
 }
 
-/* False, with the present state in items, when a condition does not hold. */
+/* Returns whether all conditions hold, and adds the current state of their keys to items. */
 static bool
 conditions_hold (struct Installation *in, const json_t *conditions, json_t *items)
 {
-  bool hold = true;
+  bool all_hold = true;
 
   for (size_t i = 0; i < json_array_size (conditions); i++)
     {
-      const json_t *row = json_array_get (conditions, i);
-      const char *key = json_string_value (json_object_get (row, "key"));
+      const json_t *condition = json_array_get (conditions, i);
+      const char *key = json_string_value (json_object_get (condition, "key"));
       const struct StoreItem *item = store_find (in, key);
       int64_t revision = item != NULL && !item->deleted ? item->revision : 0;
 
-      hold = hold && revision == json_integer_value (json_object_get (row, "revision"));
+      all_hold =
+          all_hold && revision == json_integer_value (json_object_get (condition, "revision"));
       json_array_append_new (items, revision > 0
                                         ? item_json (item)
                                         : json_pack ("{s:s, s:i}", "key", key, "revision", 0));
     }
-  return hold;
+  return all_hold;
 }
 
 static json_t *
 store_txn (struct Installation *in, const char *text, unsigned *status)
 {
-  json_t *body = json_loads (text, 0, NULL), *items = json_array (), *answer;
-  const json_t *puts = json_object_get (body, "puts"), *gone = json_object_get (body, "remove");
+  json_t *body = json_loads (text, 0, NULL), *items = json_array (), *reply;
+  const json_t *puts = json_object_get (body, "puts"), *removals = json_object_get (body, "remove");
 
   if (!conditions_hold (in, json_object_get (body, "expected_revision"), items))
     {
@@ -159,39 +160,39 @@
   for (size_t i = 0; i < json_array_size (puts); i++)
     store_put (in, json_string_value (json_object_get (json_array_get (puts, i), "key")),
                json_string_value (json_object_get (json_array_get (puts, i), "value")));
-  for (size_t i = 0; i < json_array_size (gone); i++)
-    store_put (in, json_string_value (json_array_get (gone, i)), NULL);
-  answer = json_pack ("{s:I}", "revision", (json_int_t)in->revision);
+  for (size_t i = 0; i < json_array_size (removals); i++)
+    store_put (in, json_string_value (json_array_get (removals, i)), NULL);
+  reply = json_pack ("{s:I}", "revision", (json_int_t)in->revision);
   json_decref (items);
   json_decref (body);
-  return answer;
+  return reply;
 }
 
 static json_t *
-store_key (struct Installation *in, struct MHD_Connection *connection, unsigned *status)
+store_get (struct Installation *in, struct MHD_Connection *connection, unsigned *status)
 {
-  const struct StoreItem *item = store_find (in, argument (connection, "key"));
-  json_t *answer;
+  const struct StoreItem *item = store_find (in, query_argument (connection, "key"));
+  json_t *reply;
 
   if (item == NULL || item->deleted)
     {
       *status = 404;
       return json_object ();
     }
-  answer = item_json (item);
-  json_object_set_new (answer, "at", json_integer (in->revision));
-  return answer;
+  reply = item_json (item);
+  json_object_set_new (reply, "at", json_integer (in->revision));
+  return reply;
 }
 
 static json_t *
-store_answer (struct Installation *in,
-              struct MHD_Connection *connection,
-              const char *path,
-              const char *body,
-              unsigned *status)
+store_dispatch (struct Installation *in,
+                struct MHD_Connection *connection,
+                const char *path,
+                const char *body,
+                unsigned *status)
 {
   if (strcmp (path, "/-/kv-key") == 0)
-    return store_key (in, connection, status);
+    return store_get (in, connection, status);
   if (strcmp (path, "/-/kv-range") == 0)
     return store_range (in, connection);
   if (strcmp (path, "/-/kv-watch") == 0)
@@ -216,7 +217,7 @@
   enum MHD_Result result;
   struct MHD_Response *response;
   unsigned status = 200;
-  json_t *answer;
+  json_t *reply;
   char *text;
 
   (void)method;
@@ -230,13 +231,13 @@
   if (in->store_mode == STORE_REFUSES)
     {
       status = 503;
-      answer = json_object ();
+      reply = json_object ();
     }
   else
-    answer = store_answer (in, connection, url, ((struct RequestBody *)*state)->bytes, &status);
+    reply = store_dispatch (in, connection, url, ((struct RequestBody *)*state)->bytes, &status);
   pthread_mutex_unlock (&in->lock);
-  text = json_dumps (answer, JSON_COMPACT);
-  json_decref (answer);
+  text = json_dumps (reply, JSON_COMPACT);
+  json_decref (reply);
   response = MHD_create_response_from_buffer (strlen (text), text, MHD_RESPMEM_MUST_FREE);
   result = MHD_queue_response (connection, status, response);
   MHD_destroy_response (response);
