--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -29,16 +29,16 @@
 enum DownMode
 {
   DOWN_NOT,
-  DOWN_REFUSE, /* closes without an answer */
-  DOWN_HANG    /* answers nothing until it is up again, then closes */
+  DOWN_REFUSE, /* closes connections without a response */
+  DOWN_HANG    /* closes connections without a response once it is up again */
 };
 
-/* Tokens of one second's limit. */
+/* Token bucket that holds the tokens of one second. */
 struct Limit
 {
-  uint32_t per_s; /* 0: none */
+  uint32_t per_s; /* 0: no limit */
   double tokens;
-  int64_t filled_ms;
+  int64_t refilled_ms;
 };
 
 struct Platform
@@ -51,20 +51,20 @@
   struct Store *store;
   json_t *instances;
   enum DownMode down;
-  int64_t down_until_ms; /* INT64_MAX: until told */
+  int64_t down_until_ms; /* INT64_MAX: until POST /control changes it */
   bool instances_down;
   uint32_t slow_ms;
-  uint32_t lose_answers; /* the next writes take effect and are not answered */
-  uint32_t lose_writes;  /* the next writes have no effect and are not answered */
+  uint32_t lose_answers; /* number of next writes that are applied without a response */
+  uint32_t lose_writes;  /* number of next writes that are dropped without a response */
   struct Limit writes_limit, reads_limit;
   uint64_t reads, writes, watches, keepalives, conflicts, limited;
 };
 
-/* One request while its body comes in. */
+/* A request whose body is being received. */
 struct Upload
 {
   char *body;
-  size_t n;
+  size_t n_bytes;
   bool too_large;
 };
 
@@ -95,7 +95,7 @@
   nanosleep (&pause, NULL);
 }
 
-/* Waits for a change; the lock is held. */
+/* Waits for a change, for at most SWEEP_MS. The caller holds the lock. */
 static void
 platform_wait (struct Platform *platform)
 {
@@ -120,16 +120,16 @@
 }
 
 static bool
-limit_take (struct Limit *limit)
+limit_take_token (struct Limit *limit)
 {
   int64_t now_ms = clock_now_ms ();
 
   if (limit->per_s == 0)
     return true;
-  limit->tokens += (double)(now_ms - limit->filled_ms) * limit->per_s / 1000;
+  limit->tokens += (double)(now_ms - limit->refilled_ms) * limit->per_s / 1000;
   if (limit->tokens > limit->per_s)
     limit->tokens = limit->per_s;
-  limit->filled_ms = now_ms;
+  limit->refilled_ms = now_ms;
   if (limit->tokens < 1)
     return false;
   limit->tokens -= 1;
@@ -153,14 +153,14 @@
 }
 
 static enum MHD_Result
-answer_json (struct MHD_Connection *connection, uint32_t status, json_t *answer)
+reply_json (struct MHD_Connection *connection, uint32_t status, json_t *reply)
 {
-  char *text = json_dumps (answer, JSON_COMPACT);
+  char *text = json_dumps (reply, JSON_COMPACT);
   struct MHD_Response *response =
       MHD_create_response_from_buffer (strlen (text), text, MHD_RESPMEM_MUST_FREE);
   enum MHD_Result result = MHD_NO;
 
-  json_decref (answer);
+  json_decref (reply);
   MHD_add_response_header (response, "Content-Type", "application/json");
   result = MHD_queue_response (connection, status, response);
   MHD_destroy_response (response);
@@ -194,11 +194,11 @@
   struct Watch *watch = data;
   struct Platform *platform = watch->platform;
   size_t n = 0;
-  bool over = false;
+  bool ended = false;
 
   (void)position;
   pthread_mutex_lock (&platform->lock);
-  while (watch->pending == NULL && !over)
+  while (watch->pending == NULL && !ended)
     {
       json_t *message = gateway_watch_next (platform->store, &watch->position);
 
@@ -206,10 +206,10 @@
         watch_set_pending (watch, message);
       else
         platform_wait (platform);
-      over = platform->stopping || platform_is_down (platform) || watch_is_closed (watch);
+      ended = platform->stopping || platform_is_down (platform) || watch_is_closed (watch);
     }
   pthread_mutex_unlock (&platform->lock);
-  if (over)
+  if (ended)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   n = watch->pending_bytes - watch->pending_at;
   if (n > max)
@@ -251,7 +251,7 @@
   if (!valid)
     {
       talloc_free (ctx);
-      return answer_json (connection, 400, gateway_error (3, "create_request is missing"));
+      return reply_json (connection, 400, gateway_error (3, "create_request is missing"));
     }
   response = MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, WATCH_BLOCK_BYTES, watch_read,
                                                 watch, watch_free);
@@ -260,7 +260,7 @@
   return result;
 }
 
-/* Waits out the faults that come before a call; false when it gets no answer. */
+/* Applies the faults "down" and "slow_ms". Returns false when the call gets no response. */
 static bool
 platform_admit (struct Platform *platform)
 {
@@ -280,12 +280,12 @@
   return true;
 }
 
-/* Counts the call against its limit. */
+/* Counts the call. Returns false when it exceeds its rate limit. */
 static bool
 platform_within_limit (struct Platform *platform, enum GatewayKind kind)
 {
   bool write = kind == GATEWAY_WRITE;
-  bool within = limit_take (write ? &platform->writes_limit : &platform->reads_limit);
+  bool within = limit_take_token (write ? &platform->writes_limit : &platform->reads_limit);
 
   if (!within)
     platform->limited++;
@@ -299,7 +299,7 @@
 }
 
 static bool
-take_one (uint32_t *left)
+decrement_if_positive (uint32_t *left)
 {
   if (*left == 0)
     return false;
@@ -314,7 +314,7 @@
                   json_t *request)
 {
   enum GatewayKind kind = gateway_kind (path);
-  json_t *answer = NULL;
+  json_t *reply = NULL;
   uint32_t status = 429;
   bool lose = false;
   bool conflict = false;
@@ -323,26 +323,26 @@
     return MHD_NO;
   pthread_mutex_lock (&platform->lock);
   if (!platform_within_limit (platform, kind))
-    answer = gateway_error (CODE_RESOURCE_EXHAUSTED, "etcdserver: too many requests");
-  else if (kind == GATEWAY_WRITE && take_one (&platform->lose_writes))
+    reply = gateway_error (CODE_RESOURCE_EXHAUSTED, "etcdserver: too many requests");
+  else if (kind == GATEWAY_WRITE && decrement_if_positive (&platform->lose_writes))
     lose = true;
   else if (kind != GATEWAY_WATCH)
     {
       store_expire (platform->store, clock_now_ms ());
-      status = gateway_call (platform->store, path, request, clock_now_ms (), &answer, &conflict);
-      lose = kind == GATEWAY_WRITE && take_one (&platform->lose_answers);
+      status = gateway_call (platform->store, path, request, clock_now_ms (), &reply, &conflict);
+      lose = kind == GATEWAY_WRITE && decrement_if_positive (&platform->lose_answers);
       platform->conflicts += conflict;
       pthread_cond_broadcast (&platform->changed);
     }
   pthread_mutex_unlock (&platform->lock);
   if (lose)
     {
-      json_decref (answer);
+      json_decref (reply);
       return MHD_NO;
     }
-  if (answer == NULL)
+  if (reply == NULL)
     return platform_watch (platform, connection, request);
-  return answer_json (connection, status, answer);
+  return reply_json (connection, status, reply);
 }
 
 static void
@@ -367,8 +367,9 @@
     *count = (uint32_t)json_integer_value (value);
 }
 
-/* {"down": {"mode": "refuse" | "hang", "ms": 0 for until told} | null, "slow_ms", "lose_answers",
- * "lose_writes", "writes_per_s", "reads_per_s", "instances_down"}: those given are set. */
+/* Sets the members that request contains: {"down": {"mode": "refuse" | "hang", "ms": N} | null,
+ * "slow_ms", "lose_answers", "lose_writes", "writes_per_s", "reads_per_s", "instances_down"}. "ms"
+ * 0 lasts until "down" is set again. */
 static void
 platform_control (struct Platform *platform, const json_t *request)
 {
@@ -390,46 +391,48 @@
 }
 
 static enum MHD_Result
-platform_stats (struct Platform *platform, struct MHD_Connection *connection)
+platform_reply_stats (struct Platform *platform, struct MHD_Connection *connection)
 {
-  json_t *answer = NULL;
+  json_t *reply = NULL;
 
   pthread_mutex_lock (&platform->lock);
-  answer = json_pack (
+  reply = json_pack (
       "{s:I, s:I, s:I, s:I, s:I, s:I, s:I}", "reads", (json_int_t)platform->reads, "writes",
       (json_int_t)platform->writes, "watches", (json_int_t)platform->watches, "keepalives",
       (json_int_t)platform->keepalives, "conflicts", (json_int_t)platform->conflicts, "limited",
       (json_int_t)platform->limited, "revision", (json_int_t)store_revision (platform->store));
   pthread_mutex_unlock (&platform->lock);
-  return answer_json (connection, 200, answer);
+  return reply_json (connection, 200, reply);
 }
 
 static enum MHD_Result
-platform_list (struct Platform *platform, struct MHD_Connection *connection)
+platform_reply_instances (struct Platform *platform, struct MHD_Connection *connection)
 {
-  json_t *list = NULL;
+  json_t *instances = NULL;
   bool down = false;
 
   pthread_mutex_lock (&platform->lock);
   down = platform->instances_down;
-  list = json_deep_copy (platform->instances);
+  instances = json_deep_copy (platform->instances);
   pthread_mutex_unlock (&platform->lock);
   if (!down)
-    return answer_json (connection, 200, list);
-  json_decref (list);
+    return reply_json (connection, 200, instances);
+  json_decref (instances);
   return MHD_NO;
 }
 
 static enum MHD_Result
-platform_set_list (struct Platform *platform, struct MHD_Connection *connection, json_t *list)
+platform_set_instances (struct Platform *platform,
+                        struct MHD_Connection *connection,
+                        json_t *instances)
 {
-  if (!json_is_array (list))
-    return answer_json (connection, 400, gateway_error (3, "an array is wanted"));
+  if (!json_is_array (instances))
+    return reply_json (connection, 400, gateway_error (3, "the body is not a JSON array"));
   pthread_mutex_lock (&platform->lock);
   json_decref (platform->instances);
-  platform->instances = json_incref (list);
+  platform->instances = json_incref (instances);
   pthread_mutex_unlock (&platform->lock);
-  return answer_json (connection, 200, json_object ());
+  return reply_json (connection, 200, json_object ());
 }
 
 static enum MHD_Result
@@ -442,34 +445,34 @@
   bool post = strcmp (method, "POST") == 0;
 
   if (!post && strcmp (path, "/instances") == 0)
-    return platform_list (platform, connection);
+    return platform_reply_instances (platform, connection);
   if (!post && strcmp (path, "/control/stats") == 0)
-    return platform_stats (platform, connection);
+    return platform_reply_stats (platform, connection);
   if (post && request == NULL)
-    return answer_json (connection, 400, gateway_error (3, "the body is not JSON"));
+    return reply_json (connection, 400, gateway_error (3, "the body is not JSON"));
   if (post && strcmp (path, "/control/instances") == 0)
-    return platform_set_list (platform, connection, request);
+    return platform_set_instances (platform, connection, request);
   if (post && strcmp (path, "/control") == 0)
     {
       platform_control (platform, request);
-      return answer_json (connection, 200, json_object ());
+      return reply_json (connection, 200, json_object ());
     }
   if (post && gateway_kind (path) != GATEWAY_NONE)
     return platform_kv_call (platform, connection, path, request);
-  return answer_json (connection, 404, gateway_error (5, "no such path"));
+  return reply_json (connection, 404, gateway_error (5, "no such path"));
 }
 
 static void
 upload_add (struct Upload *upload, const char *data, size_t n)
 {
-  if (upload->n + n > BODY_MAX_BYTES)
+  if (upload->n_bytes + n > BODY_MAX_BYTES)
     {
       upload->too_large = true;
       return;
     }
-  upload->body = talloc_realloc (upload, upload->body, char, upload->n + n + 1);
-  memcpy (upload->body + upload->n, data, n);
-  upload->n += n;
+  upload->body = talloc_realloc (upload, upload->body, char, upload->n_bytes + n + 1);
+  memcpy (upload->body + upload->n_bytes, data, n);
+  upload->n_bytes += n;
 }
 
 static enum MHD_Result
@@ -499,9 +502,9 @@
       return MHD_YES;
     }
   if (upload->too_large)
-    return answer_json (connection, 413, gateway_error (3, "the body is too large"));
-  if (upload->n > 0)
-    request = json_loadb (upload->body, upload->n, 0, NULL);
+    return reply_json (connection, 413, gateway_error (3, "the body is too large"));
+  if (upload->n_bytes > 0)
+    request = json_loadb (upload->body, upload->n_bytes, 0, NULL);
   result = platform_route (data, connection, method, path, request);
   json_decref (request);
   return result;
@@ -521,7 +524,7 @@
 }
 
 static bool
-address_read (const char *text, struct sockaddr_in *address)
+address_parse (const char *text, struct sockaddr_in *address)
 {
   char ip[INET_ADDRSTRLEN] = "";
   const char *colon = strrchr (text, ':');
@@ -560,7 +563,7 @@
                             ? json_load_file (options->instances_file, 0, NULL)
                             : json_array ();
   platform_init_locks (platform);
-  if (!json_is_array (platform->instances) || !address_read (options->listen, &address))
+  if (!json_is_array (platform->instances) || !address_parse (options->listen, &address))
     goto fail;
   platform->daemon = MHD_start_daemon (
       MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL,
@@ -614,7 +617,7 @@
   platform = platform_start (options);
   if (platform == NULL)
     {
-      fprintf (stderr, "platform: can not listen on %s, or the list is not JSON\n",
+      fprintf (stderr, "platform: cannot listen on %s, or the instances file is not a JSON array\n",
                options->listen);
       return 1;
     }
--- a/tests/standins/platform.h
+++ b/tests/standins/platform.h
@@ -13,7 +13,7 @@
   const char *instances_file; /* JSON array; NULL: an empty list */
 };
 
-/* NULL when it can not listen or the file can not be read. */
+/* Returns NULL when it cannot listen on the address or cannot read the file. */
 struct Platform *
 platform_start (const struct PlatformOptions *options);
 uint16_t
