--- a/tests/standins/engine_model.c
+++ b/tests/standins/engine_model.c
@@ -346,7 +346,7 @@
 }
 
 bool
-engine_model_take_fault (struct EngineModel *model, uint32_t *counter)
+engine_model_consume_fault (struct EngineModel *model, uint32_t *counter)
 {
   bool taken;
 
--- a/tests/standins/engine_model.h
+++ b/tests/standins/engine_model.h
@@ -103,4 +103,4 @@
 engine_model_unlock_faults (struct EngineModel *model);
 /* Decrements a counter of the faults. Returns false when it was 0 already. */
 bool
-engine_model_take_fault (struct EngineModel *model, uint32_t *counter);
+engine_model_consume_fault (struct EngineModel *model, uint32_t *counter);
--- a/tests/standins/installation.c
+++ b/tests/standins/installation.c
@@ -19,7 +19,7 @@
 {
   char *base64 = base64_text (NULL, text, strlen (text));
 
-  store_put (in, key, base64);
+  installation_store_put (in, key, base64);
   talloc_free (base64);
 }
 
@@ -32,7 +32,7 @@
   pthread_mutex_init (&in->lock, NULL);
   pthread_cond_init (&in->changed, NULL);
   in->revision = 100;
-  if (store_start (in, store_port) != 0)
+  if (installation_store_start (in, store_port) != 0)
     abort ();
   return in;
 }
@@ -88,7 +88,7 @@
   snprintf (server->zone, sizeof server->zone, "%s", zone);
   snprintf (server->address, sizeof server->address, "127.0.0.1:%u", port);
   snprintf (server->state, sizeof server->state, "ready");
-  if (server_start (server) != 0)
+  if (installation_server_start (server) != 0)
     abort ();
   pthread_mutex_lock (&in->lock);
   in->n_servers++;
@@ -144,7 +144,7 @@
   size_t n_bytes;
 
   pthread_mutex_lock (&in->lock);
-  item = store_find (in, key);
+  item = installation_store_find (in, key);
   if (item != NULL && !item->deleted)
     value = (char *)base64_bytes (ctx, item->value, &n_bytes);
   pthread_mutex_unlock (&in->lock);
@@ -155,7 +155,7 @@
 installation_remove (struct Installation *in, const char *key)
 {
   pthread_mutex_lock (&in->lock);
-  store_put (in, key, NULL);
+  installation_store_put (in, key, NULL);
   pthread_mutex_unlock (&in->lock);
 }
 
--- a/tests/standins/installation_internal.h
+++ b/tests/standins/installation_internal.h
@@ -65,14 +65,14 @@
 
 /* The caller holds the lock. */
 void
-store_put (struct Installation *installation, const char *key, const char *base64);
+installation_store_put (struct Installation *installation, const char *key, const char *base64);
 struct StoreItem *
-store_find (struct Installation *installation, const char *key);
+installation_store_find (struct Installation *installation, const char *key);
 
 int
-store_start (struct Installation *installation, uint16_t port);
+installation_store_start (struct Installation *installation, uint16_t port);
 int
-server_start (struct Server *server);
+installation_server_start (struct Server *server);
 
 /* Collects the body of a request over several calls of the libmicrohttpd handler. Returns true once
  * it is complete. The body is NUL-terminated and freed by request_completed. */
--- a/tests/standins/installation_server.c
+++ b/tests/standins/installation_server.c
@@ -259,7 +259,7 @@
 }
 
 int
-server_start (struct Server *server)
+installation_server_start (struct Server *server)
 {
   server->daemon =
       MHD_start_daemon (MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD,
--- a/tests/standins/installation_store.c
+++ b/tests/standins/installation_store.c
@@ -7,7 +7,7 @@
 #include <time.h>
 
 struct StoreItem *
-store_find (struct Installation *in, const char *key)
+installation_store_find (struct Installation *in, const char *key)
 {
   for (size_t i = 0; i < in->n_items; i++)
     if (strcmp (in->items[i].key, key) == 0)
@@ -16,9 +16,9 @@
 }
 
 void
-store_put (struct Installation *in, const char *key, const char *base64)
+installation_store_put (struct Installation *in, const char *key, const char *base64)
 {
-  struct StoreItem *item = store_find (in, key);
+  struct StoreItem *item = installation_store_find (in, key);
 
   if (item == NULL && in->n_items < KEYS_MAX)
     {
@@ -133,7 +133,7 @@
     {
       const json_t *condition = json_array_get (conditions, i);
       const char *key = json_string_value (json_object_get (condition, "key"));
-      const struct StoreItem *item = store_find (in, key);
+      const struct StoreItem *item = installation_store_find (in, key);
       int64_t revision = item != NULL && !item->deleted ? item->revision : 0;
 
       all_hold =
@@ -158,10 +158,11 @@
       return json_pack ("{s:o}", "items", items);
     }
   for (size_t i = 0; i < json_array_size (puts); i++)
-    store_put (in, json_string_value (json_object_get (json_array_get (puts, i), "key")),
-               json_string_value (json_object_get (json_array_get (puts, i), "value")));
+    installation_store_put (
+        in, json_string_value (json_object_get (json_array_get (puts, i), "key")),
+        json_string_value (json_object_get (json_array_get (puts, i), "value")));
   for (size_t i = 0; i < json_array_size (removals); i++)
-    store_put (in, json_string_value (json_array_get (removals, i)), NULL);
+    installation_store_put (in, json_string_value (json_array_get (removals, i)), NULL);
   reply = json_pack ("{s:I}", "revision", (json_int_t)in->revision);
   json_decref (items);
   json_decref (body);
@@ -171,7 +172,7 @@
 static json_t *
 store_get (struct Installation *in, struct MHD_Connection *connection, unsigned *status)
 {
-  const struct StoreItem *item = store_find (in, query_argument (connection, "key"));
+  const struct StoreItem *item = installation_store_find (in, query_argument (connection, "key"));
   json_t *reply;
 
   if (item == NULL || item->deleted)
@@ -245,7 +246,7 @@
 }
 
 int
-store_start (struct Installation *in, uint16_t port)
+installation_store_start (struct Installation *in, uint16_t port)
 {
   in->store = MHD_start_daemon (MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD,
                                 port, NULL, NULL, store_on_request, in, MHD_OPTION_NOTIFY_COMPLETED,
--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -34,7 +34,7 @@
 };
 
 /* Token bucket that holds the tokens of one second. */
-struct Limit
+struct RateLimit
 {
   uint32_t per_s; /* 0: no limit */
   double tokens;
@@ -56,7 +56,7 @@
   uint32_t slow_ms;
   uint32_t lose_answers; /* number of next writes that are applied without a response */
   uint32_t lose_writes;  /* number of next writes that are dropped without a response */
-  struct Limit writes_limit, reads_limit;
+  struct RateLimit writes_limit, reads_limit;
   uint64_t reads, writes, watches, keepalives, conflicts, limited;
 };
 
@@ -120,7 +120,7 @@
 }
 
 static bool
-limit_take_token (struct Limit *limit)
+limit_take_token (struct RateLimit *limit)
 {
   int64_t now_ms = clock_now_ms ();
 
