--- a/tests/sessions/gateways.c
+++ b/tests/sessions/gateways.c
@@ -10,18 +10,18 @@
 enum
 {
   N_ENGINES = 2,
-  MAX_TOKENS = 200 /* of one turn */
+  MAX_TOKENS = 200 /* output tokens of one turn */
 };
 
 static uint16_t
-forwarded (struct Fleet *fleet, uint16_t port)
+forwarded_port (struct Fleet *fleet, uint16_t port)
 {
   return fleet->forward != NULL ? fleet->forward (fleet->forward_data, port) : port;
 }
 
-/* The section that names the seed; "" when there is none. */
+/* Returns the settings section with the seed; "" if no seed is set. */
 static const char *
-membership_text (const struct Fleet *fleet)
+membership_section (const struct Fleet *fleet)
 {
   static char text[64];
 
@@ -32,79 +32,83 @@
 }
 
 static void
-write_gateway (struct Fleet *fleet, uint32_t i)
+gateway_write_settings (struct Fleet *fleet, uint32_t i)
 {
-  struct GatewayNode *g = &fleet->gateways[i];
+  struct GatewayNode *gateway = &fleet->gateways[i];
   char name[40], text[1024];
   uint16_t peer_port;
 
-  snprintf (g->name, sizeof g->name, "front-%u", i + 1);
-  snprintf (g->caller, sizeof g->caller, "127.0.0.1:%u", session_port (fleet->session));
-  snprintf (g->ready, sizeof g->ready, "127.0.0.1:%u", session_port (fleet->session));
-  snprintf (g->directory, sizeof g->directory, "127.0.0.1:%u", session_port (fleet->session));
+  snprintf (gateway->name, sizeof gateway->name, "front-%u", i + 1);
+  snprintf (gateway->caller, sizeof gateway->caller, "127.0.0.1:%u", session_port (fleet->session));
+  snprintf (gateway->ready, sizeof gateway->ready, "127.0.0.1:%u", session_port (fleet->session));
+  snprintf (gateway->directory, sizeof gateway->directory, "127.0.0.1:%u",
+            session_port (fleet->session));
   peer_port = i == 0 && fleet->seed_port != 0 ? fleet->seed_port : session_port (fleet->session);
-  snprintf (g->peer, sizeof g->peer, "127.0.0.1:%u", peer_port);
-  g->announced_port = forwarded (fleet, peer_port);
-  snprintf (g->metrics, sizeof g->metrics, "127.0.0.1:%u", session_port (fleet->session));
+  snprintf (gateway->peer, sizeof gateway->peer, "127.0.0.1:%u", peer_port);
+  gateway->announced_port = forwarded_port (fleet, peer_port);
+  snprintf (gateway->metrics, sizeof gateway->metrics, "127.0.0.1:%u",
+            session_port (fleet->session));
   snprintf (text, sizeof text,
             "[instance]\nname = %s\nzone = a\n[listen]\ncaller = %s\nready = %s\n"
             "directory = %s\npeer = %s\nannounce = 127.0.0.1:%u\nmetrics = %s\n[platform]\nstore = "
             "http://%s\n%s[stop]\ngrace "
             "= 6s\n",
-            g->name, g->caller, g->ready, g->directory, g->peer, g->announced_port, g->metrics,
-            fleet->store, membership_text (fleet));
-  snprintf (name, sizeof name, "%s.ini", g->name);
-  g->file = session_write_file (fleet->session, name, text);
+            gateway->name, gateway->caller, gateway->ready, gateway->directory, gateway->peer,
+            gateway->announced_port, gateway->metrics, fleet->store, membership_section (fleet));
+  snprintf (name, sizeof name, "%s.ini", gateway->name);
+  gateway->file = session_write_file (fleet->session, name, text);
 }
 
 static void
-write_archive (struct Fleet *fleet, uint32_t i, bool first)
+archive_write_settings (struct Fleet *fleet, uint32_t i, bool first)
 {
-  struct ArchiveNode *a = &fleet->archives[i];
+  struct ArchiveNode *archive = &fleet->archives[i];
   char name[40], text[1024];
 
-  /* Long names, as machines of large installations have: what the store keeps of a set is longer
-   * than any address. */
-  snprintf (a->name, sizeof a->name, "storage-of-a-large-zone-%u", i + 1);
-  snprintf (a->folder, sizeof a->folder, "%s/data-%u", session_folder (fleet->session), i + 1);
-  if (a->peer_port == 0)
+  /* Long names, as in large deployments: an archive set's entry in the store becomes longer than
+   * any address. */
+  snprintf (archive->name, sizeof archive->name, "storage-of-a-large-zone-%u", i + 1);
+  snprintf (archive->folder, sizeof archive->folder, "%s/data-%u", session_folder (fleet->session),
+            i + 1);
+  if (archive->peer_port == 0)
     {
-      a->peer_port = session_port (fleet->session);
-      a->announced_port = forwarded (fleet, a->peer_port);
-      snprintf (a->metrics, sizeof a->metrics, "127.0.0.1:%u", session_port (fleet->session));
+      archive->peer_port = session_port (fleet->session);
+      archive->announced_port = forwarded_port (fleet, archive->peer_port);
+      snprintf (archive->metrics, sizeof archive->metrics, "127.0.0.1:%u",
+                session_port (fleet->session));
     }
   snprintf (text, sizeof text,
             "[instance]\nname = %s\nzone = a\ndata_folder = %s\n[listen]\n"
             "peer = 127.0.0.1:%u\nannounce = 127.0.0.1:%u\nmetrics = %s\n[platform]\nstore = "
             "http://%s\n%s[archives]\nfirst_start = %s\n",
-            a->name, a->folder, a->peer_port, a->announced_port, a->metrics, fleet->store,
-            membership_text (fleet), first ? "true" : "false");
-  snprintf (name, sizeof name, "%s.ini", a->name);
-  a->file = session_write_file (fleet->session, name, text);
+            archive->name, archive->folder, archive->peer_port, archive->announced_port,
+            archive->metrics, fleet->store, membership_section (fleet), first ? "true" : "false");
+  snprintf (name, sizeof name, "%s.ini", archive->name);
+  archive->file = session_write_file (fleet->session, name, text);
 }
 
 void
 gateway_start (struct Fleet *fleet, uint32_t i)
 {
-  struct GatewayNode *g = &fleet->gateways[i];
-  const char *const argv[] = { daemon_path (), "gateway", "--config", g->file, NULL };
+  struct GatewayNode *gateway = &fleet->gateways[i];
+  const char *const argv[] = { daemon_path (), "gateway", "--config", gateway->file, NULL };
 
-  g->process = session_start (fleet->session, g->name, argv);
+  gateway->process = session_start (fleet->session, gateway->name, argv);
 }
 
 void
 archive_start (struct Fleet *fleet, uint32_t i, bool first)
 {
-  struct ArchiveNode *a = &fleet->archives[i];
+  struct ArchiveNode *archive = &fleet->archives[i];
   const char *argv[] = { daemon_path (), "gateway", "--config", NULL, NULL };
 
-  write_archive (fleet, i, first);
-  argv[3] = a->file;
-  a->process = session_start (fleet->session, a->name, argv);
+  archive_write_settings (fleet, i, first);
+  argv[3] = archive->file;
+  archive->process = session_start (fleet->session, archive->name, argv);
 }
 
 static int
-remove_one (const char *path, const struct stat *status, int kind, struct FTW *walk)
+remove_entry (const char *path, const struct stat *status, int kind, struct FTW *walk)
 {
   (void)status;
   (void)kind;
@@ -115,14 +119,14 @@
 void
 archive_wipe (struct Fleet *fleet, uint32_t i)
 {
-  nftw (fleet->archives[i].folder, remove_one, 8, FTW_DEPTH | FTW_PHYS);
+  nftw (fleet->archives[i].folder, remove_entry, 8, FTW_DEPTH | FTW_PHYS);
 }
 
 static bool
 gateway_is_ready (void *data)
 {
-  const struct GatewayNode *g = data;
-  struct HttpReply *reply = http_get (NULL, g->ready, "/-/ready");
+  const struct GatewayNode *gateway = data;
+  struct HttpReply *reply = http_get (NULL, gateway->ready, "/-/ready");
   bool ready = reply->status == 200;
 
   talloc_free (reply);
@@ -135,13 +139,14 @@
   return wait_for (gateway_is_ready, &fleet->gateways[i]);
 }
 
-/* Ends the program: a soak has no suite whose assertions could fail. */
+/* Aborts the process if a condition does not hold. Not a CUnit assertion, since the soak program
+ * runs no test suite. */
 static void
-fleet_require (bool holds, const char *what)
+fleet_require (bool holds, const char *name)
 {
   if (holds)
     return;
-  fprintf (stderr, "the fleet does not start: no %s\n", what);
+  fprintf (stderr, "the test deployment did not start: no %s\n", name);
   abort ();
 }
 
@@ -162,7 +167,7 @@
 
   fleet->forward = forward;
   fleet->forward_data = data;
-  snprintf (fleet->store, sizeof fleet->store, "127.0.0.1:%u", forwarded (fleet, store_port));
+  snprintf (fleet->store, sizeof fleet->store, "127.0.0.1:%u", forwarded_port (fleet, store_port));
   fleet->installation = installation_new (fleet, store_port);
   for (uint32_t i = 0; i < N_ENGINES; i++)
     installation_add (fleet->installation, "engines", true, "a", session_port (fleet->session));
@@ -172,14 +177,14 @@
     archive_start (fleet, fleet->n_archives, true);
   for (fleet->n_gateways = 0; fleet->n_gateways < n_gateways; fleet->n_gateways++)
     {
-      write_gateway (fleet, fleet->n_gateways);
+      gateway_write_settings (fleet, fleet->n_gateways);
       gateway_start (fleet, fleet->n_gateways);
     }
   for (uint32_t i = 0; i < n_archives; i++)
     fleet_require (process_wait_output (fleet->archives[i].process, "generation 3, 3 members"),
-                   "the archives' first set");
+                   "first set of archives");
   for (uint32_t i = 0; i < n_gateways; i++)
-    fleet_require (gateway_wait_ready (fleet, i), "a ready gateway");
+    fleet_require (gateway_wait_ready (fleet, i), "ready gateway");
 }
 
 struct Fleet *
@@ -234,16 +239,17 @@
                        const char *previous,
                        const char *input)
 {
-  int64_t limit_ms = monotonic_ms () + WAIT_LIMIT_MS;
+  int64_t deadline_ms = monotonic_ms () + WAIT_LIMIT_MS;
   struct HttpReply *reply;
   char after[64], id[64];
 
-  snprintf (after, sizeof after, "%s", previous); /* may be .last */
+  /* A copy: previous may be fleet->last, which changes below. */
+  snprintf (after, sizeof after, "%s", previous);
   for (uint32_t n = 0;; n++)
     {
       snprintf (id, sizeof id, n == 0 ? "%s" : "%s.%u", turn, n);
       reply = turn_send (fleet, ctx, gateway, program, id, after, 0, input);
-      if ((reply->status != 503 && reply->status != 0) || monotonic_ms () > limit_ms)
+      if ((reply->status != 503 && reply->status != 0) || monotonic_ms () > deadline_ms)
         {
           snprintf (fleet->last, sizeof fleet->last, "%s", id);
           return reply;
@@ -270,7 +276,7 @@
 };
 
 static bool
-output_has (void *data)
+output_has_text (void *data)
 {
   const struct OutputWanted *wanted = data;
   char *output = process_output (NULL, wanted->process);
@@ -285,7 +291,7 @@
 {
   struct OutputWanted wanted = { process, text };
 
-  return wait_for (output_has, &wanted);
+  return wait_for (output_has_text, &wanted);
 }
 
 struct FleetOutputWanted
@@ -295,7 +301,7 @@
 };
 
 static bool
-fleet_output_has (void *data)
+fleet_output_has_text (void *data)
 {
   const struct FleetOutputWanted *wanted = data;
   const struct Fleet *fleet = wanted->fleet;
@@ -314,7 +320,7 @@
 {
   struct FleetOutputWanted wanted = { fleet, text };
 
-  return wait_for (fleet_output_has, &wanted);
+  return wait_for (fleet_output_has_text, &wanted);
 }
 
 uint32_t
@@ -323,7 +329,7 @@
   char *output = process_output (NULL, process);
   uint32_t n = 0;
 
-  for (const char *at = strstr (output, text); at != NULL; at = strstr (at + 1, text))
+  for (const char *match = strstr (output, text); match != NULL; match = strstr (match + 1, text))
     n++;
   talloc_free (output);
   return n;
--- a/tests/sessions/gateways.h
+++ b/tests/sessions/gateways.h
@@ -1,4 +1,4 @@
-/* An installation with gateways and archives as real processes before it, for tests. */
+/* Test deployment: gateways and archives as real processes in front of the stand-in servers. */
 #pragma once
 
 #include "harness.h"
@@ -9,7 +9,7 @@
 {
   GATEWAYS_MAX = 3,
   ARCHIVES_MAX = 5,
-  ENGINE = 0, /* numbers of the servers */
+  ENGINE = 0, /* server numbers, in the order of installation_add */
   DESK = 2
 };
 
@@ -32,7 +32,7 @@
   uint16_t peer_port, announced_port;
 };
 
-/* The port of something that forwards to target. */
+/* Returns the port of a proxy that forwards to port target. */
 typedef uint16_t (*ForwardFn) (void *data, uint16_t target);
 
 struct Fleet
@@ -43,17 +43,18 @@
   struct ArchiveNode archives[ARCHIVES_MAX];
   uint32_t n_gateways, n_archives;
   char store[48];
-  uint16_t seed_port; /* of the first gateway's peers, which all others ask at their start; 0: none
-                         is asked */
-  char last[64];      /* id of the last turn that was taken */
-  ForwardFn forward;  /* between the processes, and to the store; NULL: nothing */
+  uint16_t seed_port; /* first gateway's peer port, the seed of all processes; 0: no seed is set */
+  char last[64];      /* id of the last attempt of turn_send_until_taken */
+  ForwardFn forward;  /* proxy for each peer port and the store; NULL: direct connections */
   void *forward_data;
 };
 
-/* Two engines, one desk, the configuration's version 1; waits until every gateway is ready. */
+/* Starts two engines, one desk and the given processes with version 1 of the configuration; waits
+ * until every gateway is ready. */
 struct Fleet *
 fleet_start (TALLOC_CTX *ctx, uint32_t n_gateways, uint32_t n_archives);
-/* The same in two steps, for those that forward: the store first, then archives and gateways. */
+/* The same in two steps, for callers with proxies: forward is called for the store first, then for
+ * each archive, then for each gateway. */
 struct Fleet *
 fleet_new (TALLOC_CTX *ctx);
 void
@@ -64,16 +65,17 @@
 
 void
 gateway_start (struct Fleet *fleet, uint32_t i);
-/* first: the whole system starts for the first time. */
+/* first: the whole system starts for the first time (setting first_start). */
 void
 archive_start (struct Fleet *fleet, uint32_t i, bool first);
-/* Its disk comes back empty. */
+/* Deletes the archive's data folder, as if its disk had been replaced. */
 void
 archive_wipe (struct Fleet *fleet, uint32_t i);
 bool
 gateway_wait_ready (struct Fleet *fleet, uint32_t i);
 
-/* One turn; headers as the platform's callers send them. budget 0: none. */
+/* Sends one turn with the headers of the platform's callers. previous "": the first turn; budget 0:
+ * no budget. */
 struct HttpReply *
 turn_send (struct Fleet *fleet,
            TALLOC_CTX *ctx,
@@ -83,8 +85,8 @@
            const char *previous,
            uint32_t budget,
            const char *input);
-/* As often as a caller would, until it is not sent back any more; each attempt has an id of its
- * own, and the last one's is kept. */
+/* Resends a turn until it is not rejected with 503 any more. Each attempt has its own id; the last
+ * one is stored in fleet->last. */
 struct HttpReply *
 turn_send_until_taken (struct Fleet *fleet,
                        TALLOC_CTX *ctx,
@@ -93,18 +95,18 @@
                        const char *turn,
                        const char *previous,
                        const char *input);
-/* A request to the desk: path is /safe/.. or /once/.. */
+/* Sends a request to the desk; path is /safe/... or /once/... */
 struct HttpReply *
 desk_send (
     struct Fleet *fleet, TALLOC_CTX *ctx, uint32_t gateway, const char *path, const char *request);
 
-/* Waits for a line with text in a process's output. */
+/* Waits until a process's output contains text. */
 bool
 process_wait_output (struct Process *process, const char *text);
-/* The same in the output of any of the processes: which of them reads the store for all depends on
- * their names. */
+/* Waits until the output of any process contains text: which process reads the store for all others
+ * depends on their names. */
 bool
 fleet_wait_output (struct Fleet *fleet, const char *text);
-/* How often its output has text so far. */
+/* Returns the number of occurrences of text in the process's output so far. */
 uint32_t
 process_count (struct Process *process, const char *text);
--- a/tests/sessions/golden.c
+++ b/tests/sessions/golden.c
@@ -6,14 +6,14 @@
 
 #include <talloc.h>
 
-/* Names given to the ids met so far. */
-struct GoldenNames
+/* Placeholders of the ids found so far. */
+struct Placeholders
 {
-  json_t *names;  /* id -> "<kind n>" */
+  json_t *by_id;  /* id -> "<kind n>" */
   json_t *counts; /* kind -> n */
 };
 
-/* Members whose string value is an id; those not listed stay as they are. */
+/* Members whose string value is an id. Other members keep their value. */
 static const char *const id_members[] = {
   "program", "home", "backend", "parent", "instance", "id"
 };
@@ -36,19 +36,19 @@
 }
 
 static json_t *
-golden_name (struct GoldenNames *known, const char *kind, const char *id)
+golden_placeholder (struct Placeholders *placeholders, const char *kind, const char *id)
 {
-  json_t *name = json_object_get (known->names, id);
+  json_t *name = json_object_get (placeholders->by_id, id);
   char text[64];
   json_int_t n;
 
   if (name != NULL || id[0] == '\0')
     return name != NULL ? json_incref (name) : json_string ("");
-  n = json_integer_value (json_object_get (known->counts, kind)) + 1;
-  json_object_set_new (known->counts, kind, json_integer (n));
+  n = json_integer_value (json_object_get (placeholders->counts, kind)) + 1;
+  json_object_set_new (placeholders->counts, kind, json_integer (n));
   snprintf (text, sizeof text, "<%s %d>", kind, (int)n);
   name = json_string (text);
-  json_object_set (known->names, id, name);
+  json_object_set (placeholders->by_id, id, name);
   return name;
 }
 
@@ -65,7 +65,7 @@
   return branches != 0 ? branches : (left > right) - (left < right);
 }
 
-/* Sub-agents run at the same time: only the order within a branch is promised. */
+/* Sorts turns by branch: sub-agents run concurrently; only the order within a branch is fixed. */
 static void
 golden_sort_history (json_t *history)
 {
@@ -82,38 +82,39 @@
 }
 
 static void
-golden_walk (struct GoldenNames *known, json_t *json)
+golden_normalise_value (struct Placeholders *placeholders, json_t *json)
 {
   const char *member;
   json_t *value;
   void *next;
   size_t i;
 
-  json_array_foreach (json, i, value) { golden_walk (known, value); }
+  json_array_foreach (json, i, value) { golden_normalise_value (placeholders, value); }
   golden_sort_history (json_object_get (json, "history"));
-  /* How far the release of engine memory has come when the caller asks is a matter of timing. */
+  /* The number of releases still pending at the time of the query depends on timing. */
   json_object_del (json, "backends_to_release");
   json_object_foreach_safe (json, next, member, value)
   {
     if (strcmp (member, "history_digest") == 0)
       json_object_set_new (json, member, json_string ("<digest>"));
     else if (is_id_member (member) && json_is_string (value))
-      json_object_set_new (json, member, golden_name (known, member, json_string_value (value)));
+      json_object_set_new (json, member,
+                           golden_placeholder (placeholders, member, json_string_value (value)));
     else if (is_time_member (member) && json_is_number (value))
       json_object_set_new (json, member, json_integer (0));
     else
-      golden_walk (known, value);
+      golden_normalise_value (placeholders, value);
   }
 }
 
 void
 golden_normalise (json_t *json)
 {
-  struct GoldenNames known = { json_object (), json_object () };
+  struct Placeholders placeholders = { json_object (), json_object () };
 
-  golden_walk (&known, json);
-  json_decref (known.names);
-  json_decref (known.counts);
+  golden_normalise_value (&placeholders, json);
+  json_decref (placeholders.by_id);
+  json_decref (placeholders.counts);
 }
 
 static char *
@@ -150,7 +151,7 @@
 golden_matches (const char *name, json_t *lines)
 {
   char *path = golden_path (name);
-  json_t *wanted;
+  json_t *expected;
   bool matches;
 
   golden_normalise (lines);
@@ -160,15 +161,15 @@
       talloc_free (path);
       return matches;
     }
-  wanted = json_load_file (path, 0, NULL);
-  matches = wanted != NULL && json_equal (wanted, lines) == 1;
+  expected = json_load_file (path, 0, NULL);
+  matches = expected != NULL && json_equal (expected, lines) == 1;
   if (!matches)
     {
-      fprintf (stderr, "%s differs from this session\n", path);
-      golden_print ("golden", wanted);
+      fprintf (stderr, "%s differs from the output of this session\n", path);
+      golden_print ("golden", expected);
       golden_print ("session", lines);
     }
-  json_decref (wanted);
+  json_decref (expected);
   talloc_free (path);
   return matches;
 }
--- a/tests/sessions/harness.c
+++ b/tests/sessions/harness.c
@@ -19,9 +19,9 @@
 
 enum
 {
-  /* Below the ports that the system hands out by itself. */
+  /* Below the ephemeral ports of the system. */
   PORT_FIRST = 12000,
-  PORTS_A_BLOCK = 64,
+  PORTS_PER_BLOCK = 64,
   N_BLOCKS = 256,
   POLL_MS = 10,
   HTTP_LIMIT_MS = 60000,
@@ -31,7 +31,7 @@
 struct Session
 {
   char folder[256];
-  int block_lock; /* a socket bound to the block's first port: one session a block */
+  int block_lock; /* socket bound to the block's first port; reserves the block for one session */
   uint16_t next_port, last_port;
   struct Process *processes;
 };
@@ -51,9 +51,10 @@
   usleep (ms * 1000);
 }
 
-/* A socket bound to the port, or -1 when it is taken. Without reuse a port also counts as taken for
- * the minute in which closed connections of an earlier test linger on it: a program of many tests
- * would run out of its block. A lock must not be shared, and is bound without. */
+/* Returns a socket bound to the port, or -1 if the port is in use. Without reuse, a port also
+ * counts as in use for the minute in which closed connections of an earlier test stay in TIME_WAIT,
+ * and a test program with many tests would run out of ports. A block lock must not be shared, so it
+ * is bound without reuse. */
 static int
 port_bind (uint16_t port, int reuse)
 {
@@ -72,18 +73,18 @@
 }
 
 static bool
-session_take_ports (struct Session *session)
+session_reserve_ports (struct Session *session)
 {
   for (uint32_t i = 0; i < N_BLOCKS; i++)
     {
       uint32_t block = (i + (uint32_t)getpid ()) % N_BLOCKS;
-      uint16_t first = (uint16_t)(PORT_FIRST + block * PORTS_A_BLOCK);
+      uint16_t first = (uint16_t)(PORT_FIRST + block * PORTS_PER_BLOCK);
 
       session->block_lock = port_bind (first, 0);
       if (session->block_lock < 0)
         continue;
       session->next_port = first + 1;
-      session->last_port = first + PORTS_A_BLOCK - 1;
+      session->last_port = first + PORTS_PER_BLOCK - 1;
       return true;
     }
   return false;
@@ -99,7 +100,7 @@
   curl_global_init (CURL_GLOBAL_DEFAULT);
   snprintf (session->folder, sizeof session->folder, "%s/buckthornhead-XXXXXX",
             base != NULL ? base : "/tmp");
-  if (mkdtemp (session->folder) == NULL || !session_take_ports (session))
+  if (mkdtemp (session->folder) == NULL || !session_reserve_ports (session))
     {
       talloc_free (session);
       return NULL;
@@ -108,7 +109,7 @@
 }
 
 static int
-remove_one (const char *path, const struct stat *status, int kind, struct FTW *walk)
+remove_entry (const char *path, const struct stat *status, int kind, struct FTW *walk)
 {
   (void)status;
   (void)kind;
@@ -123,9 +124,9 @@
     process_kill (process);
   close (session->block_lock);
   if (keep_folder)
-    fprintf (stderr, "output of the processes: %s\n", session->folder);
+    fprintf (stderr, "process output kept in %s\n", session->folder);
   else
-    nftw (session->folder, remove_one, 8, FTW_DEPTH | FTW_PHYS);
+    nftw (session->folder, remove_entry, 8, FTW_DEPTH | FTW_PHYS);
   talloc_free (session);
 }
 
@@ -149,7 +150,7 @@
           return port;
         }
     }
-  fprintf (stderr, "no port is left of the session's block\n");
+  fprintf (stderr, "no free port left in the session's block\n");
   abort ();
 }
 
@@ -166,14 +167,14 @@
   return path;
 }
 
-/* In the child. */
+/* Runs in the child process after the fork. */
 static void
 process_exec (const struct Process *process, const char *const argv[], pid_t parent)
 {
   int output = open (process->output_file, O_WRONLY | O_CREAT | O_APPEND, 0600);
 
-  /* A test that crashes must not leave its children running; the second check closes the gap
-   * between fork and prctl. */
+  /* A test that crashes must not leave its children running. The check of the parent covers a
+   * crash between fork and prctl. */
   prctl (PR_SET_PDEATHSIG, SIGKILL);
   if (output < 0 || getppid () != parent)
     _exit (EXIT_EXEC_FAILED);
@@ -227,7 +228,7 @@
 }
 
 static bool
-process_has_ended (void *data)
+process_has_exited (void *data)
 {
   return !process_is_alive (data);
 }
@@ -235,7 +236,7 @@
 bool
 process_wait (struct Process *process)
 {
-  return wait_for (process_has_ended, process);
+  return wait_for (process_has_exited, process);
 }
 
 void
@@ -250,11 +251,11 @@
 {
   FILE *file = fopen (process->output_file, "r");
   char *text = talloc_strdup (ctx, "");
-  char piece[4096];
+  char chunk[4096];
   size_t n;
 
-  while (file != NULL && (n = fread (piece, 1, sizeof piece, file)) > 0)
-    text = talloc_strndup_append_buffer (text, piece, n);
+  while (file != NULL && (n = fread (chunk, 1, sizeof chunk, file)) > 0)
+    text = talloc_strndup_append_buffer (text, chunk, n);
   if (file != NULL)
     fclose (file);
   return text;
@@ -372,37 +373,37 @@
 bool
 wait_for (ConditionFn condition, void *data)
 {
-  int64_t limit_ms = monotonic_ms () + WAIT_LIMIT_MS;
+  int64_t deadline_ms = monotonic_ms () + WAIT_LIMIT_MS;
 
   while (!condition (data))
     {
-      if (monotonic_ms () > limit_ms)
+      if (monotonic_ms () > deadline_ms)
         return false;
       sleep_ms (POLL_MS);
     }
   return true;
 }
 
-struct Address
+struct ResponseWanted
 {
   const char *address, *path;
 };
 
 static bool
-address_answers (void *data)
+address_responds (void *data)
 {
-  const struct Address *wanted = data;
+  const struct ResponseWanted *wanted = data;
   struct HttpReply *reply = http_get (NULL, wanted->address, wanted->path);
-  bool answers = reply->status != 0;
+  bool responds = reply->status != 0;
 
   talloc_free (reply);
-  return answers;
+  return responds;
 }
 
 bool
 wait_for_answer (const char *address, const char *path)
 {
-  struct Address wanted = { address, path };
+  struct ResponseWanted wanted = { address, path };
 
-  return wait_for (address_answers, &wanted);
+  return wait_for (address_responds, &wanted);
 }
--- a/tests/sessions/harness.h
+++ b/tests/sessions/harness.h
@@ -1,8 +1,8 @@
-/* Sessions with real processes: starts them, stops, kills and pauses them by process id, speaks
- * HTTP to them, waits for conditions.
+/* Sessions with real processes: starts them, stops, kills and pauses them by process id, sends them
+ * HTTP requests, waits for conditions.
  *
  * A test never asserts a speed: it waits for a condition with a generous limit, WAIT_LIMIT_MS.
- * Children die with the test, so a failing one leaves nothing behind. */
+ * Child processes are killed when the test exits, so that a failing test leaves none behind. */
 #pragma once
 
 #include <stdbool.h>
@@ -27,45 +27,47 @@
   struct Session *session;
   struct Process *next;
   char name[64];
-  pid_t pid; /* 0: ended and waited for */
+  pid_t pid; /* 0: exited and reaped */
   int exit_status;
-  const char *output_file; /* its standard output and error, in order */
+  const char *output_file; /* standard output and error, interleaved */
 };
 
-/* Takes a folder for temporary files and a block of loopback ports; NULL when it can not. */
+/* Creates a temporary folder and reserves a block of loopback ports; returns NULL on failure. */
 struct Session *
 session_new (TALLOC_CTX *ctx);
-/* Kills what still runs and removes the folder (kept, and named, when keep_folder). */
+/* Kills the processes that still run and removes the folder; with keep_folder, keeps it and prints
+ * its path. */
 void
 session_end (struct Session *session, bool keep_folder);
 
 const char *
 session_folder (const struct Session *session);
-/* A port of 127.0.0.1 that no other session gets. */
+/* Returns a port of 127.0.0.1 that no other session uses. */
 uint16_t
 session_port (struct Session *session);
-/* Writes text to a file of the folder and gives its path. */
+/* Writes text to a file in the session's folder and returns its path. */
 const char *
 session_write_file (struct Session *session, const char *name, const char *text);
 
-/* argv ends with NULL; argv[0] is the program's path. */
+/* argv ends with NULL; argv[0] is the executable's path. */
 struct Process *
 session_start (struct Session *session, const char *name, const char *const argv[]);
 bool
 process_is_alive (struct Process *process);
-/* False when it had ended already. */
+/* Returns false if the process has already exited. */
 bool
 process_signal (struct Process *process, int signal_number);
-/* Waits for its end; false when the limit passes first. exit_status is -signal when killed. */
+/* Waits until the process exits; returns false after WAIT_LIMIT_MS. exit_status is -signal if a
+ * signal killed it. */
 bool
 process_wait (struct Process *process);
 void
-process_kill (struct Process *process); /* SIGKILL, and waits */
-/* All it printed so far. */
+process_kill (struct Process *process); /* sends SIGKILL and waits */
+/* Returns all output so far. */
 char *
 process_output (TALLOC_CTX *ctx, const struct Process *process);
 
-/* Paths of the two programs, from the environment that meson sets. */
+/* Paths of the two executables, from the environment that meson sets. */
 const char *
 daemon_path (void);
 const char *
@@ -73,14 +75,15 @@
 
 struct HttpReply
 {
-  uint32_t status; /* 0: no whole answer came */
+  uint32_t status; /* 0: no complete response */
   char *text;      /* talloc child of the reply */
   size_t n_bytes;
-  json_t *json; /* NULL unless text is JSON */
-  char ran[16]; /* header X-Ran */
+  json_t *json; /* NULL if text is not JSON */
+  char ran[16]; /* X-Ran header */
 };
 
-/* One request, no resend; headers end with NULL and may be NULL, as may body. Any thread. */
+/* Sends one request without retries. headers ends with NULL; headers and body may be NULL. May be
+ * called on any thread. */
 struct HttpReply *
 http_send (TALLOC_CTX *ctx,
            const char *method,
@@ -90,13 +93,13 @@
            const char *body);
 struct HttpReply *
 http_get (TALLOC_CTX *ctx, const char *address, const char *path);
-/* POST /control of a stand-in. */
+/* Sends POST /control to a stand-in. */
 bool
 http_control (const char *address, const char *json);
 
 typedef bool (*ConditionFn) (void *data);
 
-/* True once the condition holds; false when WAIT_LIMIT_MS pass first. */
+/* Returns true once the condition holds, false after WAIT_LIMIT_MS. */
 bool
 wait_for (ConditionFn condition, void *data);
 bool
