--- a/tests/sessions/calls.c
+++ b/tests/sessions/calls.c
@@ -15,10 +15,10 @@
 {
   char *body =
       talloc_asprintf (NULL, "{\"service\":\"hiring-agents\",\"program\":\"%s\"}", program);
-  int64_t limit_ms = monotonic_ms () + WAIT_LIMIT_MS;
+  int64_t deadline_ms = monotonic_ms () + WAIT_LIMIT_MS;
   bool created = false;
 
-  while (!created && monotonic_ms () < limit_ms)
+  while (!created && monotonic_ms () < deadline_ms)
     {
       struct HttpReply *reply =
           http_send (NULL, "POST", cluster->instances[i].address, "/v1/programs", NULL, body);
@@ -62,18 +62,18 @@
 }
 
 struct HttpReply *
-call_settle (struct Cluster *cluster, const struct TestCall *call)
+call_send_until_final (struct Cluster *cluster, const struct TestCall *call)
 {
-  int64_t limit_ms = monotonic_ms () + WAIT_LIMIT_MS;
-  struct TestCall again = *call;
+  int64_t deadline_ms = monotonic_ms () + WAIT_LIMIT_MS;
+  struct TestCall resent = *call;
   struct HttpReply *reply = NULL;
 
-  again.first_attempt = false;
-  for (uint32_t i = 0; reply == NULL || monotonic_ms () < limit_ms; i++)
+  resent.first_attempt = false;
+  for (uint32_t i = 0; reply == NULL || monotonic_ms () < deadline_ms; i++)
     {
-      again.address = cluster->instances[i % cluster->options.n_instances].address;
+      resent.address = cluster->instances[i % cluster->options.n_instances].address;
       talloc_free (reply);
-      reply = call_send (cluster, &again);
+      reply = call_send (cluster, &resent);
       if (reply_is_final (reply))
         break;
       sleep_ms (RETRY_MS);
--- a/tests/sessions/cluster.c
+++ b/tests/sessions/cluster.c
@@ -13,7 +13,7 @@
 {
   N_ZONES = sizeof zones / sizeof zones[0],
   N_PARTITIONS = 16, /* as in the settings below */
-  SETTLED_POLLS = 50
+  STABLE_POLLS = 50  /* consecutive polls without a change that count as stable */
 };
 
 static const char *
@@ -93,11 +93,11 @@
 {
   char *folder;
 
-  if (i >= cluster->options.n_disks)
+  if (i >= cluster->options.n_data_folders)
     return talloc_strdup (cluster, "");
   folder = talloc_asprintf (cluster, "%s/data-%u", session_folder (cluster->session), i + 1);
   if (mkdir (folder, 0700) != 0)
-    CU_FAIL_FATAL ("no data folder");
+    CU_FAIL_FATAL ("cannot create the data folder");
   return talloc_asprintf (cluster, "data_folder = %s\n", folder);
 }
 
@@ -187,21 +187,21 @@
   cluster_init_nodes (cluster);
   if (!cluster_start_nodes (cluster))
     {
-      cluster_end (cluster, true);
+      cluster_stop (cluster, true);
       CU_FAIL_FATAL ("a process did not start");
     }
   return cluster;
 }
 
 void
-cluster_end (struct Cluster *cluster, bool failed)
+cluster_stop (struct Cluster *cluster, bool failed)
 {
   session_end (cluster->session, failed);
   talloc_free (cluster);
 }
 
 const char *
-cluster_entries (struct Cluster *cluster)
+cluster_instance_addresses (struct Cluster *cluster)
 {
   char *text = talloc_strdup (cluster, "");
 
@@ -234,21 +234,21 @@
   return home;
 }
 
-struct Settling
+struct StabilityCheck
 {
   struct Cluster *cluster;
-  uint32_t owned[CLUSTER_MAX];
-  uint32_t n_same; /* polls in a row */
+  uint32_t n_owned[CLUSTER_MAX];
+  uint32_t n_unchanged; /* consecutive polls without a change */
 };
 
 static uint32_t
-instance_partitions (const struct ClusterNode *node)
+instance_owned_partitions (const struct ClusterNode *node)
 {
   struct HttpReply *reply = http_get (NULL, node->operator_address, "/metrics");
   const char *line = strstr (reply->text, "partitions_owned ");
   uint32_t n = 0;
 
-  /* The first two matches are the comment lines. */
+  /* The first two matches are the HELP and TYPE lines. */
   while (line != NULL && (line[17] < '0' || line[17] > '9'))
     line = strstr (line + 1, "partitions_owned ");
   if (line != NULL)
@@ -258,30 +258,30 @@
 }
 
 static bool
-partitions_are_settled (void *data)
+partitions_are_stable (void *data)
 {
-  struct Settling *settling = data;
+  struct StabilityCheck *check = data;
   uint32_t sum = 0;
-  bool same = true;
+  bool unchanged = true;
 
-  for (uint32_t i = 0; i < settling->cluster->options.n_instances; i++)
+  for (uint32_t i = 0; i < check->cluster->options.n_instances; i++)
     {
-      uint32_t n = instance_partitions (&settling->cluster->instances[i]);
+      uint32_t n = instance_owned_partitions (&check->cluster->instances[i]);
 
-      same = same && n > 0 && n == settling->owned[i];
-      settling->owned[i] = n;
+      unchanged = unchanged && n > 0 && n == check->n_owned[i];
+      check->n_owned[i] = n;
       sum += n;
     }
-  settling->n_same = same && sum == N_PARTITIONS ? settling->n_same + 1 : 0;
-  return settling->n_same >= SETTLED_POLLS;
+  check->n_unchanged = unchanged && sum == N_PARTITIONS ? check->n_unchanged + 1 : 0;
+  return check->n_unchanged >= STABLE_POLLS;
 }
 
 bool
-cluster_wait_settled (struct Cluster *cluster)
+cluster_wait_partitions_stable (struct Cluster *cluster)
 {
-  struct Settling settling = { .cluster = cluster };
+  struct StabilityCheck check = { .cluster = cluster };
 
-  return wait_for (partitions_are_settled, &settling);
+  return wait_for (partitions_are_stable, &check);
 }
 
 uint64_t
@@ -344,7 +344,7 @@
 {
   char *file = talloc_asprintf (cluster, "%s.json", name);
   const char *path = session_write_file (cluster->session, file, script);
-  const char *argv[] = { standin_path (), "caller", "--entry", cluster_entries (cluster),
+  const char *argv[] = { standin_path (), "caller", "--entry", cluster_instance_addresses (cluster),
                          "--script",      path,     NULL };
 
   return path != NULL ? session_start (cluster->session, name, argv) : NULL;
@@ -370,12 +370,12 @@
 }
 
 static char *
-list_add (char *list,
-          const struct ClusterNode *node,
-          const char *kind,
-          const char *target,
-          uint32_t i,
-          bool leaving)
+server_list_add (char *list,
+                 const struct ClusterNode *node,
+                 const char *kind,
+                 const char *target,
+                 uint32_t i,
+                 bool leaving)
 {
   return talloc_asprintf_append (list,
                                  "%s{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\","
@@ -385,15 +385,16 @@
 }
 
 bool
-cluster_list_leaving (struct Cluster *cluster, uint32_t engine)
+cluster_set_engine_leaving (struct Cluster *cluster, uint32_t engine)
 {
   char *list = talloc_strdup (cluster, "[");
   struct HttpReply *reply;
 
   for (uint32_t i = 0; i < cluster->options.n_engines; i++)
-    list = list_add (list, &cluster->engines[i], "engine", cluster->options.model, i, i == engine);
+    list = server_list_add (list, &cluster->engines[i], "engine", cluster->options.model, i,
+                            i == engine);
   for (uint32_t i = 0; i < cluster->options.n_tools; i++)
-    list = list_add (list, &cluster->tools[i], "service", cluster->options.tool, i, false);
+    list = server_list_add (list, &cluster->tools[i], "service", cluster->options.tool, i, false);
   list = talloc_strdup_append (list, "]");
   reply = http_send (cluster, "POST", cluster->platform.address, "/control/instances", NULL, list);
   return reply->status == 200;
--- a/tests/sessions/cluster.h
+++ b/tests/sessions/cluster.h
@@ -11,11 +11,11 @@
 struct ClusterOptions
 {
   uint32_t n_instances, n_engines, n_tools;
-  uint32_t n_disks;                /* so many instances, the first ones, have a data folder */
-  const char *model;               /* NULL: "negotiation"; every engine serves it */
-  const char *tool;                /* NULL: "field-desk"; every tool serves it */
-  const char *tokens_per_second;   /* NULL: "400" */
-  const char *engine_cache_tokens; /* NULL: the stand-in's own */
+  uint32_t n_data_folders;       /* number of instances, from the first, that have a data folder */
+  const char *model;             /* NULL: "negotiation"; every engine serves it */
+  const char *tool;              /* NULL: "field-desk"; every tool serves it */
+  const char *tokens_per_second; /* NULL: "400" */
+  const char *engine_cache_tokens; /* NULL: the stand-in's default */
   const char *lease;               /* NULL: "2s" */
 };
 
@@ -23,9 +23,9 @@
 {
   struct Process *process;
   char name[32];
-  char address[32];          /* callers' address; where backend servers and platform listen */
+  char address[32]; /* where callers connect; listen address of backend servers and platform */
   char operator_address[32]; /* instances only */
-  const char *file;          /* settings, instances only */
+  const char *file;          /* settings file, instances only */
 };
 
 struct Cluster
@@ -38,48 +38,50 @@
   struct ClusterNode tools[CLUSTER_MAX];
 };
 
-/* Starts all and waits until each instance answers callers. Ends the test when one does not. */
+/* Starts all processes and waits until each instance responds to callers. Fails the test if one
+ * does not. */
 struct Cluster *
 cluster_start (TALLOC_CTX *ctx, const struct ClusterOptions *options);
-/* Keeps the processes' output when the test has failed. */
+/* Stops all processes; keeps their output if the test failed. */
 void
-cluster_end (struct Cluster *cluster, bool failed);
+cluster_stop (struct Cluster *cluster, bool failed);
 
-/* Starts an instance, engine or tool (again) under its old name and address. */
+/* Starts or restarts an instance or engine under its configured name and address. */
 bool
 cluster_start_instance (struct Cluster *cluster, uint32_t i);
 bool
 cluster_start_engine (struct Cluster *cluster, uint32_t i);
 
-/* "IP:port,IP:port..." of all instances, to be given to callers. */
+/* Returns "IP:port,IP:port..." of all instances, for callers. */
 const char *
-cluster_entries (struct Cluster *cluster);
-/* Index of the instance that is home of a program, by where callers are sent; -1 when unknown. */
+cluster_instance_addresses (struct Cluster *cluster);
+/* Returns the index of the instance that is home of a program, taken from the addresses that
+ * callers get; -1 when unknown. */
 int32_t
 cluster_home (struct Cluster *cluster, const char *program);
-/* Waits until the partitions, which instances hand to each other as they start, have stopped
- * moving. */
+/* Waits until the instances have stopped handing over partitions, as they do after a start. */
 bool
-cluster_wait_settled (struct Cluster *cluster);
-/* Sum of GET /counts "runs" over the tools; calls in the engines' logs with this key prefix. */
+cluster_wait_partitions_stable (struct Cluster *cluster);
+/* Returns the sum of "runs" in GET /counts over all tools. */
 uint64_t
 cluster_tool_runs (struct Cluster *cluster);
+/* Returns the number of calls of program in the logs of all engines. */
 uint64_t
 cluster_engine_runs (struct Cluster *cluster, const char *program);
-/* Tokens that engines hold for program. */
+/* Returns the number of tokens that all engines hold in memory for program. */
 uint64_t
 cluster_held_tokens (struct Cluster *cluster, const char *program);
 
-/* Tells the platform's list that one engine is leaving and all other servers are live. */
+/* Sets the platform's list of backend servers: one engine is leaving, all others are live. */
 bool
-cluster_list_leaving (struct Cluster *cluster, uint32_t engine);
-/* Calls that ran on one engine so far. */
+cluster_set_engine_leaving (struct Cluster *cluster, uint32_t engine);
+/* Returns the number of calls that one engine has logged. */
 size_t
 engine_log_size (struct Cluster *cluster, uint32_t engine);
 
 /* Starts the caller stand-in with a script (JSON text). */
 struct Process *
 cluster_run_caller (struct Cluster *cluster, const char *name, const char *script);
-/* The lines that a caller printed, as a JSON array. */
+/* Returns the JSON lines that a caller has printed, as an array. */
 json_t *
 caller_lines (const struct Process *caller);
--- a/tests/sessions/pairs_load.c
+++ b/tests/sessions/pairs_load.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  CALL_LIMIT_MS = 90000,
+  CALL_DEADLINE_MS = 90000,
   RETRY_MS = 100,
   PAUSE_MS_MAX = 500,
   ANSWER_TOKENS = 30,
@@ -44,24 +44,24 @@
     }
   else
     {
-      char *words = talloc_asprintf (NULL, "%s asks %" PRIu64, program->name, call->sequence);
+      char *text = talloc_asprintf (NULL, "%s asks %" PRIu64, program->name, call->sequence);
 
-      *body = chat_body (NULL, "negotiation", words, call->stream ? STREAM_TOKENS : ANSWER_TOKENS,
+      *body = chat_body (NULL, "negotiation", text, call->stream ? STREAM_TOKENS : ANSWER_TOKENS,
                          call->stream);
-      talloc_free (words);
+      talloc_free (text);
     }
   test.body = *body;
   return test;
 }
 
-/* What one try says; LOAD_UNKNOWN: send it again. */
-static enum LoadFate
-load_fate (const struct LoadCall *call, const struct HttpReply *reply)
+/* Returns the outcome of one attempt; LOAD_UNKNOWN if it has to be retried. */
+static enum LoadOutcome
+load_attempt_outcome (const struct LoadCall *call, const struct HttpReply *reply)
 {
   const json_t *error = json_object_get (reply->json, "error");
 
   if (reply->status == 200 && call->stream)
-    return text_is_whole (reply->text) ? LOAD_ANSWERED : LOAD_UNKNOWN;
+    return sse_text_is_complete (reply->text) ? LOAD_ANSWERED : LOAD_UNKNOWN;
   if (reply->status == 200)
     return LOAD_ANSWERED;
   if (reply->status == 0 || json_object_get (error, "retry_after_ms") != NULL)
@@ -69,41 +69,43 @@
   return strcmp (reply_error_kind (reply), "may_have_run") == 0 ? LOAD_MAY_HAVE_RUN : LOAD_REFUSED;
 }
 
-/* A call on a branch of its own that its first attempt was told did not run is let go of. */
+/* Returns whether a call is not retried: one on its own branch whose first attempt got not_run. */
 static bool
-load_lets_go (const struct LoadCall *call, const struct HttpReply *reply)
+load_skips_retry (const struct LoadCall *call, const struct HttpReply *reply)
 {
-  return call->n_tries == 1 && strcmp (call->branch, "main") != 0
+  return call->n_attempts == 1 && strcmp (call->branch, "main") != 0
          && strcmp (reply_ran (reply), "not_run") == 0;
 }
 
 static void
 load_run_call (struct LoadProgram *program, struct LoadCall *call)
 {
-  int64_t limit_ms = monotonic_ms () + CALL_LIMIT_MS;
+  int64_t deadline_ms = monotonic_ms () + CALL_DEADLINE_MS;
   char *body = NULL;
   struct TestCall test = load_test_call (program, call, &body);
 
-  while (call->fate == LOAD_UNKNOWN && monotonic_ms () < limit_ms)
+  while (call->outcome == LOAD_UNKNOWN && monotonic_ms () < deadline_ms)
     {
       uint32_t i =
-          (uint32_t)(random_next (&program->random) % program->cluster->options.n_instances);
+          (uint32_t)(random_next (&program->random_state) % program->cluster->options.n_instances);
       struct HttpReply *reply;
 
       test.address = program->cluster->instances[i].address;
-      test.first_attempt = call->n_tries++ == 0;
+      test.first_attempt = call->n_attempts++ == 0;
       reply = call_send (NULL, &test);
-      call->fate = load_lets_go (call, reply) ? LOAD_NOT_RUN : load_fate (call, reply);
+      call->outcome =
+          load_skips_retry (call, reply) ? LOAD_NOT_RUN : load_attempt_outcome (call, reply);
       talloc_free (call->text);
       call->text = talloc_strdup (NULL, reply->text);
       talloc_free (reply);
-      if (call->fate == LOAD_UNKNOWN)
+      if (call->outcome == LOAD_UNKNOWN)
         sleep_ms (RETRY_MS);
     }
   talloc_free (body);
 }
 
-/* Engine turns and confirmations on the main branch, confirmations on branches of their own. */
+/* Alternates engine calls and tool calls on the main branch; every CALL_KINDS-th call is a tool
+ * call on its own branch. */
 static struct LoadCall *
 load_next_call (struct LoadProgram *program, uint64_t *main_sequence)
 {
@@ -125,19 +127,19 @@
 }
 
 static void *
-load_run (void *data)
+load_thread_run (void *data)
 {
   struct LoadProgram *program = data;
   uint64_t main_sequence = 0;
 
-  for (uint32_t i = 0; i < LOAD_TURNS; i++)
+  for (uint32_t i = 0; i < LOAD_CALLS; i++)
     {
       struct LoadCall *call = load_next_call (program, &main_sequence);
 
       load_run_call (program, call);
-      if (call->fate == LOAD_UNKNOWN || call->fate == LOAD_REFUSED)
+      if (call->outcome == LOAD_UNKNOWN || call->outcome == LOAD_REFUSED)
         return NULL;
-      sleep_ms ((uint32_t)(random_next (&program->random) % PAUSE_MS_MAX));
+      sleep_ms ((uint32_t)(random_next (&program->random_state) % PAUSE_MS_MAX));
     }
   return NULL;
 }
@@ -152,12 +154,12 @@
       struct LoadProgram *program = &programs[i];
 
       program->cluster = cluster;
-      program->random = seed + i;
+      program->random_state = seed + i;
       snprintf (program->name, sizeof program->name, "pairs-%u", i);
       program->created = create_program (cluster, i % cluster->options.n_instances, program->name);
     }
   for (uint32_t i = 0; i < LOAD_PROGRAMS; i++)
-    if (pthread_create (&programs[i].thread, NULL, load_run, &programs[i]) != 0)
+    if (pthread_create (&programs[i].thread, NULL, load_thread_run, &programs[i]) != 0)
       abort ();
   return programs;
 }
@@ -170,16 +172,17 @@
 }
 
 __attribute__ ((format (printf, 3, 4))) static bool
-load_complain (const struct LoadProgram *program,
-               const struct LoadCall *call,
-               const char *format,
-               ...)
+load_report_violation (const struct LoadProgram *program,
+                       const struct LoadCall *call,
+                       const char *format,
+                       ...)
 {
   va_list arguments;
 
   fprintf (stderr, "%s", program->name);
   if (call != NULL)
-    fprintf (stderr, " %s %" PRIu64 " (%u tries)", call->branch, call->sequence, call->n_tries);
+    fprintf (stderr, " %s %" PRIu64 " (%u attempts)", call->branch, call->sequence,
+             call->n_attempts);
   fprintf (stderr, ": ");
   va_start (arguments, format);
   vfprintf (stderr, format, arguments);
@@ -203,7 +206,7 @@
   return NULL;
 }
 
-/* The stored answer is the caller's. */
+/* Checks that the stored answer equals the one that the caller got. */
 static bool
 load_check_answer (const struct LoadProgram *program,
                    const struct LoadCall *call,
@@ -211,15 +214,15 @@
 {
   const json_t *turn = history_turn (history, call);
   const json_t *stored = json_object_get (turn, "answer");
-  json_t *got = json_loads (call->text, JSON_DECODE_ANY, NULL);
-  bool same = got != NULL
-                  ? json_equal (got, stored)
+  json_t *received = json_loads (call->text, JSON_DECODE_ANY, NULL);
+  bool same = received != NULL
+                  ? json_equal (received, stored)
                   : json_is_string (stored) && strcmp (json_string_value (stored), call->text) == 0;
 
-  json_decref (got);
+  json_decref (received);
   if (turn == NULL)
-    return load_complain (program, call, "was answered and is not in the history");
-  return same || load_complain (program, call, "the history has another answer");
+    return load_report_violation (program, call, "was answered but is not in the history");
+  return same || load_report_violation (program, call, "the history has a different answer");
 }
 
 static bool
@@ -229,23 +232,23 @@
                  const json_t *runs_by_path)
 {
   json_int_t n_runs = json_integer_value (json_object_get (runs_by_path, call->path));
-  bool holds = true;
+  bool valid = true;
 
   if (call->tool && n_runs > 1)
-    holds = load_complain (program, call, "ran %d times", (int)n_runs);
-  if (call->tool && call->fate == LOAD_NOT_RUN && n_runs > 0)
-    holds = load_complain (program, call, "was told not_run, and ran");
-  if (call->tool && call->fate == LOAD_ANSWERED && n_runs == 0)
-    holds = load_complain (program, call, "was answered and did not run");
-  if (call->fate == LOAD_UNKNOWN || call->fate == LOAD_REFUSED)
-    holds = load_complain (program, call, "no answer in the end: %.*s", (int)EXCERPT_BYTES,
-                           call->text != NULL ? call->text : "");
-  if (call->fate == LOAD_ANSWERED)
-    holds = load_check_answer (program, call, history) && holds;
-  return holds;
+    valid = load_report_violation (program, call, "ran %d times", (int)n_runs);
+  if (call->tool && call->outcome == LOAD_NOT_RUN && n_runs > 0)
+    valid = load_report_violation (program, call, "got not_run but ran");
+  if (call->tool && call->outcome == LOAD_ANSWERED && n_runs == 0)
+    valid = load_report_violation (program, call, "was answered but did not run");
+  if (call->outcome == LOAD_UNKNOWN || call->outcome == LOAD_REFUSED)
+    valid = load_report_violation (program, call, "no final answer: %.*s", (int)EXCERPT_BYTES,
+                                   call->text != NULL ? call->text : "");
+  if (call->outcome == LOAD_ANSWERED)
+    valid = load_check_answer (program, call, history) && valid;
+  return valid;
 }
 
-/* Each branch's turns stand in their order, with none missing and none twice. */
+/* Checks that the main branch's turns are in order, none missing and none repeated. */
 static bool
 load_check_order (const struct LoadProgram *program, const json_t *history)
 {
@@ -258,20 +261,21 @@
     if (strcmp (json_string_value (json_object_get (turn, "branch")), "main") != 0)
       continue;
     if ((uint64_t)json_integer_value (json_object_get (turn, "sequence")) != expected++)
-      return load_complain (program, NULL, "turn %" PRIu64 " is not where it should be",
-                            expected - 1);
+      return load_report_violation (program, NULL, "turn %" PRIu64 " is missing or out of order",
+                                    expected - 1);
   }
   return true;
 }
 
-/* GET from any instance until it has an answer. */
+/* Sends a request to each instance in turn until one replies 200 or WAIT_LIMIT_MS pass. */
 static struct HttpReply *
-load_ask (struct Cluster *cluster, const char *method, const char *path, const char *body)
+load_request_any (struct Cluster *cluster, const char *method, const char *path, const char *body)
 {
-  int64_t limit_ms = monotonic_ms () + WAIT_LIMIT_MS;
+  int64_t deadline_ms = monotonic_ms () + WAIT_LIMIT_MS;
   struct HttpReply *reply = NULL;
 
-  for (uint32_t i = 0; reply == NULL || (reply->status != 200 && monotonic_ms () < limit_ms); i++)
+  for (uint32_t i = 0; reply == NULL || (reply->status != 200 && monotonic_ms () < deadline_ms);
+       i++)
     {
       if (reply != NULL)
         sleep_ms (RETRY_MS);
@@ -289,24 +293,24 @@
                     const json_t *runs_by_path)
 {
   char *path = talloc_asprintf (cluster, "/v1/programs/%s/history", program->name);
-  struct HttpReply *reply = load_ask (cluster, "GET", path, NULL);
+  struct HttpReply *reply = load_request_any (cluster, "GET", path, NULL);
   const json_t *history = json_object_get (reply->json, "history");
-  bool holds;
+  bool valid;
 
   if (!program->created || reply->status != 200)
-    return load_complain (program, NULL, "no history: %u %.*s", reply->status, (int)EXCERPT_BYTES,
-                          reply->text);
-  holds = load_check_order (program, history);
+    return load_report_violation (program, NULL, "no history: %u %.*s", reply->status,
+                                  (int)EXCERPT_BYTES, reply->text);
+  valid = load_check_order (program, history);
   for (uint32_t i = 0; i < program->n_calls; i++)
-    holds = load_check_call (program, &program->calls[i], history, runs_by_path) && holds;
+    valid = load_check_call (program, &program->calls[i], history, runs_by_path) && valid;
   if (json_integer_value (json_object_get (reply->json, "charged_tokens"))
       > json_integer_value (json_object_get (reply->json, "budget_tokens")))
-    holds = load_complain (program, NULL, "is over its budget");
-  return holds;
+    valid = load_report_violation (program, NULL, "exceeded its budget");
+  return valid;
 }
 
 static bool
-nothing_is_held (void *data)
+memory_is_released (void *data)
 {
   const struct LoadProgram *program = data;
 
@@ -314,16 +318,16 @@
 }
 
 static bool
-load_check_end (struct Cluster *cluster, struct LoadProgram *program)
+load_check_release (struct Cluster *cluster, struct LoadProgram *program)
 {
   char *path = talloc_asprintf (cluster, "/v1/programs/%s/end", program->name);
-  struct HttpReply *reply = load_ask (cluster, "POST", path, "{\"reason\":\"done\"}");
+  struct HttpReply *reply = load_request_any (cluster, "POST", path, "{\"reason\":\"done\"}");
 
   if (reply->status != 200)
-    return load_complain (program, NULL, "can not be ended: %u %.*s", reply->status,
-                          (int)EXCERPT_BYTES, reply->text);
-  return wait_for (nothing_is_held, program)
-         || load_complain (program, NULL, "an engine holds its memory after the end");
+    return load_report_violation (program, NULL, "cannot be ended: %u %.*s", reply->status,
+                                  (int)EXCERPT_BYTES, reply->text);
+  return wait_for (memory_is_released, program)
+         || load_report_violation (program, NULL, "an engine still holds memory after the end");
 }
 
 bool
@@ -331,11 +335,11 @@
 {
   struct HttpReply *counts = http_get (cluster, cluster->tools[0].address, "/counts");
   const json_t *runs_by_path = json_object_get (counts->json, "paths");
-  bool holds = counts->status == 200;
+  bool valid = counts->status == 200;
 
   for (uint32_t i = 0; i < LOAD_PROGRAMS; i++)
-    holds = load_check_program (cluster, &programs[i], runs_by_path) && holds;
+    valid = load_check_program (cluster, &programs[i], runs_by_path) && valid;
   for (uint32_t i = 0; i < LOAD_PROGRAMS; i++)
-    holds = load_check_end (cluster, &programs[i]) && holds;
-  return holds;
+    valid = load_check_release (cluster, &programs[i]) && valid;
+  return valid;
 }
--- a/tests/sessions/pairs_load.h
+++ b/tests/sessions/pairs_load.h
@@ -1,5 +1,5 @@
-/* A small load for failures at once: programs on threads of their own, which send their calls to
- * any instance, again where they must, and remember what they were told. */
+/* Load for tests of simultaneous failures: programs on their own threads that send calls to random
+ * instances, retry them and record the outcomes. */
 #pragma once
 
 #include "calls.h"
@@ -7,18 +7,18 @@
 enum
 {
   LOAD_PROGRAMS = 6,
-  LOAD_TURNS = 10,
+  LOAD_CALLS = 10,
   LOAD_NAME_BYTES = 40
 };
 
-/* What a call's caller knows in the end. */
-enum LoadFate
+/* Final outcome of a call for its caller. */
+enum LoadOutcome
 {
-  LOAD_UNKNOWN,      /* no final answer within the limit */
-  LOAD_ANSWERED,     /* text is the answer */
-  LOAD_MAY_HAVE_RUN, /* said so for good */
-  LOAD_NOT_RUN,      /* a first attempt was told so, and it was never sent again */
-  LOAD_REFUSED       /* another final refusal */
+  LOAD_UNKNOWN,      /* no final reply before the deadline */
+  LOAD_ANSWERED,     /* with the answer in text */
+  LOAD_MAY_HAVE_RUN, /* final error may_have_run */
+  LOAD_NOT_RUN,      /* the first attempt got not_run, and no other was made */
+  LOAD_REFUSED       /* any other final error */
 };
 
 struct LoadCall
@@ -26,10 +26,10 @@
   bool tool, stream;
   char branch[16];
   uint64_t sequence;
-  char path[LOAD_NAME_BYTES + 16]; /* of a tool's call: its own, so that its runs can be counted */
-  enum LoadFate fate;
-  char *text; /* last answer */
-  uint32_t n_tries;
+  char path[LOAD_NAME_BYTES + 16]; /* unique per call, so that a tool call's runs can be counted */
+  enum LoadOutcome outcome;
+  char *text; /* last reply */
+  uint32_t n_attempts;
 };
 
 struct LoadProgram
@@ -37,13 +37,13 @@
   struct Cluster *cluster;
   pthread_t thread;
   char name[LOAD_NAME_BYTES];
-  uint64_t random;
+  uint64_t random_state;
   bool created;
   uint32_t n_calls;
-  struct LoadCall calls[LOAD_TURNS];
+  struct LoadCall calls[LOAD_CALLS];
 };
 
-/* splitmix64: the next number of a seeded row. */
+/* splitmix64: returns the next number of the sequence. */
 uint64_t
 random_next (uint64_t *state);
 
@@ -52,6 +52,7 @@
 void
 load_join (struct LoadProgram *programs);
 
-/* Checks what must hold whatever failed; the cluster is whole again. Prints what does not. */
+/* Checks the guarantees that must hold after any failure and prints each violation. All processes
+ * must be running again. */
 bool
 load_check (struct Cluster *cluster, struct LoadProgram *programs);
--- a/tests/sessions/stream.c
+++ b/tests/sessions/stream.c
@@ -48,7 +48,7 @@
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, headers);
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, stream_on_body);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, stream);
-  stream->cut = curl_easy_perform (easy) != CURLE_OK;
+  stream->interrupted = curl_easy_perform (easy) != CURLE_OK;
   curl_easy_cleanup (easy);
   curl_slist_free_all (headers);
   return NULL;
@@ -85,7 +85,7 @@
 };
 
 static bool
-stream_text_came (void *data)
+stream_has_wanted_text (void *data)
 {
   const struct StreamText *wanted = data;
 
@@ -97,7 +97,7 @@
 {
   struct StreamText wanted = { stream, text };
 
-  return wait_for (stream_text_came, &wanted);
+  return wait_for (stream_has_wanted_text, &wanted);
 }
 
 void
@@ -107,13 +107,13 @@
 }
 
 bool
-text_is_whole (const char *text)
+sse_text_is_complete (const char *text)
 {
   return strstr (text, "data: [DONE]\n\n") != NULL && strstr (text, "event: error") == NULL;
 }
 
 bool
-text_is_of_one_run (const char *text)
+sse_text_is_from_one_run (const char *text)
 {
   static const char id[] = "\"id\":\"chatcmpl-";
   const char *first = strstr (text, id);
--- a/tests/sessions/stream.h
+++ b/tests/sessions/stream.h
@@ -1,4 +1,4 @@
-/* A caller that reads one event stream on a thread of its own, and shows how far it has come. */
+/* A caller that reads one event stream on its own thread and exposes the text received so far. */
 #pragma once
 
 #include "calls.h"
@@ -8,27 +8,27 @@
   pthread_t thread;
   pthread_mutex_t lock;
   struct TestCall call;
-  char *text; /* what came so far; talloc child of the stream */
+  char *text; /* received so far; talloc child of the stream */
   size_t n_bytes;
-  bool cut; /* after stream_join: the connection broke off */
+  bool interrupted; /* after stream_join: the transfer failed */
 };
 
-/* call must have asked for a stream; its texts must live as long as the stream. */
+/* call must request a stream; its strings must stay valid as long as the stream. */
 struct Stream *
 stream_start (TALLOC_CTX *ctx, const struct TestCall *call);
 /* Waits until the stream contains text. */
 bool
 stream_wait_for (struct Stream *stream, const char *text);
-/* Whether it contains text by now. */
+/* Returns whether the stream already contains text. */
 bool
 stream_has (struct Stream *stream, const char *text);
-/* Waits for its end; text is the caller's then. */
+/* Waits until the stream ends; its text may then be read without the lock. */
 void
 stream_join (struct Stream *stream);
 
-/* A stream is whole with its end marker and not otherwise. */
+/* Returns whether text has the end marker and no error event. */
 bool
-text_is_whole (const char *text);
-/* All its events come from one run of the engine, by their ids. */
+sse_text_is_complete (const char *text);
+/* Returns whether all events come from one run of the engine, i.e. have the same id. */
 bool
-text_is_of_one_run (const char *text);
+sse_text_is_from_one_run (const char *text);
--- a/tests/sessions/test_at_most_once.c
+++ b/tests/sessions/test_at_most_once.c
@@ -50,10 +50,10 @@
     }
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
   call.sequence = 2; /* the branch goes on */
-  reply = call_settle (cluster, &call);
+  reply = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 2);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* An impatient client sends one confirmation to every instance at once, twice. */
@@ -84,7 +84,7 @@
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
   for (uint32_t i = 0; i < N; i++)
     talloc_free (threads[i].reply);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The home dies while the service is confirming. Nobody knows the outcome; the new home finds the
@@ -110,14 +110,14 @@
   process_kill (cluster->instances[home].process);
   call_thread_join (&thread);
   talloc_free (thread.reply);
-  reply = call_settle (cluster, &call);
+  reply = call_send_until_final (cluster, &call);
   CU_ASSERT_TRUE (strcmp (reply_ran (reply), "may_have_run") == 0
                   || strcmp (reply_ran (reply), "ran") == 0);
   CU_ASSERT_TRUE (wait_for (tool_has_run, cluster) || strcmp (reply_ran (reply), "ran") != 0);
   CU_ASSERT_TRUE (cluster_tool_runs (cluster) <= 1);
-  call_settle (cluster, &call);
+  call_send_until_final (cluster, &call);
   CU_ASSERT_TRUE (cluster_tool_runs (cluster) <= 1);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The home is paused while another takes its programs over, then wakes with an old ledger and gets
@@ -150,10 +150,10 @@
       reply = call_send (cluster, &call);
       CU_ASSERT_STRING_NOT_EQUAL (reply_ran (reply), "not_run");
     }
-  reply = call_settle (cluster, &call);
+  reply = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "at most once";
--- a/tests/sessions/test_budget.c
+++ b/tests/sessions/test_budget.c
@@ -70,7 +70,7 @@
   while (call.sequence < TURNS_MAX)
     {
       call.sequence++;
-      reply = call_settle (cluster, &call);
+      reply = call_send_until_final (cluster, &call);
       if (reply->status != 200)
         break;
       used += reply_tokens (reply);
@@ -82,7 +82,7 @@
   CU_ASSERT_TRUE (used <= BUDGET_TOKENS);
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "loop"), n_answers);
   assert_within_budget (cluster, "loop");
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* Sub-agents draw at the same time, through different instances: together they get no more than
@@ -119,7 +119,7 @@
   CU_ASSERT_TRUE (used <= BUDGET_TOKENS);
   CU_ASSERT_TRUE (n_refused > 0);
   assert_within_budget (cluster, "together");
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The home dies in mid-call. The new one does not know what the cut call used: it counts a whole
@@ -145,13 +145,13 @@
   talloc_free (thread.reply);
   for (call.sequence = 1; call.sequence < TURNS_MAX; call.sequence++)
     {
-      reply = call_settle (cluster, &call);
+      reply = call_send_until_final (cluster, &call);
       if (reply->status != 200)
         break;
     }
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "budget");
   assert_within_budget (cluster, "taken");
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "budget";
--- a/tests/sessions/test_configuration.c
+++ b/tests/sessions/test_configuration.c
@@ -128,7 +128,7 @@
   wanted.revision = 2;
   CU_ASSERT_TRUE (wait_for (in_force_everywhere, &wanted));
   CU_ASSERT_EQUAL (audit_length (cluster, 2), 2);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The platform takes a change and its answer is lost. The operator gets the one true answer, and
@@ -146,7 +146,7 @@
   CU_ASSERT_EQUAL (change_status (&change), 200);
   CU_ASSERT_TRUE (wait_for (in_force_everywhere, &wanted));
   CU_ASSERT_EQUAL (audit_length (cluster, 0), 1);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The platform is down and an instance is replaced meanwhile. A change is refused and has no
@@ -174,7 +174,7 @@
   CU_ASSERT_EQUAL (change_status (&change), 200);
   wanted.revision = 2;
   CU_ASSERT_TRUE (wait_for (in_force_everywhere, &wanted));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "configuration";
--- a/tests/sessions/test_crashing_request.c
+++ b/tests/sessions/test_crashing_request.c
@@ -34,7 +34,7 @@
   for (uint32_t i = 0; i < cluster->options.n_engines; i++)
     CU_ASSERT_TRUE (http_control (cluster->engines[i].address, "{\"crash_on\":\"poison\"}"));
   CU_ASSERT_TRUE (create_program (cluster, 0, "poison-0"));
-  reply = call_settle (cluster, &call);
+  reply = call_send_until_final (cluster, &call);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "quarantined");
   CU_ASSERT_EQUAL (engines_alive (cluster), 1);
   for (uint32_t i = 0; i < cluster->options.n_instances; i++)
@@ -42,15 +42,15 @@
       call.program = talloc_asprintf (cluster, "poison-%u", i + 1);
       call.address = cluster->instances[i].address;
       CU_ASSERT_TRUE (create_program (cluster, i, call.program));
-      reply = call_settle (cluster, &call);
+      reply = call_send_until_final (cluster, &call);
       CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "quarantined");
       CU_ASSERT_STRING_EQUAL (reply_ran (reply), "not_run");
     }
   CU_ASSERT_EQUAL (engines_alive (cluster), 1);
   harmless.body = chat_body (cluster, "negotiation", "soup", 8, false);
   CU_ASSERT_TRUE (create_program (cluster, 1, "harmless"));
-  CU_ASSERT_EQUAL (call_settle (cluster, &harmless)->status, 200);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &harmless)->status, 200);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The only engine dies while it reads a menu. The call is tried again, and that try finds nobody to
@@ -80,7 +80,7 @@
   call.first_attempt = false;
   call.address = cluster->instances[1].address;
   CU_ASSERT_STRING_NOT_EQUAL (reply_ran (call_send (cluster, &call)), "not_run");
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "crashing request";
--- a/tests/sessions/test_golden.c
+++ b/tests/sessions/test_golden.c
@@ -27,7 +27,7 @@
   CU_ASSERT_TRUE (matches);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), wanted_runs);
   json_decref (lines);
-  cluster_end (cluster, !matches);
+  cluster_stop (cluster, !matches);
 }
 
 /* Terms are fetched, two sub-agents work on lodging and on the gang's papers while the main line
--- a/tests/sessions/test_handoff.c
+++ b/tests/sessions/test_handoff.c
@@ -34,7 +34,7 @@
   int32_t home;
 
   stream->cluster = cluster;
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster));
+  CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
   CU_ASSERT_TRUE (create_program (cluster, 0, "streaming"));
   home = cluster_home (cluster, "streaming");
   CU_ASSERT_TRUE_FATAL (home >= 0);
@@ -58,7 +58,7 @@
     process_kill (cluster->instances[i].process);
   call_thread_join (&stream->thread);
   talloc_free (stream->thread.reply);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* A parent asks while, in the same partition, a long review is being streamed and its home is being
@@ -84,7 +84,7 @@
                                .sequence = 1,
                                .body = chat_body (cluster, "negotiation", programs[i], 4, false) };
 
-      n_served += call_settle (cluster, &call)->status == 200;
+      n_served += call_send_until_final (cluster, &call)->status == 200;
     }
   CU_ASSERT_EQUAL (n_served, N_OTHERS);
   long_stream_end (stream);
--- a/tests/sessions/test_hanging_tool.c
+++ b/tests/sessions/test_hanging_tool.c
@@ -58,7 +58,7 @@
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
 
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster));
+  CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
   change (cluster, "profile", "short",
           "[profile]\\nname = short\\ncall_timeout = 1s\\nturn_limit = 5\\n");
   change (cluster, "service", "hiring-agents", "short");
@@ -111,15 +111,15 @@
     }
   tool_hang (cluster, false);
   call.sequence = 2;
-  reply = call_settle (cluster, &call);
+  reply = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (reply->status, 200);
   n_runs = cluster_tool_runs (cluster);
   call.sequence = 1;
-  reply = call_settle (cluster, &call);
+  reply = call_send_until_final (cluster, &call);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "may_have_run");
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), n_runs);
   CU_ASSERT_TRUE (n_runs <= 2);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 static struct HttpReply *
@@ -156,7 +156,7 @@
       sleep_ms (100);
     }
   CU_ASSERT_EQUAL (reply->status, 200);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* More confirmations hang than the desk's owner admits at once. Reviews by the engines, through the
@@ -168,7 +168,7 @@
   struct CallThread threads[N_HANGING];
   char names[N_HANGING][NAME_BYTES];
 
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster));
+  CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
   tool_hang (cluster, true);
   for (uint32_t i = 0; i < N_HANGING; i++)
     {
@@ -186,7 +186,7 @@
 
       call.body = chat_body (cluster, "negotiation", name, 8, false);
       CU_ASSERT_TRUE (create_program (cluster, i % 3, name));
-      CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+      CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
     }
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 0); /* all of it while the desk hung */
   tool_hang (cluster, false);
@@ -197,7 +197,7 @@
       talloc_free (threads[i].reply);
     }
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), N_HANGING);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 static bool
@@ -221,7 +221,7 @@
   while (call.sequence < TURNS_MAX)
     {
       call.sequence++;
-      reply = call_settle (cluster, &call);
+      reply = call_send_until_final (cluster, &call);
       if (reply->status != 200)
         break;
       n_answers++;
@@ -229,10 +229,10 @@
   CU_ASSERT_EQUAL (n_answers, TURN_LIMIT);
   CU_ASSERT_STRING_EQUAL (reply_ran (reply), "not_run");
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "looping"), TURN_LIMIT);
-  reply = call_settle (cluster, &call);
+  reply = call_send_until_final (cluster, &call);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "ended");
   CU_ASSERT_TRUE (wait_for (nothing_is_held, cluster));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "hanging tool";
--- a/tests/sessions/test_leaving_server.c
+++ b/tests/sessions/test_leaving_server.c
@@ -13,7 +13,7 @@
 };
 
 static const struct ClusterOptions two_engines = {
-  .n_instances = 3, .n_engines = 2, .n_tools = 1, .n_disks = 2
+  .n_instances = 3, .n_engines = 2, .n_tools = 1, .n_data_folders = 2
 };
 
 /* Programs go on from batch to batch: each makes one call in each. */
@@ -107,13 +107,13 @@
   CU_ASSERT_TRUE (create_program (cluster, 0, "streaming"));
   call_thread_start (&thread, &call);
   CU_ASSERT_TRUE (wait_for_engine_runs (cluster, "streaming", 1));
-  CU_ASSERT_TRUE (cluster_list_leaving (cluster, LEAVING));
+  CU_ASSERT_TRUE (cluster_set_engine_leaving (cluster, LEAVING));
   assert_no_new_work (load);
   call_thread_join (&thread);
   CU_ASSERT_PTR_NOT_NULL (strstr (thread.reply->text, "data: [DONE]"));
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "streaming"), 1);
   talloc_free (thread.reply);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The same while the platform's key-value service is down; programs go on from turn to turn. */
@@ -125,9 +125,9 @@
 
   load_run_batch (load);
   CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
-  CU_ASSERT_TRUE (cluster_list_leaving (cluster, LEAVING));
+  CU_ASSERT_TRUE (cluster_set_engine_leaving (cluster, LEAVING));
   assert_no_new_work (load);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "leaving server";
--- a/tests/sessions/test_long_outage.c
+++ b/tests/sessions/test_long_outage.c
@@ -95,7 +95,7 @@
       int32_t home = -1;
 
       CU_ASSERT_TRUE (create_program (cluster, 0, "stays"));
-      CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+      CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
       CU_ASSERT_TRUE (wait_for (platform_is_up_everywhere, cluster));
       before = incarnations (cluster);
       home = cluster_home (cluster, "stays");
@@ -108,8 +108,8 @@
       CU_ASSERT_STRING_EQUAL (incarnations (cluster), before);
       CU_ASSERT_EQUAL (cluster_home (cluster, "stays"), home);
       call = engine_call (cluster, "stays", 2);
-      CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
-      cluster_end (cluster, CU_get_number_of_failures () > 0);
+      CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
+      cluster_stop (cluster, CU_get_number_of_failures () > 0);
     }
 }
 
@@ -144,11 +144,11 @@
   platform_set_down (cluster, NULL);
   call_thread_join (&thread);
   talloc_free (thread.reply);
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
-  reply = call_settle (cluster, &wage);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
+  reply = call_send_until_final (cluster, &wage);
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "outage of the platform";
--- a/tests/sessions/test_operators.c
+++ b/tests/sessions/test_operators.c
@@ -162,7 +162,7 @@
   ctl = ctl_run (cluster, 0, "audit --json");
   CU_ASSERT_PTR_NOT_NULL (strstr (ctl->out, "\"revision\": 5"));
   CU_ASSERT_PTR_NULL (strstr (ctl->out, "\"revision\": 6"));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* Each table's columns are fields that the daemon sends. */
@@ -186,7 +186,7 @@
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "counters"), EXIT_CODE_OK);
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "watch --count 1"), EXIT_CODE_OK);
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "change nosuch"), EXIT_CODE_FAILED);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* A shift lists programs while an instance leaves as planned and joins again, and its partitions
@@ -208,7 +208,7 @@
                    EXIT_CODE_OK);
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "service set menu-agents --profile menu --reason list"),
                    EXIT_CODE_OK);
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster));
+  CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
   for (uint32_t i = 0; i < N_PROGRAMS; i++)
     {
       char name[16];
@@ -241,7 +241,7 @@
     }
   CU_ASSERT (n_listed > 0);
   CU_ASSERT_EQUAL (n_with_gaps, 0);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 static bool
@@ -302,7 +302,7 @@
   CU_ASSERT_PTR_NULL (strstr (ctl->out, "\"menu\""));
   CU_ASSERT_PTR_NOT_NULL (strstr (ctl->out, "\"revision\": 2"));
   CU_ASSERT_PTR_NULL (strstr (ctl->out, "\"revision\": 3"));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "operators";
--- a/tests/sessions/test_order.c
+++ b/tests/sessions/test_order.c
@@ -118,7 +118,7 @@
   CU_ASSERT_TRUE (process_wait (caller));
   CU_ASSERT_EQUAL (caller->exit_status, 0);
   assert_same_view (cluster, caller, undisturbed);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The home dies while the third answer is half streamed. The caller sends the same sequence number
@@ -138,7 +138,7 @@
   CU_ASSERT_TRUE (process_wait (caller));
   CU_ASSERT_EQUAL (caller->exit_status, 0);
   assert_same_view (cluster, caller, undisturbed);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* Two calls of one program overtake each other on the way: the second arrives first, elsewhere. It
@@ -165,18 +165,18 @@
                                                         "expected_sequence")),
                    1);
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "crossed"), 0);
-  reply = call_settle (cluster, &first);
+  reply = call_send_until_final (cluster, &first);
   CU_ASSERT_EQUAL (reply->status, 200);
-  reply = call_settle (cluster, &second);
+  reply = call_send_until_final (cluster, &second);
   CU_ASSERT_EQUAL (reply->status, 200);
-  other = call_settle (cluster, &second);
+  other = call_send_until_final (cluster, &second);
   CU_ASSERT_STRING_EQUAL (reply->text, other->text);
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "crossed"), 2);
   /* The same number with another body is not the same call. */
   second.body = chat_body (cluster, "negotiation", "third", 8, false);
-  reply = call_settle (cluster, &second);
+  reply = call_send_until_final (cluster, &second);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "unknown_call");
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "order and history";
--- a/tests/sessions/test_outage.c
+++ b/tests/sessions/test_outage.c
@@ -13,7 +13,7 @@
 };
 
 static const struct ClusterOptions with_disks = {
-  .n_instances = 3, .n_engines = 1, .n_tools = 1, .n_disks = 2
+  .n_instances = 3, .n_engines = 1, .n_tools = 1, .n_data_folders = 2
 };
 
 static const char service_down[] = "{\"down\":{\"mode\":\"refuse\"}}";
@@ -55,10 +55,10 @@
   CU_ASSERT_PTR_NOT_NULL (
       json_object_get (json_object_get (reply->json, "error"), "retry_after_ms"));
   CU_ASSERT_TRUE (http_control (cluster->platform.address, service_up));
-  reply = call_settle (cluster, &call);
+  reply = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* An outage that begins while a partition moves finds it between two homes: neither may serve it
@@ -68,7 +68,7 @@
 {
   struct Cluster *cluster = cluster_start (NULL, &with_disks);
 
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster));
+  CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
   return cluster;
 }
 
@@ -83,25 +83,25 @@
   int32_t home;
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "review"));
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   CU_ASSERT_TRUE (http_control (cluster->platform.address, service_down));
   call = engine_call (cluster, "review", 2, "two");
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   call = engine_call (cluster, "review", 3, "three");
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   CU_ASSERT_TRUE (http_control (cluster->platform.address, service_up));
   call = engine_call (cluster, "review", 4, "four");
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   home = cluster_home (cluster, "review");
   CU_ASSERT_TRUE_FATAL (home >= 0);
   process_kill (cluster->instances[home].process);
   call = engine_call (cluster, "review", 5, "five");
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   reply =
       http_get (cluster, cluster->instances[(home + 1) % 3].address, "/v1/programs/review/history");
   CU_ASSERT_EQUAL (json_array_size (json_object_get (reply->json, "history")), 5);
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "review"), 5);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The home dies during the outage, with turns that were answered but are not in the journal yet.
@@ -116,20 +116,20 @@
   int32_t home;
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "orphaned"));
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   CU_ASSERT_TRUE (http_control (cluster->platform.address, service_down));
   call = engine_call (cluster, "orphaned", 2, "two");
-  answered = call_settle (cluster, &call);
+  answered = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (answered->status, 200);
   home = cluster_home (cluster, "orphaned");
   CU_ASSERT_TRUE_FATAL (home >= 0);
   process_kill (cluster->instances[home].process);
   CU_ASSERT_TRUE (http_control (cluster->platform.address, service_up));
-  again = call_settle (cluster, &call);
+  again = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (again->status, 200);
   CU_ASSERT_STRING_EQUAL (again->text, answered->text);
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "orphaned"), 2);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The outage begins while the instances have only just started and hand partitions to each other. A
@@ -156,7 +156,7 @@
   CU_ASSERT_TRUE (http_control (cluster->platform.address, service_up));
   for (uint32_t i = 0; i < N_PROGRAMS; i++)
     {
-      struct HttpReply *settled = call_settle (cluster, &calls[i]);
+      struct HttpReply *settled = call_send_until_final (cluster, &calls[i]);
 
       CU_ASSERT_EQUAL (settled->status, 200);
       if (threads[i].reply->status == 200)
@@ -165,7 +165,7 @@
         CU_ASSERT_EQUAL (cluster_engine_runs (cluster, programs[i]), 1);
       talloc_free (threads[i].reply);
     }
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "outage of the key-value service";
--- a/tests/sessions/test_pairs.c
+++ b/tests/sessions/test_pairs.c
@@ -57,7 +57,7 @@
 };
 
 static const struct ClusterOptions three_instances = {
-  .n_instances = 3, .n_engines = 2, .n_tools = 1, .n_disks = 2
+  .n_instances = 3, .n_engines = 2, .n_tools = 1, .n_data_folders = 2
 };
 
 struct Pair
@@ -68,7 +68,7 @@
 struct Trial
 {
   struct Cluster *cluster;
-  uint64_t random;
+  uint64_t random_state;
   uint32_t victims[2]; /* instance of each failure, two different ones */
 };
 
@@ -90,7 +90,8 @@
       "7\\n\","
       "\"change_id\":\"pairs-1\",\"who\":\"test\",\"reason\":\"test\",\"expected_revision\":0}";
   struct Trial *trial = data;
-  const struct ClusterNode *node = &trial->cluster->instances[random_next (&trial->random) % 3];
+  const struct ClusterNode *node =
+      &trial->cluster->instances[random_next (&trial->random_state) % 3];
   struct HttpReply *reply =
       http_send (NULL, "POST", node->operator_address, "/operator/changes", NULL, body);
   bool taken = reply->status == 200;
@@ -217,27 +218,27 @@
 run_pair (const struct Pair *pair, uint64_t seed)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
-  struct Trial trial = { .cluster = cluster, .random = seed };
+  struct Trial trial = { .cluster = cluster, .random_state = seed };
   uint32_t n_failures = CU_get_number_of_failures ();
   struct LoadProgram *programs;
   int32_t home;
 
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster));
+  CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
   programs = load_start (cluster, seed);
   CU_ASSERT_TRUE (wait_for (load_has_begun, cluster));
   home = cluster_home (cluster, "pairs-0");
   CU_ASSERT_TRUE_FATAL (home >= 0);
   trial.victims[0] = (uint32_t)home;
-  trial.victims[1] = (trial.victims[0] + 1 + random_next (&trial.random) % 2) % 3;
+  trial.victims[1] = (trial.victims[0] + 1 + random_next (&trial.random_state) % 2) % 3;
   failure_begin (&trial, pair->failures[0], trial.victims[0]);
-  sleep_ms ((uint32_t)(random_next (&trial.random) % OVERLAP_MS_MAX));
+  sleep_ms ((uint32_t)(random_next (&trial.random_state) % OVERLAP_MS_MAX));
   failure_begin (&trial, pair->failures[1], trial.victims[1]);
-  sleep_ms ((uint32_t)(random_next (&trial.random) % OVERLAP_MS_MAX));
+  sleep_ms ((uint32_t)(random_next (&trial.random_state) % OVERLAP_MS_MAX));
   failure_end (&trial, pair->failures[0], trial.victims[0]);
   failure_end (&trial, pair->failures[1], trial.victims[1]);
   load_join (programs);
   CU_ASSERT_TRUE (load_check (cluster, programs));
-  cluster_end (cluster, CU_get_number_of_failures () > n_failures);
+  cluster_stop (cluster, CU_get_number_of_failures () > n_failures);
 }
 
 static uint64_t
@@ -250,21 +251,21 @@
 
 /* All pairs, each in a drawn order, shuffled. */
 static void
-draw_pairs (struct Pair pairs[N_PAIRS], uint64_t *random)
+draw_pairs (struct Pair pairs[N_PAIRS], uint64_t *random_state)
 {
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < N_FAILURES; i++)
     for (uint32_t j = i + 1; j < N_FAILURES; j++)
       {
-        bool turned = random_next (random) % 2 == 1;
+        bool turned = random_next (random_state) % 2 == 1;
 
         pairs[n].failures[turned] = (enum Failure)i;
         pairs[n++].failures[!turned] = (enum Failure)j;
       }
   for (uint32_t i = N_PAIRS - 1; i > 0; i--)
     {
-      uint32_t j = (uint32_t)(random_next (random) % (i + 1));
+      uint32_t j = (uint32_t)(random_next (random_state) % (i + 1));
       struct Pair other = pairs[i];
 
       pairs[i] = pairs[j];
@@ -278,10 +279,10 @@
   uint64_t seed = number_from_environment ("PAIRS_SEED", DEFAULT_SEED);
   uint64_t first = number_from_environment ("PAIRS_FIRST", 0);
   uint64_t n = number_from_environment ("PAIRS", DEFAULT_PAIRS);
-  uint64_t random = seed;
+  uint64_t random_state = seed;
   struct Pair pairs[N_PAIRS];
 
-  draw_pairs (pairs, &random);
+  draw_pairs (pairs, &random_state);
   for (uint64_t i = first; i < first + n && i < N_PAIRS; i++)
     {
       uint32_t n_failures = CU_get_number_of_failures ();
@@ -340,9 +341,9 @@
   struct CallThread threads[N_RESENT];
   int32_t home;
 
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster));
+  CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
   CU_ASSERT_TRUE (create_program (cluster, 0, "woken"));
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   home = cluster_home (cluster, "woken");
   CU_ASSERT_TRUE_FATAL (home >= 0);
   CU_ASSERT_TRUE (process_signal (cluster->instances[home].process, SIGSTOP));
@@ -363,9 +364,9 @@
       talloc_free (threads[i].reply);
     }
   platform_control (cluster, "{\"slow_ms\":%d}", 0);
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 3);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "two failures at once";
--- a/tests/sessions/test_planned_stop.c
+++ b/tests/sessions/test_planned_stop.c
@@ -79,7 +79,7 @@
   streams_assert_whole (streams);
   CU_ASSERT_TRUE (process_wait (stopped));
   CU_ASSERT_EQUAL (stopped->exit_status, 0);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* Two of three instances are replaced at the same time: the one the callers are connected to, and
@@ -99,7 +99,7 @@
       CU_ASSERT_TRUE (process_wait (cluster->instances[i].process));
       CU_ASSERT_EQUAL (cluster->instances[i].process->exit_status, 0);
     }
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* A caller goes on with its program through the stop, with addresses that it asked for before. */
@@ -132,7 +132,7 @@
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
   CU_ASSERT_TRUE (process_wait (cluster->instances[home].process));
   CU_ASSERT_EQUAL (cluster->instances[home].process->exit_status, 0);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "planned stop";
--- a/tests/sessions/test_release.c
+++ b/tests/sessions/test_release.c
@@ -31,7 +31,7 @@
                            .body = chat_body (cluster, "negotiation", program, 8, false) };
 
   CU_ASSERT_TRUE (create_program (cluster, 0, program));
-  CU_ASSERT_EQUAL (call_settle (cluster, &call)->status, 200);
+  CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   CU_ASSERT_TRUE (cluster_held_tokens (cluster, program) > 0);
 }
 
@@ -59,7 +59,7 @@
   CU_ASSERT_TRUE (http_control (cluster->engines[0].address, "{\"lose_release\":3}"));
   CU_ASSERT_EQUAL (end_program (cluster, 1, "lost"), 200);
   CU_ASSERT_TRUE (wait_for (nothing_is_held, &held));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* A screening ends while the engine refuses releases; then its home dies, and with it all that the
@@ -80,7 +80,7 @@
   CU_ASSERT_TRUE (cluster_held_tokens (cluster, "orphan") > 0);
   CU_ASSERT_TRUE (http_control (cluster->engines[0].address, "{\"ignore_release\":false}"));
   CU_ASSERT_TRUE (wait_for (nothing_is_held, &held));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* A caller cancels its program in the middle of a long answer: the engine stops generating, and
@@ -96,7 +96,8 @@
                            .body = chat_body (cluster, "negotiation", "long", 20000, true) };
   struct CallThread thread;
 
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster)); /* an end while partitions move: test_handoff */
+  CU_ASSERT_TRUE (
+      cluster_wait_partitions_stable (cluster)); /* an end while partitions move: test_handoff */
   CU_ASSERT_TRUE (create_program (cluster, 0, "cancelled"));
   call_thread_start (&thread, &call);
   CU_ASSERT_TRUE (wait_for_engine_runs (cluster, "cancelled", 1));
@@ -104,7 +105,7 @@
   CU_ASSERT_TRUE (wait_for (nothing_is_held, &held));
   call_thread_join (&thread);
   talloc_free (thread.reply);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "release of engine memory";
--- a/tests/sessions/test_standins.c
+++ b/tests/sessions/test_standins.c
@@ -41,7 +41,7 @@
   CU_ASSERT_EQUAL (first->status, 200);
   CU_ASSERT_STRING_EQUAL (first->text, second->text);
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "p-1"), 1);
-  cluster_end (cluster, false);
+  cluster_stop (cluster, false);
 }
 
 static void
@@ -63,7 +63,7 @@
   CU_ASSERT_EQUAL (release->status, 200);
   CU_ASSERT_EQUAL (cluster_held_tokens (cluster, "p-1"), 0);
   CU_ASSERT_EQUAL (cached_tokens (ask (cluster, 0, "p-1", "Third.")), 0);
-  cluster_end (cluster, false);
+  cluster_stop (cluster, false);
 }
 
 static void
@@ -80,7 +80,7 @@
       http_send (cluster, "POST", address, "/orders", NULL, "{\"fencing\":6,\"order\":\"load\"}")
           ->status,
       409);
-  cluster_end (cluster, false);
+  cluster_stop (cluster, false);
 }
 
 static void
@@ -98,7 +98,7 @@
   process_kill (cluster->engines[1].process);
   CU_ASSERT_FALSE (process_is_alive (cluster->engines[1].process));
   CU_ASSERT_EQUAL (cluster->engines[1].process->exit_status, -SIGKILL);
-  cluster_end (cluster, false);
+  cluster_stop (cluster, false);
 }
 
 static void
@@ -112,7 +112,7 @@
   CU_ASSERT_TRUE (http_control (address, "{\"close_after_run\":1}"));
   CU_ASSERT_EQUAL (http_send (cluster, "POST", address, "/alert", headers, "{}")->status, 0);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 2);
-  cluster_end (cluster, false);
+  cluster_stop (cluster, false);
 }
 
 const char test_suite_name[] = "standins";
--- a/tests/sessions/test_whole_answer.c
+++ b/tests/sessions/test_whole_answer.c
@@ -35,7 +35,7 @@
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
 
-  CU_ASSERT_TRUE (cluster_wait_settled (cluster));
+  CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
   if (vary)
     engines_control (cluster, "{\"vary\":true}");
   return cluster;
@@ -59,15 +59,15 @@
 static const char *
 settled_answer (struct Cluster *cluster, const struct TestCall *call)
 {
-  struct HttpReply *reply = call_settle (cluster, call);
+  struct HttpReply *reply = call_send_until_final (cluster, call);
   struct HttpReply *again;
 
   /* A resend may join a stream that breaks: the next one gets the whole. */
-  for (uint32_t i = 0; i < 10 && !text_is_whole (reply->text); i++)
-    reply = call_settle (cluster, call);
-  again = call_settle (cluster, call);
-  CU_ASSERT_TRUE (text_is_whole (reply->text));
-  CU_ASSERT_TRUE (text_is_of_one_run (reply->text));
+  for (uint32_t i = 0; i < 10 && !sse_text_is_complete (reply->text); i++)
+    reply = call_send_until_final (cluster, call);
+  again = call_send_until_final (cluster, call);
+  CU_ASSERT_TRUE (sse_text_is_complete (reply->text));
+  CU_ASSERT_TRUE (sse_text_is_from_one_run (reply->text));
   CU_ASSERT_PTR_NOT_NULL (strstr (reply->text, last_word));
   CU_ASSERT_STRING_EQUAL (again->text, reply->text);
   return reply->text;
@@ -78,7 +78,7 @@
 static void
 assert_whole_or_said_not_to_be (const struct Stream *stream, const char *stored)
 {
-  CU_ASSERT_TRUE (text_is_of_one_run (stream->text));
+  CU_ASSERT_TRUE (sse_text_is_from_one_run (stream->text));
   if (strstr (stream->text, "[DONE]") != NULL)
     {
       CU_ASSERT_STRING_EQUAL (stream->text, stored);
@@ -86,7 +86,7 @@
     }
   CU_ASSERT_PTR_NOT_NULL (strstr (stream->text, "event: error"));
   if (strstr (stream->text, "event: error") == NULL)
-    fprintf (stderr, "cut %d, ends with: %s\n", stream->cut,
+    fprintf (stderr, "interrupted %d, ends with: %s\n", stream->interrupted,
              stream->text + (stream->n_bytes > TAIL_BYTES ? stream->n_bytes - TAIL_BYTES : 0));
 }
 
@@ -104,7 +104,7 @@
   assert_whole_or_said_not_to_be (stream, settled_answer (cluster, &call));
   if (vary)
     CU_ASSERT_PTR_NULL (strstr (stream->text, "[DONE]"));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* A manager reads an offer word by word through one instance when the program's home dies. The new
@@ -140,12 +140,12 @@
   stream_join (stream);
   CU_ASSERT_PTR_NULL (strstr (stream->text, "[DONE]"));
   CU_ASSERT_PTR_NOT_NULL (strstr (stream->text, "event: error"));
-  CU_ASSERT_TRUE (text_is_of_one_run (stream->text));
-  reply = call_settle (cluster, &call);
-  CU_ASSERT_TRUE (text_is_whole (reply->text));
+  CU_ASSERT_TRUE (sse_text_is_from_one_run (stream->text));
+  reply = call_send_until_final (cluster, &call);
+  CU_ASSERT_TRUE (sse_text_is_complete (reply->text));
   CU_ASSERT_PTR_NULL (strstr (reply->text, early_word));
-  CU_ASSERT_STRING_EQUAL (call_settle (cluster, &call)->text, reply->text);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  CU_ASSERT_STRING_EQUAL (call_send_until_final (cluster, &call)->text, reply->text);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The last word has come, but the platform does not take the outcome; the home dies with it. The
@@ -166,7 +166,7 @@
   CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":null}"));
   stream_join (stream);
   assert_whole_or_said_not_to_be (stream, settled_answer (cluster, &call));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The instance that a cook is connected to dies in mid-stream. He connects elsewhere and sends the
@@ -184,13 +184,13 @@
   process_kill (cluster->instances[(home + 1) % 3].process);
   stream_join (first);
   CU_ASSERT_PTR_NULL (strstr (first->text, "[DONE]"));
-  CU_ASSERT_TRUE (text_is_of_one_run (first->text));
+  CU_ASSERT_TRUE (sse_text_is_from_one_run (first->text));
   call.address = cluster->instances[(home + 2) % 3].address;
   call.first_attempt = false;
   second = stream_start (cluster, &call);
   stream_join (second);
   assert_whole_or_said_not_to_be (second, settled_answer (cluster, &call));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* The engine dies in mid-stream. Its words can not be had again: the caller is told so, and the
@@ -210,7 +210,7 @@
   stream_join (stream);
   CU_ASSERT_PTR_NULL (strstr (stream->text, "[DONE]"));
   assert_whole_or_said_not_to_be (stream, settled_answer (cluster, &call));
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 /* A caller's client sends one call over two instances, since the first seemed slow. Both get the
@@ -232,12 +232,12 @@
   for (uint32_t i = 0; i < 2; i++)
     {
       stream_join (streams[i]);
-      CU_ASSERT_TRUE (text_is_whole (streams[i]->text));
+      CU_ASSERT_TRUE (sse_text_is_complete (streams[i]->text));
       CU_ASSERT_STRING_EQUAL (streams[i]->text, streams[0]->text);
     }
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "duplicated"), 1);
   CU_ASSERT_STRING_EQUAL (settled_answer (cluster, &call), streams[0]->text);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 struct Crossed
@@ -297,16 +297,17 @@
       CU_ASSERT_STRING_EQUAL (json_string_value (json_object_get (reply->json, "path")),
                               crossed->paths[i]);
       talloc_free (reply);
-      CU_ASSERT_TRUE (text_is_whole (crossed->streams[i]->text));
-      CU_ASSERT_TRUE (text_is_of_one_run (crossed->streams[i]->text));
+      CU_ASSERT_TRUE (sse_text_is_complete (crossed->streams[i]->text));
+      CU_ASSERT_TRUE (sse_text_is_from_one_run (crossed->streams[i]->text));
       again.first_attempt = false;
       again.address = cluster->instances[(i + 1) % 3].address;
-      CU_ASSERT_STRING_EQUAL (call_settle (cluster, &again)->text, crossed->streams[i]->text);
+      CU_ASSERT_STRING_EQUAL (call_send_until_final (cluster, &again)->text,
+                              crossed->streams[i]->text);
       for (uint32_t j = 0; j < i; j++)
         CU_ASSERT_STRING_NOT_EQUAL (crossed->streams[j]->text, crossed->streams[i]->text);
     }
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), N_CROSSED);
-  cluster_end (cluster, CU_get_number_of_failures () > 0);
+  cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "whole answer to the own request";
