--- a/tests/sessions/test_at_most_once.c
+++ b/tests/sessions/test_at_most_once.c
@@ -1,4 +1,6 @@
-/* Promise: a non-idempotent request, such as a wage confirmation, runs at most once. */
+/* Checks that a non-idempotent request, such as a wage confirmation, runs at most once. It would
+ * run twice if an instance sent it to a backend server again after a lost response, a resend by the
+ * caller or a takeover. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -28,10 +30,10 @@
   return cluster_tool_runs (data) > 0;
 }
 
-/* The service confirms a wage and then closes the connection without an answer. The caller is told
- * that it may have run, now and at every resend, and it is never sent to the service again. */
+/* The service confirms a wage and closes the connection without a response. The caller gets
+ * may_have_run, also for every resend, and the call is not sent to the service again. */
 static void
-test_backend_closes_after_it_ran (void)
+test_backend_closes_after_run (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct TestCall call = wage_confirmation (cluster, "closes");
@@ -49,47 +51,48 @@
       CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "may_have_run");
     }
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
-  call.sequence = 2; /* the branch goes on */
+  call.sequence = 2; /* the branch continues */
   reply = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 2);
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* An impatient client sends one confirmation to every instance at once, twice. */
+/* A client sends the same confirmation to every instance at once, twice. */
 static void
-test_resent_to_all_instances_at_once (void)
+test_sent_to_all_instances_at_once (void)
 {
   enum
   {
-    N = 6
+    N_SENDS = 6
   };
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct TestCall call = wage_confirmation (cluster, "at-once");
-  struct CallThread threads[N];
+  struct CallThread threads[N_SENDS];
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "at-once"));
   CU_ASSERT_TRUE (http_control (cluster->tools[0].address, "{\"delay_ms\":300}"));
-  for (uint32_t i = 0; i < N; i++)
+  for (uint32_t i = 0; i < N_SENDS; i++)
     {
       call.address = cluster->instances[i % cluster->options.n_instances].address;
       call_thread_start (&threads[i], &call);
     }
-  for (uint32_t i = 0; i < N; i++)
+  for (uint32_t i = 0; i < N_SENDS; i++)
     {
       call_thread_join (&threads[i]);
       CU_ASSERT_EQUAL (threads[i].reply->status, 200);
       CU_ASSERT_STRING_EQUAL (threads[i].reply->text, threads[0].reply->text);
     }
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
-  for (uint32_t i = 0; i < N; i++)
+  for (uint32_t i = 0; i < N_SENDS; i++)
     talloc_free (threads[i].reply);
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* The home dies while the service is confirming. Nobody knows the outcome; the new home finds the
- * intent without one, says "may have run" and does not send it again. When another instance owned
- * the service's queue it may still hand in the outcome: then the answer is the service's own. */
+/* The home is killed while the service runs the call. The new home finds the journaled intent
+ * without an outcome, replies may_have_run and does not send the call again. If another instance
+ * owns the service's queue, it may still deliver the outcome; the reply is then the service's
+ * response. */
 static void
 test_home_killed_while_the_service_runs (void)
 {
@@ -105,8 +108,9 @@
   CU_ASSERT_TRUE_FATAL (home >= 0);
   call.address = cluster->instances[home].address;
   call_thread_start (&thread, &call);
-  sleep_ms (
-      400); /* the tool counts a run at its end; this only makes a kill in the middle likely */
+  /* The tool counts a run when it ends, so the test cannot wait for its start; the sleep makes a
+   * kill during the run likely. */
+  sleep_ms (400);
   process_kill (cluster->instances[home].process);
   call_thread_join (&thread);
   talloc_free (thread.reply);
@@ -120,10 +124,10 @@
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* The home is paused while another takes its programs over, then wakes with an old ledger and gets
- * the same confirmation. It must not run it again, nor say that it did not run. */
+/* The home is paused while another instance takes over its programs, resumes with a stale ledger
+ * and receives the same confirmation. It must neither run it again nor reply not_run. */
 static void
-test_paused_home_woken_after_take_over (void)
+test_paused_home_resumed_after_takeover (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct TestCall call = wage_confirmation (cluster, "paused");
@@ -158,9 +162,9 @@
 
 const char test_suite_name[] = "at most once";
 const struct TestCase test_cases[] = {
-  { "backend server closes after it ran", test_backend_closes_after_it_ran },
-  { "resent to all instances at once", test_resent_to_all_instances_at_once },
+  { "backend server closes after the run", test_backend_closes_after_run },
+  { "sent to all instances at once", test_sent_to_all_instances_at_once },
   { "home killed while the service runs", test_home_killed_while_the_service_runs },
-  { "paused home woken after take-over", test_paused_home_woken_after_take_over },
+  { "paused home resumed after takeover", test_paused_home_resumed_after_takeover },
   { NULL, NULL },
 };
--- a/tests/sessions/test_budget.c
+++ b/tests/sessions/test_budget.c
@@ -1,4 +1,5 @@
-/* Promise: a program never exceeds its budget. */
+/* Checks that a program never exceeds its budget: not in a loop, not by concurrent calls of its
+ * branches, and not when the tokens of a call are unknown after a takeover. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -10,7 +11,7 @@
 {
   BUDGET_TOKENS = 300,
   N_BRANCHES = 6,
-  TOKENS_A_CALL = 40,
+  TOKENS_PER_CALL = 40,
   TURNS_MAX = 40
 };
 
@@ -30,18 +31,17 @@
   CU_ASSERT_EQUAL (reply->status, 201);
 }
 
-/* What the engines generated and read for the program, by the answers that callers got, must not
- * exceed what the program may use; nor may its home's own count. */
+/* Asserts that the tokens that the program's home has charged do not exceed the budget. */
 static void
 assert_within_budget (struct Cluster *cluster, const char *program)
 {
   char *path = talloc_asprintf (cluster, "/v1/programs/%s", program);
-  uint32_t alive = 0;
+  uint32_t running = 0;
   struct HttpReply *reply;
 
-  while (!process_is_alive (cluster->instances[alive].process))
-    alive++;
-  reply = http_get (cluster, cluster->instances[alive].address, path);
+  while (!process_is_alive (cluster->instances[running].process))
+    running++;
+  reply = http_get (cluster, cluster->instances[running].address, path);
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_TRUE (json_integer_value (json_object_get (reply->json, "charged_tokens"))
                   <= BUDGET_TOKENS);
@@ -54,8 +54,7 @@
       json_object_get (json_object_get (reply->json, "usage"), "total_tokens"));
 }
 
-/* A program loops: it asks the same again and again. It is stopped by its budget, and the refused
- * call did not run. */
+/* A program repeats the same call in a loop. Its budget stops it; the refused call did not run. */
 static void
 test_looping_program (void)
 {
@@ -66,7 +65,7 @@
   uint64_t n_answers = 0;
 
   create_with_budget (cluster, "loop");
-  call.body = chat_body (cluster, "negotiation", "again", TOKENS_A_CALL, false);
+  call.body = chat_body (cluster, "negotiation", "again", TOKENS_PER_CALL, false);
   while (call.sequence < TURNS_MAX)
     {
       call.sequence++;
@@ -85,10 +84,10 @@
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* Sub-agents draw at the same time, through different instances: together they get no more than
- * there is. */
+/* Sub-agents send calls concurrently through different instances: their sum stays within the
+ * budget. */
 static void
-test_sub_agents_drawing_at_once (void)
+test_concurrent_sub_agents (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct CallThread threads[N_BRANCHES];
@@ -106,7 +105,7 @@
                                .first_attempt = true };
 
       snprintf (branches[i], sizeof branches[i], "agent-%u", i);
-      call.body = chat_body (cluster, "negotiation", branches[i], 2 * TOKENS_A_CALL, false);
+      call.body = chat_body (cluster, "negotiation", branches[i], 2 * TOKENS_PER_CALL, false);
       call_thread_start (&threads[i], &call);
     }
   for (uint32_t i = 0; i < N_BRANCHES; i++)
@@ -122,10 +121,10 @@
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* The home dies in mid-call. The new one does not know what the cut call used: it counts a whole
- * reservation, and the program still ends within its budget. */
+/* The home is killed during a call. The new home has no token count for the interrupted call and
+ * charges its whole reservation; the program still ends within its budget. */
 static void
-test_take_over_in_mid_call (void)
+test_takeover_during_call (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct TestCall call = { .program = "taken", .sequence = 1 };
@@ -157,7 +156,7 @@
 const char test_suite_name[] = "budget";
 const struct TestCase test_cases[] = {
   { "looping program", test_looping_program },
-  { "sub-agents drawing at once", test_sub_agents_drawing_at_once },
-  { "take-over in mid-call", test_take_over_in_mid_call },
+  { "concurrent sub-agents", test_concurrent_sub_agents },
+  { "takeover during a call", test_takeover_during_call },
   { NULL, NULL },
 };
--- a/tests/sessions/test_crashing_request.c
+++ b/tests/sessions/test_crashing_request.c
@@ -1,4 +1,6 @@
-/* A single request that crashes each backend server which runs it is stopped after two. */
+/* Checks that a request that crashes every engine that runs it is quarantined after two crashes,
+ * and that an interrupted call is never reported as not run. Unlimited retries would crash all
+ * engines in turn. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -9,7 +11,7 @@
                                                      .n_tools = 0 };
 
 static uint32_t
-engines_alive (struct Cluster *cluster)
+running_engines (struct Cluster *cluster)
 {
   uint32_t n = 0;
 
@@ -18,11 +20,11 @@
   return n;
 }
 
-/* A menu brings down the engine that reads it; the call is tried on a second, which dies too. The
- * third must not get it: not by retry, and not when the caller sends the same menu again under new
- * ids, to other instances. Other calls are still served there. */
+/* A request crashes the engine that runs it, and the retry crashes a second engine. The third must
+ * not get it, neither by a retry nor when the caller sends the same body from new programs to other
+ * instances. Other calls are still served there. */
 static void
-test_request_that_stops_two_engines (void)
+test_request_that_crashes_two_engines (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_engines);
   struct TestCall call = { .program = "poison-0",
@@ -36,7 +38,7 @@
   CU_ASSERT_TRUE (create_program (cluster, 0, "poison-0"));
   reply = call_send_until_final (cluster, &call);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "quarantined");
-  CU_ASSERT_EQUAL (engines_alive (cluster), 1);
+  CU_ASSERT_EQUAL (running_engines (cluster), 1);
   for (uint32_t i = 0; i < cluster->options.n_instances; i++)
     {
       call.program = talloc_asprintf (cluster, "poison-%u", i + 1);
@@ -46,18 +48,17 @@
       CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "quarantined");
       CU_ASSERT_STRING_EQUAL (reply_ran (reply), "not_run");
     }
-  CU_ASSERT_EQUAL (engines_alive (cluster), 1);
+  CU_ASSERT_EQUAL (running_engines (cluster), 1);
   harmless.body = chat_body (cluster, "negotiation", "soup", 8, false);
   CU_ASSERT_TRUE (create_program (cluster, 1, "harmless"));
   CU_ASSERT_EQUAL (call_send_until_final (cluster, &harmless)->status, 200);
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* The only engine dies while it reads a menu. The call is tried again, and that try finds nobody to
- * connect to: it certainly did not run. The first one did, in part, so the cook must not hear "not
- * run" of the request. */
+/* The only engine is killed while it runs a call, and the retry finds no engine to connect to. The
+ * retry did not run but the first attempt did in part, so the caller must not get not_run. */
 static void
-test_last_try_does_not_speak_for_the_first (void)
+test_retry_does_not_hide_first_attempt (void)
 {
   static const struct ClusterOptions one_engine = { .n_instances = 3, .n_engines = 1 };
   struct Cluster *cluster = cluster_start (NULL, &one_engine);
@@ -76,7 +77,7 @@
   CU_ASSERT_NOT_EQUAL (thread.reply->status, 200);
   CU_ASSERT_STRING_NOT_EQUAL (reply_ran (thread.reply), "not_run");
   talloc_free (thread.reply);
-  /* Nor of the same call sent again, which finds no engine at all. */
+  /* A resend of the call, which finds no engine at all, must not get it either. */
   call.first_attempt = false;
   call.address = cluster->instances[1].address;
   CU_ASSERT_STRING_NOT_EQUAL (reply_ran (call_send (cluster, &call)), "not_run");
@@ -85,7 +86,7 @@
 
 const char test_suite_name[] = "crashing request";
 const struct TestCase test_cases[] = {
-  { "request that stops two engines", test_request_that_stops_two_engines },
-  { "last try does not speak for the first", test_last_try_does_not_speak_for_the_first },
+  { "request that crashes two engines", test_request_that_crashes_two_engines },
+  { "retry does not hide the first attempt", test_retry_does_not_hide_first_attempt },
   { NULL, NULL },
 };
