--- a/tests/sessions/test_golden.c
+++ b/tests/sessions/test_golden.c
@@ -1,8 +1,10 @@
+/* Compares all replies to a caller in two whole sessions with golden files. Guards against
+ * unintended changes of the protocol. */
 #include "cluster.h"
 #include "golden.h"
 #include "test_main.h"
 
-/* One engine and one tool, so that the backend servers' names do not depend on timing. */
+/* Starts one engine and one tool, so that the backend servers' names do not depend on timing. */
 static struct Cluster *
 start_cluster (const char *model, const char *tool)
 {
@@ -14,7 +16,7 @@
 }
 
 static void
-run_golden (struct Cluster *cluster, const char *name, const char *script, uint64_t wanted_runs)
+run_golden (struct Cluster *cluster, const char *name, const char *script, uint64_t expected_runs)
 {
   struct Process *caller = cluster_run_caller (cluster, name, script);
   json_t *lines;
@@ -25,13 +27,13 @@
   lines = caller_lines (caller);
   matches = golden_matches (name, lines);
   CU_ASSERT_TRUE (matches);
-  CU_ASSERT_EQUAL (cluster_tool_runs (cluster), wanted_runs);
+  CU_ASSERT_EQUAL (cluster_tool_runs (cluster), expected_runs);
   json_decref (lines);
   cluster_stop (cluster, !matches);
 }
 
-/* Terms are fetched, two sub-agents work on lodging and on the gang's papers while the main line
- * waits, a wage is haggled over and confirmed once, and the confirmation is sent again. */
+/* A program calls a tool, runs two sub-agents concurrently, streams an answer, and sends a
+ * non-idempotent confirmation twice; it runs once. A call after the end does not run. */
 static void
 test_hiring_negotiation (void)
 {
@@ -72,8 +74,8 @@
   run_golden (start_cluster ("negotiation", "field-desk"), "hiring_negotiation", script, 3);
 }
 
-/* A dietitian's review over several turns, then a substitution: the alert to the cook goes out
- * once, though the kitchen sends it twice. */
+/* A program makes several turns with a sub-agent. A request outside any program is sent twice with
+ * the same idempotency key and runs once. */
 static void
 test_menu_review (void)
 {
--- a/tests/sessions/test_handoff.c
+++ b/tests/sessions/test_handoff.c
@@ -1,5 +1,6 @@
-/* Promise: a planned stop cuts no one off. While an instance hands its partitions over, programs
- * whose partition is held up by a long stream are served all the same. */
+/* Checks that a planned stop interrupts no program. A stopping instance hands over a partition only
+ * when its calls have ended, so a long stream delays the hand-off; the other programs of the
+ * partition must be served meanwhile. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -9,15 +10,15 @@
 
 enum
 {
-  N_OTHERS = 40,        /* enough that some share the stream's partition, of 16 */
-  STREAM_TOKENS = 20000 /* longer than WAIT_LIMIT_MS at 400 a second */
+  N_OTHERS = 40,        /* enough for some to share the stream's partition, one of 16 */
+  STREAM_TOKENS = 20000 /* takes longer than WAIT_LIMIT_MS at 400 tokens/s */
 };
 
 static const struct ClusterOptions three_instances = { .n_instances = 3,
                                                        .n_engines = 2,
                                                        .n_tools = 0 };
 
-/* A stream through another instance, its program's home about to stop. */
+/* A stream through an instance that is not its program's home; the home is to be stopped. */
 struct LongStream
 {
   struct Cluster *cluster;
@@ -47,11 +48,11 @@
 }
 
 static void
-long_stream_end (struct LongStream *stream)
+long_stream_stop (struct LongStream *stream)
 {
   struct Cluster *cluster = stream->cluster;
 
-  /* Ends the stream in any case, so that the thread does. */
+  /* Ends the stream in any case, so that its thread exits. */
   for (uint32_t i = 0; i < cluster->options.n_engines; i++)
     process_kill (cluster->engines[i].process);
   for (uint32_t i = 0; i < cluster->options.n_instances; i++)
@@ -61,11 +62,11 @@
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* A parent asks while, in the same partition, a long review is being streamed and its home is being
- * replaced. The home waits for the stream to end before it hands the partition over, and refuses
- * the partition's other programs so long. */
+/* Programs send calls while the home of their partition stops and streams a long answer of another
+ * program of the partition. The fault: the home waits for the stream before it hands the partition
+ * over, and refuses the calls of the partition's other programs until then. */
 static void
-test_other_programs_are_served (void)
+test_other_programs_served_during_handoff (void)
 {
   struct LongStream *stream = long_stream_start ();
   struct Cluster *cluster = stream->cluster;
@@ -87,7 +88,7 @@
       n_served += call_send_until_final (cluster, &call)->status == 200;
     }
   CU_ASSERT_EQUAL (n_served, N_OTHERS);
-  long_stream_end (stream);
+  long_stream_stop (stream);
 }
 
 static bool
@@ -109,13 +110,13 @@
 }
 
 static bool
-nothing_is_held (void *data)
+memory_is_released (void *data)
 {
   return cluster_held_tokens (data, "streaming") == 0;
 }
 
 static void
-print_engines (struct Cluster *cluster)
+print_engine_state (struct Cluster *cluster)
 {
   static const char *const paths[] = { "/load", "/log", "/held?program=streaming" };
 
@@ -125,10 +126,10 @@
                http_get (cluster, cluster->engines[i].address, paths[j])->text);
 }
 
-/* The dietitian gives up the long review itself. Its home, which is being replaced, takes the end,
- * stops the stream and releases its memory; that also lets the home stop. */
+/* The caller cancels the streaming program. Its stopping home accepts the end, aborts the stream
+ * and releases the engine memory; the home can then exit. */
 static void
-test_the_end_of_the_streaming_program (void)
+test_ending_the_streaming_program (void)
 {
   struct LongStream *stream = long_stream_start ();
   struct Cluster *cluster = stream->cluster;
@@ -136,18 +137,18 @@
 
   CU_ASSERT_TRUE (process_signal (stopped, SIGTERM));
   CU_ASSERT_TRUE (wait_for (program_is_ended, cluster));
-  if (!wait_for (nothing_is_held, cluster))
+  if (!wait_for (memory_is_released, cluster))
     {
       CU_FAIL ("engine memory is still held");
-      print_engines (cluster);
+      print_engine_state (cluster);
     }
   CU_ASSERT_TRUE (process_wait (stopped));
-  long_stream_end (stream);
+  long_stream_stop (stream);
 }
 
 const char test_suite_name[] = "hand-off";
 const struct TestCase test_cases[] = {
-  { "other programs are served", test_other_programs_are_served },
-  { "the end of the streaming program", test_the_end_of_the_streaming_program },
+  { "other programs are served during a hand-off", test_other_programs_served_during_handoff },
+  { "ending the streaming program", test_ending_the_streaming_program },
   { NULL, NULL },
 };
--- a/tests/sessions/test_hanging_tool.c
+++ b/tests/sessions/test_hanging_tool.c
@@ -1,4 +1,5 @@
-/* Promise: a hanging tool holds up only the program that called it. */
+/* Checks that a hanging tool delays only the programs that call it. Their open calls could use up
+ * what the instances or the tool's owner admit at once and so block engine calls, too. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -27,17 +28,17 @@
     {
       struct HttpReply *reply =
           http_get (NULL, cluster->instances[i].operator_address, "/operator/services");
-      bool there = strstr (reply->text, "hiring-agents") != NULL;
+      bool present = strstr (reply->text, "hiring-agents") != NULL;
 
       talloc_free (reply);
-      if (!there)
+      if (!present)
         return false;
     }
   return true;
 }
 
 static void
-change (struct Cluster *cluster, const char *kind, const char *name, const char *text)
+apply_change (struct Cluster *cluster, const char *kind, const char *name, const char *text)
 {
   char *body = talloc_asprintf (cluster,
                                 "{\"kind\":\"%s\",\"name\":\"%s\",\"text\":\"%s\","
@@ -52,25 +53,25 @@
     fprintf (stderr, "%s %s: %s\n", kind, name, reply->text);
 }
 
-/* Calls of service "hiring-agents" end after a second, its programs after five turns. */
+/* Sets a call timeout of 1 s and a limit of five turns for programs of service "hiring-agents". */
 static struct Cluster *
-start_with_short_timeout (void)
+start_with_short_limits (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
 
   CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
-  change (cluster, "profile", "short",
-          "[profile]\\nname = short\\ncall_timeout = 1s\\nturn_limit = 5\\n");
-  change (cluster, "service", "hiring-agents", "short");
+  apply_change (cluster, "profile", "short",
+                "[profile]\\nname = short\\ncall_timeout = 1s\\nturn_limit = 5\\n");
+  apply_change (cluster, "service", "hiring-agents", "short");
   CU_ASSERT_TRUE (wait_for (profile_is_everywhere, cluster));
   return cluster;
 }
 
 static void
-tool_hang (struct Cluster *cluster, bool hang)
+tool_set_hanging (struct Cluster *cluster, bool hanging)
 {
   CU_ASSERT_TRUE (
-      http_control (cluster->tools[0].address, hang ? "{\"hang\":true}" : "{\"hang\":false}"));
+      http_control (cluster->tools[0].address, hanging ? "{\"hang\":true}" : "{\"hang\":false}"));
 }
 
 static struct TestCall
@@ -87,18 +88,18 @@
   return call;
 }
 
-/* A wage is to be confirmed and the field desk hangs. The program is told that it may have run, the
- * same at every resend and for good, and goes on with its next call once the desk is back. */
+/* The tool hangs during a non-idempotent call. The program gets may_have_run, also for every resend
+ * and after the tool has recovered, and continues with its next call. */
 static void
-test_call_that_may_run_once (void)
+test_non_idempotent_call (void)
 {
-  struct Cluster *cluster = start_with_short_timeout ();
+  struct Cluster *cluster = start_with_short_limits ();
   struct TestCall call = wage_confirmation (cluster, "once");
   struct HttpReply *reply;
   uint64_t n_runs;
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "once"));
-  tool_hang (cluster, true);
+  tool_set_hanging (cluster, true);
   reply = call_send (cluster, &call);
   CU_ASSERT_STRING_EQUAL (reply_ran (reply), "may_have_run");
   call.first_attempt = false;
@@ -109,7 +110,7 @@
       CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "may_have_run");
       CU_ASSERT_STRING_EQUAL (reply_ran (reply), "may_have_run");
     }
-  tool_hang (cluster, false);
+  tool_set_hanging (cluster, false);
   call.sequence = 2;
   reply = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (reply->status, 200);
@@ -123,7 +124,7 @@
 }
 
 static struct HttpReply *
-send_roster (struct Cluster *cluster, uint32_t i)
+send_idempotent_call (struct Cluster *cluster, uint32_t i)
 {
   static const char *const headers[] = { "X-Target-Service: field-desk",
                                          "X-Target-Path: /rosters/read", "Idempotent: true", NULL };
@@ -133,43 +134,43 @@
                     "{\"roster\":7}");
 }
 
-/* A roster is only read, so the call may be sent again: while the desk hangs it is refused with the
- * time to come back, afterwards it is answered. */
+/* An idempotent call may be retried: while the tool hangs it is rejected with retry_after_ms,
+ * afterwards it is answered. */
 static void
-test_repeatable_call (void)
+test_idempotent_call (void)
 {
-  struct Cluster *cluster = start_with_short_timeout ();
-  int64_t limit_ms = monotonic_ms () + WAIT_LIMIT_MS;
+  struct Cluster *cluster = start_with_short_limits ();
+  int64_t deadline_ms = monotonic_ms () + WAIT_LIMIT_MS;
   struct HttpReply *reply;
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "repeatable"));
-  tool_hang (cluster, true);
-  reply = send_roster (cluster, 0);
+  tool_set_hanging (cluster, true);
+  reply = send_idempotent_call (cluster, 0);
   CU_ASSERT_NOT_EQUAL (reply->status, 200);
   CU_ASSERT_PTR_NOT_NULL (
       json_object_get (json_object_get (reply->json, "error"), "retry_after_ms"));
   CU_ASSERT_STRING_NOT_EQUAL (reply_error_kind (reply), "may_have_run");
-  tool_hang (cluster, false);
-  for (uint32_t i = 0; reply->status != 200 && monotonic_ms () < limit_ms; i++)
+  tool_set_hanging (cluster, false);
+  for (uint32_t i = 0; reply->status != 200 && monotonic_ms () < deadline_ms; i++)
     {
-      reply = send_roster (cluster, i);
+      reply = send_idempotent_call (cluster, i);
       sleep_ms (100);
     }
   CU_ASSERT_EQUAL (reply->status, 200);
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* More confirmations hang than the desk's owner admits at once. Reviews by the engines, through the
- * same instances, go on; when the desk is back, each confirmation runs once. */
+/* More calls hang than the tool's owner admits at once. Engine calls through the same instances are
+ * still served; when the tool recovers, each hanging call runs once. */
 static void
-test_nothing_else_is_blocked (void)
+test_other_calls_not_blocked (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct CallThread threads[N_HANGING];
   char names[N_HANGING][NAME_BYTES];
 
   CU_ASSERT_TRUE (cluster_wait_partitions_stable (cluster));
-  tool_hang (cluster, true);
+  tool_set_hanging (cluster, true);
   for (uint32_t i = 0; i < N_HANGING; i++)
     {
       struct TestCall call = wage_confirmation (cluster, names[i]);
@@ -188,8 +189,8 @@
       CU_ASSERT_TRUE (create_program (cluster, i % 3, name));
       CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
     }
-  CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 0); /* all of it while the desk hung */
-  tool_hang (cluster, false);
+  CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 0); /* the tool was still hanging */
+  tool_set_hanging (cluster, false);
   for (uint32_t i = 0; i < N_HANGING; i++)
     {
       call_thread_join (&threads[i]);
@@ -201,17 +202,17 @@
 }
 
 static bool
-nothing_is_held (void *data)
+memory_is_released (void *data)
 {
   return cluster_held_tokens (data, "looping") == 0;
 }
 
-/* A program asks the same again and again. Its turn limit ends it: the refused call did not run,
- * and the engine holds nothing for it any more. */
+/* A program repeats the same call in a loop. Its turn limit ends it: the refused call did not run,
+ * and the engine holds no memory for it any more. */
 static void
-test_looping_program_meets_its_turn_limit (void)
+test_turn_limit_ends_looping_program (void)
 {
-  struct Cluster *cluster = start_with_short_timeout ();
+  struct Cluster *cluster = start_with_short_limits ();
   struct TestCall call = { .program = "looping" };
   struct HttpReply *reply = NULL;
   uint32_t n_answers = 0;
@@ -231,15 +232,15 @@
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "looping"), TURN_LIMIT);
   reply = call_send_until_final (cluster, &call);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "ended");
-  CU_ASSERT_TRUE (wait_for (nothing_is_held, cluster));
+  CU_ASSERT_TRUE (wait_for (memory_is_released, cluster));
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
 const char test_suite_name[] = "hanging tool";
 const struct TestCase test_cases[] = {
-  { "call that may run once", test_call_that_may_run_once },
-  { "repeatable call", test_repeatable_call },
-  { "nothing else is blocked", test_nothing_else_is_blocked },
-  { "looping program meets its turn limit", test_looping_program_meets_its_turn_limit },
+  { "non-idempotent call", test_non_idempotent_call },
+  { "idempotent call", test_idempotent_call },
+  { "other calls are not blocked", test_other_calls_not_blocked },
+  { "turn limit ends a looping program", test_turn_limit_ends_looping_program },
   { NULL, NULL },
 };
--- a/tests/sessions/test_leaving_server.c
+++ b/tests/sessions/test_leaving_server.c
@@ -1,4 +1,6 @@
-/* Promise: a leaving backend server gets no new work after a few seconds. */
+/* Checks that a backend server that the platform lists as leaving gets no new calls after a few
+ * seconds. It still responds and has prefixes of running programs in its cache, so it would be
+ * chosen again. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -7,20 +9,20 @@
 
 enum
 {
-  BATCH = 8,
+  BATCH_SIZE = 8,
   BATCHES_AFTER = 4,
-  LEAVING = 1 /* the engine that leaves */
+  LEAVING = 1 /* index of the leaving engine */
 };
 
 static const struct ClusterOptions two_engines = {
   .n_instances = 3, .n_engines = 2, .n_tools = 1, .n_data_folders = 2
 };
 
-/* Programs go on from batch to batch: each makes one call in each. */
+/* A set of programs that make one call each per batch. */
 struct Load
 {
   struct Cluster *cluster;
-  char programs[BATCH][32];
+  char programs[BATCH_SIZE][32];
   uint64_t sequence;
 };
 
@@ -30,7 +32,7 @@
   struct Load *load = talloc_zero (cluster, struct Load);
 
   load->cluster = cluster;
-  for (uint32_t i = 0; i < BATCH; i++)
+  for (uint32_t i = 0; i < BATCH_SIZE; i++)
     {
       snprintf (load->programs[i], sizeof load->programs[i], "load-%u", i);
       CU_ASSERT_TRUE (create_program (cluster, i % 3, load->programs[i]));
@@ -41,10 +43,10 @@
 static void
 load_run_batch (struct Load *load)
 {
-  struct CallThread threads[BATCH];
+  struct CallThread threads[BATCH_SIZE];
 
   load->sequence++;
-  for (uint32_t i = 0; i < BATCH; i++)
+  for (uint32_t i = 0; i < BATCH_SIZE; i++)
     {
       struct TestCall call = { .address = load->cluster->instances[i % 3].address,
                                .program = load->programs[i],
@@ -54,7 +56,7 @@
       call.body = chat_body (load->cluster, "negotiation", load->programs[i], 30, false);
       call_thread_start (&threads[i], &call);
     }
-  for (uint32_t i = 0; i < BATCH; i++)
+  for (uint32_t i = 0; i < BATCH_SIZE; i++)
     {
       call_thread_join (&threads[i]);
       CU_ASSERT_EQUAL (threads[i].reply->status, 200);
@@ -62,9 +64,9 @@
     }
 }
 
-/* Several batches in a row went elsewhere. */
+/* Returns whether two consecutive batches ran on the other engine only. */
 static bool
-load_has_left (void *data)
+load_avoids_leaving_engine (void *data)
 {
   struct Load *load = data;
   size_t before = engine_log_size (load->cluster, LEAVING);
@@ -79,16 +81,16 @@
 {
   size_t before;
 
-  CU_ASSERT_TRUE (wait_for (load_has_left, load));
+  CU_ASSERT_TRUE (wait_for (load_avoids_leaving_engine, load));
   before = engine_log_size (load->cluster, LEAVING);
   for (uint32_t i = 0; i < BATCHES_AFTER; i++)
     load_run_batch (load);
   CU_ASSERT_EQUAL (engine_log_size (load->cluster, LEAVING), before);
 }
 
-/* Only the platform's lagging list says that an engine leaves; the engine itself goes on answering.
- * Prefixes of running programs are cached there, and still their next turns go elsewhere. A stream
- * that runs there at that moment is not cut. */
+/* Only the platform's list, which lags, reports that an engine is leaving; the engine itself still
+ * responds. The next turns of running programs are sent to the other engine although their prefixes
+ * are cached on the leaving one. A stream that runs there at that moment is not interrupted. */
 static void
 test_leaving_in_the_list_only (void)
 {
@@ -116,9 +118,9 @@
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* The same while the platform's key-value service is down; programs go on from turn to turn. */
+/* The same while the platform's key-value service is down; the programs' turns are still served. */
 static void
-test_leaving_while_the_service_is_down (void)
+test_leaving_during_outage (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &two_engines);
   struct Load *load = load_new (cluster);
@@ -133,6 +135,6 @@
 const char test_suite_name[] = "leaving server";
 const struct TestCase test_cases[] = {
   { "leaving in the list only", test_leaving_in_the_list_only },
-  { "leaving while the service is down", test_leaving_while_the_service_is_down },
+  { "leaving while the key-value service is down", test_leaving_during_outage },
   { NULL, NULL },
 };
