--- a/tests/sessions/test_long_outage.c
+++ b/tests/sessions/test_long_outage.c
@@ -1,6 +1,7 @@
-/* The platform's key-value service is down or hangs, for longer than the leases of the instances.
- * Promises: histories are not lost, the calls of a program go on in order, "not run" means that,
- * and a non-idempotent request runs at most once. */
+/* Checks outages of the platform's key-value service that last longer than the instances' leases.
+ * An instance could then treat itself or others as failed and move programs. No history may be
+ * lost, a program's calls continue in order, a call that got not_run has not run, and a
+ * non-idempotent request runs at most once. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -16,26 +17,26 @@
                                                        .n_engines = 1,
                                                        .n_tools = 1 };
 
-/* "INCARNATION INCARNATION ..." as the first instance sees the members. */
+/* Returns "INCARNATION INCARNATION ..." of the members in the first instance's table. */
 static char *
-incarnations (struct Cluster *cluster)
+member_incarnations (struct Cluster *cluster)
 {
   struct HttpReply *reply =
       http_get (cluster, cluster->instances[0].operator_address, "/operator/instances");
-  char *names = talloc_strdup (cluster, "");
+  char *list = talloc_strdup (cluster, "");
   json_t *instance;
   size_t i;
 
   json_array_foreach (json_object_get (reply->json, "instances"), i, instance)
   {
-    names = talloc_asprintf_append (names, "%s ",
-                                    json_string_value (json_object_get (instance, "incarnation")));
+    list = talloc_asprintf_append (list, "%s ",
+                                   json_string_value (json_object_get (instance, "incarnation")));
   }
   talloc_free (reply);
-  return names;
+  return list;
 }
 
-/* Every instance says of itself that the platform answers. */
+/* Returns whether each instance lists all its members with platform_up. */
 static bool
 platform_is_up_everywhere (void *data)
 {
@@ -80,10 +81,10 @@
   CU_ASSERT_TRUE (http_control (cluster->platform.address, json));
 }
 
-/* All leases run out while the service is down. When it is back no instance may look dead to
- * another or to itself: the programs stay where they are and go on. */
+/* All leases expire while the service is down or hangs. When it is back, no instance may treat
+ * itself or another as failed: the programs keep their homes and continue. */
 static void
-test_long_outage_moves_nothing (void)
+test_long_outage_moves_no_program (void)
 {
   static const char *const modes[] = { "refuse", "hang" };
 
@@ -97,15 +98,15 @@
       CU_ASSERT_TRUE (create_program (cluster, 0, "stays"));
       CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
       CU_ASSERT_TRUE (wait_for (platform_is_up_everywhere, cluster));
-      before = incarnations (cluster);
+      before = member_incarnations (cluster);
       home = cluster_home (cluster, "stays");
       platform_set_down (cluster, modes[i]);
       sleep_ms (3 * LEASE_MS);
-      CU_ASSERT_STRING_EQUAL (incarnations (cluster), before);
+      CU_ASSERT_STRING_EQUAL (member_incarnations (cluster), before);
       platform_set_down (cluster, NULL);
       CU_ASSERT_TRUE (wait_for (platform_is_up_everywhere, cluster));
-      sleep_ms (3 * LEASE_MS); /* whatever a lapsed lease would bring about has come about */
-      CU_ASSERT_STRING_EQUAL (incarnations (cluster), before);
+      sleep_ms (3 * LEASE_MS); /* long enough for any effect of an expired lease */
+      CU_ASSERT_STRING_EQUAL (member_incarnations (cluster), before);
       CU_ASSERT_EQUAL (cluster_home (cluster, "stays"), home);
       call = engine_call (cluster, "stays", 2);
       CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
@@ -113,11 +114,11 @@
     }
 }
 
-/* In an outage a wage confirmation can not be written down first, so it is refused at once: not
- * run. A model call, which may run twice, is answered in the end. After the outage the same
- * confirmation, sent again, runs once. */
+/* During an outage a non-idempotent call cannot be journaled before it is sent, so it is refused at
+ * once with not_run. An engine call, which may run twice, is answered eventually. After the outage
+ * the resent non-idempotent call runs once. */
 static void
-test_calls_in_an_outage (void)
+test_calls_during_outage (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct TestCall wage = { .address = cluster->instances[1].address,
@@ -134,7 +135,7 @@
   CU_ASSERT_TRUE (create_program (cluster, 0, "wage"));
   CU_ASSERT_TRUE (create_program (cluster, 0, "model"));
   platform_set_down (cluster, "hang");
-  sleep_ms (2 * LEASE_MS); /* the instances have seen it */
+  sleep_ms (2 * LEASE_MS); /* long enough for the instances to detect the outage */
   reply = call_send (cluster, &wage);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "platform_down");
   CU_ASSERT_STRING_EQUAL (reply_ran (reply), "not_run");
@@ -153,7 +154,7 @@
 
 const char test_suite_name[] = "outage of the platform";
 const struct TestCase test_cases[] = {
-  { "long outage moves nothing", test_long_outage_moves_nothing },
-  { "calls in an outage", test_calls_in_an_outage },
+  { "long outage moves no program", test_long_outage_moves_no_program },
+  { "calls during an outage", test_calls_during_outage },
   { NULL, NULL },
 };
--- a/tests/sessions/test_operators.c
+++ b/tests/sessions/test_operators.c
@@ -1,5 +1,6 @@
-/* What operators see and do: ctl before real instances, so that its screens and the daemon's
- * answers can not drift apart. */
+/* Runs ctl against real instances. Guards against differences between the fields that ctl reads and
+ * those that the daemon sends, and against wrong results for operators during outages and hand-offs
+ * of partitions. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -26,12 +27,12 @@
   char *out, *err;
 };
 
-/* ctl with the words of line, asking instance i. */
+/* Runs ctl against instance i with the arguments in line, separated by spaces. */
 static struct Ctl *
 ctl_run (struct Cluster *cluster, uint32_t i, const char *line)
 {
   struct Ctl *ctl = talloc_zero (cluster, struct Ctl);
-  char *words =
+  char *arguments =
       talloc_asprintf (ctl, "ctl --operator %s %s", cluster->instances[i].operator_address, line);
   char *argv[ARGUMENTS_MAX + 1];
   char *rest = NULL;
@@ -42,9 +43,9 @@
   struct CommandIo io = { open_memstream (&out, &out_bytes), open_memstream (&err, &err_bytes) };
   int argc = 0;
 
-  for (char *word = strtok_r (words, " ", &rest); word != NULL && argc < ARGUMENTS_MAX;
-       word = strtok_r (NULL, " ", &rest))
-    argv[argc++] = word;
+  for (char *argument = strtok_r (arguments, " ", &rest); argument != NULL && argc < ARGUMENTS_MAX;
+       argument = strtok_r (NULL, " ", &rest))
+    argv[argc++] = argument;
   argv[argc] = NULL;
   ctl->exit_code = command_ctl (argc, argv, &io);
   fclose (io.out);
@@ -66,7 +67,8 @@
   return exit_code;
 }
 
-/* The second line's cells: a "-" is a key that ctl asks for and the daemon does not send. */
+/* Returns whether no cell of the first row is "-", which ctl prints for a key that the daemon does
+ * not send. */
 static bool
 first_row_is_complete (struct Cluster *cluster, const char *line)
 {
@@ -84,7 +86,7 @@
         n_cells++;
       }
   if (!complete || n_cells == 0)
-    fprintf (stderr, "%s: %d cells, one is missing\n", line, n_cells);
+    fprintf (stderr, "%s: row of %d cells is empty or has a cell without a value\n", line, n_cells);
   talloc_free (ctl);
   return complete && n_cells > 0;
 }
@@ -102,7 +104,7 @@
 }
 
 static bool
-third_is_drained (void *data)
+third_instance_is_drained (void *data)
 {
   struct Cluster *cluster = data;
   struct Ctl *ctl = ctl_run (cluster, 0, "instances --json");
@@ -125,13 +127,14 @@
   return drained;
 }
 
-/* One shift: a profile is created, seen everywhere, edited from what was shown, raced; a service
- * runs under it; an instance is drained and taken back; the audit trail has it all. */
+/* An operator's usual work: a profile is created, in force everywhere, edited from the output of
+ * "profile show" and changed with an outdated revision; a service is set to it; an instance is
+ * drained and put back; the audit trail has all changes. */
 static void
-test_a_shift (void)
+test_operator_work (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
-  const char *shown;
+  const char *shown_file;
   struct Ctl *ctl;
 
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "profile apply " SOURCE_FOLDER "/examples/hiring.ini"),
@@ -141,10 +144,10 @@
                    EXIT_CODE_CONFLICT);
   ctl = ctl_run (cluster, 1, "profile show hiring");
   CU_ASSERT_EQUAL (ctl->exit_code, EXIT_CODE_OK);
-  shown = session_write_file (cluster->session, "shown.ini", ctl->out);
+  shown_file = session_write_file (cluster->session, "shown.ini", ctl->out);
   talloc_free (ctl);
   ctl = talloc_zero (cluster, struct Ctl);
-  ctl->out = talloc_asprintf (ctl, "profile apply %s", shown);
+  ctl->out = talloc_asprintf (ctl, "profile apply %s", shown_file);
   CU_ASSERT_EQUAL (ctl_exit (cluster, 1, ctl->out), EXIT_CODE_OK);
   CU_ASSERT_EQUAL (ctl_exit (cluster, 1, ctl->out), EXIT_CODE_CONFLICT);
   talloc_free (ctl);
@@ -155,7 +158,7 @@
   ctl = talloc_zero (cluster, struct Ctl);
   ctl->out = talloc_asprintf (ctl, "drain %s", cluster->instances[2].name);
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, ctl->out), EXIT_CODE_OK);
-  CU_ASSERT_TRUE (wait_for (third_is_drained, cluster));
+  CU_ASSERT_TRUE (wait_for (third_instance_is_drained, cluster));
   ctl->out = talloc_asprintf (ctl, "drain %s --off", cluster->instances[2].name);
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, ctl->out), EXIT_CODE_OK);
   talloc_free (ctl);
@@ -165,9 +168,9 @@
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* Each table's columns are fields that the daemon sends. */
+/* Each column of a table is a field that the daemon sends. */
 static void
-test_tables_have_no_gaps (void)
+test_tables_have_all_columns (void)
 {
   static const char *const tables[] = {
     "instances", "backends", "programs", "profile list", "service list", "audit --kind service",
@@ -189,11 +192,11 @@
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* A shift lists programs while an instance leaves as planned and joins again, and its partitions
- * are handed over and back. Between the moment in which one instance loses a partition and the
- * other gains it, neither listed its programs: some were missing, as if they did not exist. */
+/* An operator lists programs while an instance is stopped and started again, and its partitions are
+ * handed over and back. The fault: between the moments at which one instance loses a partition and
+ * another gains it, neither listed its programs, and they were missing without any sign of it. */
 static void
-test_a_listing_misses_nothing_while_partitions_move (void)
+test_program_list_complete_during_handoff (void)
 {
   enum
   {
@@ -201,8 +204,8 @@
     N_MOVES = 3
   };
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
-  const struct ClusterNode *moved = &cluster->instances[2];
-  uint32_t n_listed = 0, n_with_gaps = 0;
+  const struct ClusterNode *restarted = &cluster->instances[2];
+  uint32_t n_listed = 0, n_incomplete = 0;
 
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "profile apply " SOURCE_FOLDER "/examples/menu.ini"),
                    EXIT_CODE_OK);
@@ -218,13 +221,13 @@
     }
   for (uint32_t i = 0; i < 2 * N_MOVES; i++)
     {
-      int64_t until_ms = monotonic_ms () + 2500;
+      int64_t end_ms = monotonic_ms () + 2500;
 
       if (i % 2 == 0)
-        process_signal (moved->process, SIGTERM);
+        process_signal (restarted->process, SIGTERM);
       else
         CU_ASSERT_TRUE (cluster_start_instance (cluster, 2));
-      while (monotonic_ms () < until_ms || (i % 2 == 0 && process_is_alive (moved->process)))
+      while (monotonic_ms () < end_ms || (i % 2 == 0 && process_is_alive (restarted->process)))
         {
           struct HttpReply *reply =
               http_get (NULL, cluster->instances[0].operator_address, "/operator/programs");
@@ -234,13 +237,13 @@
               && json_integer_value (json_object_get (body, "partitions_missing")) == 0)
             {
               n_listed++;
-              n_with_gaps += json_array_size (json_object_get (body, "programs")) != N_PROGRAMS;
+              n_incomplete += json_array_size (json_object_get (body, "programs")) != N_PROGRAMS;
             }
           talloc_free (reply);
         }
     }
   CU_ASSERT (n_listed > 0);
-  CU_ASSERT_EQUAL (n_with_gaps, 0);
+  CU_ASSERT_EQUAL (n_incomplete, 0);
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
@@ -262,7 +265,7 @@
 }
 
 static bool
-platform_is_seen_down (void *data)
+status_shows_platform_down (void *data)
 {
   struct Ctl *ctl = ctl_run (data, 0, "status");
   bool down = strstr (ctl->out, "up for 0 of 3 instances") != NULL
@@ -273,28 +276,28 @@
 }
 
 static bool
-profile_is_taken (void *data)
+profile_is_accepted (void *data)
 {
   return ctl_exit (data, 0, "profile apply " SOURCE_FOLDER "/examples/hiring.ini") == EXIT_CODE_OK;
 }
 
-/* The platform is down when an operator changes a profile: refused and not applied, now or later.
- * The status says why. The answer to a change that is made when it is back gets lost: applied once.
- */
+/* The platform is down when an operator changes a profile: the change is refused and never applied,
+ * and the status reports the outage. After it, the response to a change is lost; the change is
+ * applied once. */
 static void
-test_changes_meet_an_outage (void)
+test_changes_during_outage (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct Ctl *ctl;
 
-  /* An instance that has not joined yet is in nobody's status. */
+  /* An instance that has not joined yet is missing in every instance's status. */
   CU_ASSERT_TRUE (wait_for (all_have_joined, cluster));
   CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
-  CU_ASSERT_TRUE (wait_for (platform_is_seen_down, cluster));
+  CU_ASSERT_TRUE (wait_for (status_shows_platform_down, cluster));
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "profile apply " SOURCE_FOLDER "/examples/menu.ini"),
                    EXIT_CODE_FAILED);
   CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":null}"));
-  CU_ASSERT_TRUE (wait_for (profile_is_taken, cluster));
+  CU_ASSERT_TRUE (wait_for (profile_is_accepted, cluster));
   CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"lose_answers\":2}"));
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "service set hiring-agents --profile hiring --settle 30s"),
                    EXIT_CODE_OK);
@@ -307,10 +310,9 @@
 
 const char test_suite_name[] = "operators";
 const struct TestCase test_cases[] = {
-  { "a shift", test_a_shift },
-  { "tables have no gaps", test_tables_have_no_gaps },
-  { "a listing misses nothing while partitions move",
-    test_a_listing_misses_nothing_while_partitions_move },
-  { "changes meet an outage", test_changes_meet_an_outage },
+  { "operator's usual work", test_operator_work },
+  { "tables have all columns", test_tables_have_all_columns },
+  { "program list is complete while partitions move", test_program_list_complete_during_handoff },
+  { "changes during an outage", test_changes_during_outage },
   { NULL, NULL },
 };
--- a/tests/sessions/test_order.c
+++ b/tests/sessions/test_order.c
@@ -1,5 +1,6 @@
-/* Promises: the calls of one negotiation happen in the order the program made them; its history is
- * never lost or mixed; the caller gets the whole answer to its own request. */
+/* Checks that a program's calls run in the order in which it made them, that its history is neither
+ * lost nor mixed with another, and that the caller gets the complete answers to its own requests,
+ * also when the home is killed or calls arrive out of order. */
 #include "calls.h"
 #include "test_main.h"
 
@@ -11,9 +12,9 @@
                                                        .n_engines = 2,
                                                        .n_tools = 1 };
 
-/* Four turns; %s is the program, %u the length of the third answer, %u the pause before the last.
- */
-static const char negotiation[] =
+/* Script with four turns. Arguments: program, the third answer's minimum and maximum of tokens,
+ * pause before the last turn in ms. */
+static const char negotiation_script[] =
     "{\"steps\":["
     "{\"create\":{\"service\":\"hiring-agents\",\"program\":\"%s\"}},"
     "{\"call\":{\"model\":\"negotiation\",\"user\":\"Offer 380.\",\"max_tokens\":30}},"
@@ -29,14 +30,14 @@
 run_negotiation (struct Cluster *cluster, const char *program, uint32_t n_tokens, uint32_t pause_ms)
 {
   const char *script =
-      talloc_asprintf (cluster, negotiation, program, n_tokens, n_tokens, pause_ms);
+      talloc_asprintf (cluster, negotiation_script, program, n_tokens, n_tokens, pause_ms);
 
   return cluster_run_caller (cluster, program, script);
 }
 
-/* The answers and the history's order, free of names: what must not depend on any failure. */
+/* Returns the answers and the order of the history without names. A failure must not change it. */
 static char *
-view_of (TALLOC_CTX *ctx, const struct Process *caller)
+caller_view (TALLOC_CTX *ctx, const struct Process *caller)
 {
   json_t *lines = caller_lines (caller);
   char *view = talloc_strdup (ctx, "");
@@ -62,15 +63,15 @@
 }
 
 static void
-assert_same_view (struct Cluster *cluster, struct Process *caller, struct Process *undisturbed)
+assert_equal_views (struct Cluster *cluster, struct Process *caller, struct Process *undisturbed)
 {
-  char *seen = view_of (cluster, caller);
-  char *wanted = view_of (cluster, undisturbed);
+  char *actual = caller_view (cluster, caller);
+  char *wanted = caller_view (cluster, undisturbed);
 
-  CU_ASSERT_STRING_EQUAL (seen, wanted);
-  CU_ASSERT_PTR_NOT_NULL (strstr (seen, "main 1\nmain 2\nmain 3\nmain 4\n"));
-  if (strstr (seen, "main 1\nmain 2\nmain 3\nmain 4\n") == NULL)
-    fprintf (stderr, "seen:\n%s\nundisturbed:\n%s\n", seen, wanted);
+  CU_ASSERT_STRING_EQUAL (actual, wanted);
+  CU_ASSERT_PTR_NOT_NULL (strstr (actual, "main 1\nmain 2\nmain 3\nmain 4\n"));
+  if (strstr (actual, "main 1\nmain 2\nmain 3\nmain 4\n") == NULL)
+    fprintf (stderr, "actual:\n%s\nwithout failure:\n%s\n", actual, wanted);
 }
 
 struct LinesWanted
@@ -80,7 +81,7 @@
 };
 
 static bool
-lines_reached (void *data)
+caller_has_lines (void *data)
 {
   const struct LinesWanted *wanted = data;
   json_t *lines = caller_lines (wanted->caller);
@@ -100,8 +101,8 @@
   return caller;
 }
 
-/* A manager's negotiation stands half done: its home dies during a tool pause, after the third
- * answer. The next call goes to another instance, which takes the program over with its history. */
+/* The home is killed during a pause after the third answer. The next call is sent to another
+ * instance, which takes over the program with its history. */
 static void
 test_home_killed_between_turns (void)
 {
@@ -111,20 +112,20 @@
   struct LinesWanted three_turns = { caller, 4 };
   int32_t home;
 
-  CU_ASSERT_TRUE (wait_for (lines_reached, &three_turns));
+  CU_ASSERT_TRUE (wait_for (caller_has_lines, &three_turns));
   home = cluster_home (cluster, "between");
   CU_ASSERT_TRUE_FATAL (home >= 0);
   process_kill (cluster->instances[home].process);
   CU_ASSERT_TRUE (process_wait (caller));
   CU_ASSERT_EQUAL (caller->exit_status, 0);
-  assert_same_view (cluster, caller, undisturbed);
+  assert_equal_views (cluster, caller, undisturbed);
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* The home dies while the third answer is half streamed. The caller sends the same sequence number
- * to another instance and gets one whole answer; the turn is in the history once. */
+/* The home is killed while it streams the third answer. The caller resends the same sequence number
+ * to another instance and gets one complete answer; the turn is in the history once. */
 static void
-test_home_killed_in_mid_stream (void)
+test_home_killed_during_stream (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct Process *undisturbed = run_undisturbed (cluster, 400);
@@ -137,14 +138,14 @@
   process_kill (cluster->instances[home].process);
   CU_ASSERT_TRUE (process_wait (caller));
   CU_ASSERT_EQUAL (caller->exit_status, 0);
-  assert_same_view (cluster, caller, undisturbed);
+  assert_equal_views (cluster, caller, undisturbed);
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
 
-/* Two calls of one program overtake each other on the way: the second arrives first, elsewhere. It
- * is refused, not run, with the number expected, and takes its place once the first is done. */
+/* The second call of a program arrives before the first, at another instance. It is refused with
+ * not_run and the expected sequence number, and accepted when the first call is done. */
 static void
-test_calls_arriving_crossed (void)
+test_calls_arriving_out_of_order (void)
 {
   struct Cluster *cluster = cluster_start (NULL, &three_instances);
   struct TestCall first = { .address = cluster->instances[0].address,
@@ -172,7 +173,7 @@
   other = call_send_until_final (cluster, &second);
   CU_ASSERT_STRING_EQUAL (reply->text, other->text);
   CU_ASSERT_EQUAL (cluster_engine_runs (cluster, "crossed"), 2);
-  /* The same number with another body is not the same call. */
+  /* The same sequence number with a different body is a different call. */
   second.body = chat_body (cluster, "negotiation", "third", 8, false);
   reply = call_send_until_final (cluster, &second);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "unknown_call");
@@ -182,7 +183,7 @@
 const char test_suite_name[] = "order and history";
 const struct TestCase test_cases[] = {
   { "home killed between turns", test_home_killed_between_turns },
-  { "home killed in mid-stream", test_home_killed_in_mid_stream },
-  { "calls arriving crossed", test_calls_arriving_crossed },
+  { "home killed during a stream", test_home_killed_during_stream },
+  { "calls arriving out of order", test_calls_arriving_out_of_order },
   { NULL, NULL },
 };
