--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -1086,12 +1086,12 @@
 frame_pack (
     TALLOC_CTX *ctx, const uint8_t *record, size_t n_record, uint8_t **bytes, size_t *n_bytes)
 {
-  *n_bytes = FRAME_HEAD_BYTES + n_record;
+  *n_bytes = FRAME_HEADER_BYTES + n_record;
   *bytes = talloc_zero_array (ctx, uint8_t, *n_bytes);
   if (*bytes == NULL)
     return ERROR_NO_MEMORY;
-  disk_frame_head (*bytes, record, n_record);
-  memcpy (*bytes + FRAME_HEAD_BYTES, record, n_record);
+  disk_frame_write_header (*bytes, record, n_record);
+  memcpy (*bytes + FRAME_HEADER_BYTES, record, n_record);
   return ERROR_NONE;
 }
 
@@ -1101,7 +1101,7 @@
 {
   int64_t length = disk_frame_check (stored, n_stored);
 
-  return length > 0 ? frame_pack (ctx, stored + FRAME_HEAD_BYTES, (size_t)length, bytes, n_bytes)
+  return length > 0 ? frame_pack (ctx, stored + FRAME_HEADER_BYTES, (size_t)length, bytes, n_bytes)
                     : ERROR_INVALID;
 }
 
@@ -1190,7 +1190,7 @@
 
   make_spool_folder ();
   fd = open (spool_path, O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
-  CU_ASSERT (fd >= 0 && disk_file_put (fd, stored, n_stored));
+  CU_ASSERT (fd >= 0 && disk_file_write (fd, stored, n_stored));
   if (fd >= 0)
     close (fd);
   error = spool_open (ctx, spool_folder, &spool, &fault);
