--- a/gateway/archive_member.c
+++ b/gateway/archive_member.c
@@ -94,8 +94,9 @@
   member->write_pending = false;
   member->retry_ms = member_now_ms (member) + (error == ERROR_NONE ? 0 : RETRY_MS);
   if (error != ERROR_NONE)
-    log_event (LOG_LEVEL_WARNING, "archive_set_not_written", NULL, "nothing: it is retried",
-               "cannot write the set of archives: %s", error_name (error));
+    log_event (LOG_LEVEL_WARNING, "archive_set_not_written", NULL,
+               "no action needed: it is retried", "cannot write the set of archives: %s",
+               error_name (error));
 }
 
 static void
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -319,9 +319,10 @@
                      &text_bytes)
       != ERROR_NONE)
     {
-      log_event (
-          LOG_LEVEL_ERROR, "configuration_unreadable", NULL, "bring the processes to one version",
-          "%zu bytes of compressed configuration do not inflate", snapshot->items[0].value_bytes);
+      log_event (LOG_LEVEL_ERROR, "configuration_unreadable", NULL,
+                 "run the same version on all instances",
+                 "%zu bytes of compressed configuration do not inflate",
+                 snapshot->items[0].value_bytes);
       return;
     }
   error = front->node->dialect->read_routes (front, text, text_bytes, &table, &fault);
@@ -376,7 +377,7 @@
         n++;
       else
         log_event (LOG_LEVEL_ERROR, "server_entry_unreadable", NULL,
-                   "bring the processes to one version", "%s", item->key);
+                   "run the same version on all instances", "%s", item->key);
     }
   n_changed = replica_set_apply (front->replicas, entries, n, after_gap,
                                  timer_now_ms (front->node->timers));
--- a/gateway/node_directory.c
+++ b/gateway/node_directory.c
@@ -24,8 +24,8 @@
   if (archive_set_decode (item->value, item->value_bytes, &set) == ERROR_NONE)
     node_take_set (node, &set);
   else
-    log_event (LOG_LEVEL_ERROR, "archive_set_malformed", NULL, "bring the processes to one version",
-               "%s", item->key);
+    log_event (LOG_LEVEL_ERROR, "archive_set_malformed", NULL,
+               "run the same version on all instances", "%s", item->key);
 }
 
 /* Returns false if the entry is not the entry of a process. */
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -277,7 +277,7 @@
       != ERROR_NONE)
     {
       log_event (LOG_LEVEL_ERROR, "peer_message_malformed", NULL,
-                 "bring the processes to one version", "from %s", sender);
+                 "run the same version on all instances", "from %s", sender);
       return;
     }
   message_count_add (MESSAGE_RECEIVED, message->kind, envelope->gateway.n_bytes);
--- a/gateway/store_reader.c
+++ b/gateway/store_reader.c
@@ -57,7 +57,7 @@
     log_event (LOG_LEVEL_NOTICE, "store_reached", NULL, NULL, NULL);
   else
     log_event (LOG_LEVEL_WARNING, "store_lost", NULL,
-               "nothing: the cached state is used, and peers may reach the store",
+               "no action needed: the cached state is used, and peers may reach the store",
                "cannot reach the platform's store: %s", error_name (error));
 }
 
