--- a/gateway/node.c
+++ b/gateway/node.c
@@ -58,9 +58,9 @@
     case ARCHIVE_STAGE_STABLE:
       return "";
     case ARCHIVE_STAGE_STARTING:
-      return ", a change starts";
+      return ", change starting";
     case ARCHIVE_STAGE_ENDING:
-      return ", a change ends";
+      return ", change ending";
     }
   return "";
 }
--- a/tests/sessions/test_gateway_archives.c
+++ b/tests/sessions/test_gateway_archives.c
@@ -162,7 +162,7 @@
   process_kill (fleet->archives[0].process);
   archive_start (fleet, 3, false);
   CU_ASSERT_TRUE (
-      process_wait_output (fleet->archives[3].process, "generation 4, 3 members, a change starts"));
+      process_wait_output (fleet->archives[3].process, "generation 4, 3 members, change starting"));
   process_kill (fleet->archives[3].process);
   archive_start (fleet, 4, false);
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "generation 7, 3 members"));
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -222,8 +222,8 @@
   installation_put (fleet->installation, "servers/torn", "{\"service\":\"desk\",\"addr");
   installation_put (fleet->installation, "servers/odd",
                     "{\"service\":\"desk\",\"address\":\"127.0.0.1:9\",\"slots\":\"many\"}");
-  CU_ASSERT_TRUE (fleet_wait_output (fleet, "servers/torn is no JSON object"));
-  CU_ASSERT_TRUE (fleet_wait_output (fleet, "servers/odd names no availability zone"));
+  CU_ASSERT_TRUE (fleet_wait_output (fleet, "servers/torn is not a JSON object"));
+  CU_ASSERT_TRUE (fleet_wait_output (fleet, "servers/odd has no valid availability zone"));
   for (int i = 0; i < 20; i++)
     CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "beside")->status, 200);
   server_restart (fleet->installation, ENGINE);
