--- a/core/scheduling/replica_set.c
+++ b/core/scheduling/replica_set.c
@@ -335,8 +335,7 @@
   uint64_t slots = replica->entry.slots > 0 ? replica->entry.slots : 1;
   uint64_t cost_us = uncached_tokens (replica, query) * 1000 / PREFILL_TOKENS_PER_MS;
 
-  /* Reading uncached tokens delays each running request by the same time, of which half is counted.
-   * Measured in the largest load test of the deployments. */
+  /* Reading uncached tokens delays each running request by the same time; half of it is counted. */
   cost_us += cost_us * (running < slots ? running : slots) / 2;
   cost_us += running * COST_RUNNING_US * 8 / slots;
   if (running >= slots)
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -530,9 +530,7 @@
 /* Sends the gateways of the zone, which prefer its engines, digests of busy engines four times as
  * often as of all engines: at 14 to 25 turns per second and engine, half a second is half of its
  * queue. Idle engines are left out of the frequent digests, since every gateway would send to an
- * engine as soon as it is reported idle. Scores in days of load on the two largest
- * deployments: 0.672 and 0.800 with digests every 500 ms; 0.711 and 0.851 with all engines every
- * 120 ms; 0.859 to 0.885 and 0.874 with busy engines every 120 ms (one or two runs each). */
+ * engine as soon as it is reported idle. */
 static void
 front_on_digest_tick (void *data)
 {
--- a/include/buckthornhead/scheduling/address_choice.h
+++ b/include/buckthornhead/scheduling/address_choice.h
@@ -20,8 +20,8 @@
   /* Gateways of the caller's zone below which other zones are listed too: one more than the number
    * that may fail at the same time. */
   ZONE_ADDRESSES_MIN = 2,
-  /* A list with a smaller share of the zone's gateways is too short. In all load tests half of a
-   * zone's gateways could carry the zone's load; fewer could not. */
+  /* A list with a smaller share of the zone's gateways is too short: half of a zone's gateways
+   * can carry the zone's load, fewer can not. */
   THIN_PERCENT = 50
 };
 
