--- a/core/counter.c
+++ b/core/counter.c
@@ -33,10 +33,10 @@
 
 static const struct CounterInfo counter_infos[N_COUNTERS] = {
   [COUNTER_CALLS_ACCEPTED] = COUNTS ("calls_accepted", "Calls that a home accepted"),
-  [COUNTER_CALLS_REFUSED] = COUNTS ("calls_refused", "Calls refused, all of them not run"),
+  [COUNTER_CALLS_REFUSED] = COUNTS ("calls_refused", "Calls refused without having run"),
   [COUNTER_CALLS_ENDED] = COUNTS ("calls_ended", "Calls whose outcome is in the journal"),
   [COUNTER_CALLS_JOINED] = COUNTS ("calls_joined", "Resends that joined the call in flight"),
-  [COUNTER_CALLS_STORED] = COUNTS ("calls_stored", "Resends answered from the stored answer"),
+  [COUNTER_CALLS_STORED] = COUNTS ("calls_stored", "Resends served from the stored response"),
   [COUNTER_CALLS_FORWARDED] =
       COUNTS ("calls_forwarded", "Calls forwarded to another instance as the home"),
   [COUNTER_CALLS_RETRIED] = COUNTS ("calls_retried", "Calls sent to a backend server again"),
@@ -48,18 +48,18 @@
       COUNTS ("programs_over_budget", "Programs ended because their budget was used up"),
   [COUNTER_PROGRAMS_LATE] = COUNTS ("programs_late", "Programs ended by their deadline"),
   [COUNTER_PROGRAMS_CANCELLED] =
-      COUNTS ("programs_cancelled", "Programs cancelled or left by their callers"),
+      COUNTS ("programs_cancelled", "Programs cancelled or abandoned by their callers"),
   [COUNTER_PROGRAM_MS] =
       COUNTS ("program_milliseconds", "Sum of the latency of ended programs, in milliseconds"),
   [COUNTER_PREFIX_TOKENS] = COUNTS ("prefix_tokens", "Prompt tokens of ended calls"),
   [COUNTER_PREFIX_CACHED] =
       COUNTS ("prefix_cached_tokens", "Prompt tokens that the engines found in their cache"),
   [COUNTER_KV_READS] = COUNTS ("kv_reads", "Reads and watches sent to the key-value service"),
-  [COUNTER_KV_LISTS] = COUNTS ("kv_lists", "Of the reads, pages of lists"),
-  [COUNTER_KV_WATCHES] = COUNTS ("kv_watches", "Of the reads, calls that wait for changes"),
+  [COUNTER_KV_LISTS] = COUNTS ("kv_lists", "Reads of list pages, included in kv_reads"),
+  [COUNTER_KV_WATCHES] = COUNTS ("kv_watches", "Watches, included in kv_reads"),
   [COUNTER_KV_WRITES] = COUNTS ("kv_writes", "Writes sent to the key-value service"),
   [COUNTER_KV_FAILURES] =
-      COUNTS ("kv_failures", "Requests to the key-value service without a usable answer"),
+      COUNTS ("kv_failures", "Requests to the key-value service without a usable response"),
   [COUNTER_JOURNAL_SLOTS] = COUNTS ("journal_slots", "Journal slots written"),
   [COUNTER_JOURNAL_RECORDS] = COUNTS ("journal_records", "Journal records written"),
   [COUNTER_JOURNAL_FENCED] =
@@ -67,42 +67,51 @@
   [COUNTER_TAKEOVERS] = COUNTS ("takeovers", "Partitions taken over from a silent instance"),
   [COUNTER_HANDOFFS] = COUNTS ("handoffs", "Partitions handed off as planned"),
   [COUNTER_RELEASES] =
-      COUNTS ("releases", "Engine memory of ended programs acknowledged as released"),
-  [COUNTER_QUARANTINED] = COUNTS ("quarantined", "Requests quarantined"),
-  [COUNTER_CONFIG_APPLIED] = COUNTS ("config_applied", "Configuration changes applied here"),
+      COUNTS ("releases", "Releases of ended programs' engine memory that were acknowledged"),
+  [COUNTER_QUARANTINED] =
+      COUNTS ("quarantined", "Requests quarantined after crashing two backend servers"),
+  [COUNTER_CONFIG_APPLIED] =
+      COUNTS ("config_applied", "Configuration changes applied by this instance"),
   [COUNTER_CONFIG_CONFLICTS] =
-      COUNTS ("config_conflicts", "Configuration changes refused since another came first"),
+      COUNTS ("config_conflicts", "Configuration changes refused due to a conflict"),
   [COUNTER_PEER_MESSAGES] = COUNTS ("peer_messages", "Messages sent to other instances"),
   [COUNTER_PEER_BYTES] = COUNTS ("peer_bytes", "Bytes sent to other instances"),
   [COUNTER_REQUESTS_ANSWERED] =
       COUNTS ("requests_answered", "Requests whose caller got a backend server's whole answer"),
   [COUNTER_REQUESTS_OVER_LIMIT] =
-      COUNTS ("requests_over_limit", "Requests sent back as over their customer's limit"),
+      COUNTS ("requests_over_limit",
+              "Requests rejected with Retry-After because their customer's limit was reached"),
   [COUNTER_REQUESTS_REFUSED] =
-      COUNTS ("requests_refused", "Requests sent back as not run, to come again"),
+      COUNTS ("requests_refused", "Requests rejected with Retry-After without having run"),
   [COUNTER_REQUESTS_REJECTED] =
-      COUNTS ("requests_rejected", "Requests that the configuration, a budget or a form forbids"),
+      COUNTS ("requests_rejected", "Requests rejected by configuration or budget, or as malformed"),
   [COUNTER_REQUESTS_BROKEN] =
       COUNTS ("requests_broken", "Requests that may have run and got no whole answer"),
-  [COUNTER_REQUESTS_LEFT] = COUNTS ("requests_left", "Requests whose caller left first"),
+  [COUNTER_REQUESTS_LEFT] =
+      COUNTS ("requests_left", "Requests whose caller disconnected before the response"),
   [COUNTER_REQUESTS_SENT_AGAIN] =
-      COUNTS ("requests_sent_again", "Further servers that a request was offered to"),
+      COUNTS ("requests_sent_again", "Attempts of requests at another server after the first"),
   [COUNTER_ENTRIES_UNREADABLE] =
-      COUNTS ("entries_unreadable", "Entries of servers, by content, that could not be read"),
+      COUNTS ("entries_unreadable", "Distinct malformed entries of backend servers"),
   [COUNTER_STREAMS_RESUMED] =
-      COUNTS ("streams_resumed", "Streams that broke off and went on at another server"),
-  [COUNTER_TURNS_STORED] = COUNTS ("turns_stored", "Turns that enough archives have stored"),
+      COUNTS ("streams_resumed", "Interrupted streams that were resumed at another server"),
+  [COUNTER_TURNS_STORED] = COUNTS ("turns_stored", "Turns stored by enough archives"),
   [COUNTER_ARCHIVE_RECORDS] =
       COUNTS ("archive_records", "Records that this archive wrote to its disk"),
   [COUNTER_ARCHIVE_SYNCS] = COUNTS ("archive_syncs", "Batches of records that this archive synced"),
-  [GAUGE_CONFIG_REVISION] = GAUGES ("config_revision", "Configuration revision in force here"),
-  [GAUGE_PARTITIONS_OWNED] = GAUGES ("partitions_owned", "Partitions whose home is here"),
-  [GAUGE_PROGRAMS] = GAUGES ("programs", "Living programs whose home is here"),
-  [GAUGE_CALLS_WAITING] = GAUGES ("calls_waiting", "Calls waiting at the owner for a server"),
-  [GAUGE_CALLS_IN_FLIGHT] = GAUGES ("calls_in_flight", "Calls at a backend server now"),
-  [GAUGE_DRAINING] = GAUGES ("draining", "1 while this instance drains"),
-  [GAUGE_LOOP_LAG_MS] = GAUGES ("loop_lag_ms", "How long events wait for the processor, smoothed"),
-  [GAUGE_PLATFORM_UP] = GAUGES ("platform_up", "1 while the key-value service answers"),
+  [GAUGE_CONFIG_REVISION] =
+      GAUGES ("config_revision", "Configuration revision in force on this instance"),
+  [GAUGE_PARTITIONS_OWNED] = GAUGES ("partitions_owned", "Partitions whose home is this instance"),
+  [GAUGE_PROGRAMS] = GAUGES ("programs", "Live programs whose home is this instance"),
+  [GAUGE_CALLS_WAITING] =
+      GAUGES ("calls_waiting", "Calls waiting for a backend server that this instance owns"),
+  [GAUGE_CALLS_IN_FLIGHT] =
+      GAUGES ("calls_in_flight", "Calls in flight to backend servers that this instance owns"),
+  [GAUGE_DRAINING] = GAUGES ("draining", "1 while this instance is draining"),
+  [GAUGE_LOOP_LAG_MS] =
+      GAUGES ("loop_lag_ms",
+              "Moving average of the time that events wait for the processor, in milliseconds"),
+  [GAUGE_PLATFORM_UP] = GAUGES ("platform_up", "1 while the key-value service responds"),
 };
 
 /* Each counter has its own cache line, so that threads that add to different counters do not slow
--- a/core/histogram.c
+++ b/core/histogram.c
@@ -28,24 +28,25 @@
 
 static const struct HistogramInfo histogram_infos[N_HISTOGRAMS] = {
   [HISTOGRAM_ANSWER_REPEATABLE] =
-      MILLISECONDS ("answer_repeatable", "Repeatable requests, until their answer is handed out"),
+      MILLISECONDS ("answer_repeatable", "Time from a repeatable request to its response"),
   [HISTOGRAM_ANSWER_ONCE] =
-      MILLISECONDS ("answer_once", "Requests that run once, until their answer is handed out"),
+      MILLISECONDS ("answer_once", "Time from an at-most-once request to its response"),
   [HISTOGRAM_FIRST_EVENT] =
-      MILLISECONDS ("first_event", "Streams, until their first bytes are handed out"),
+      MILLISECONDS ("first_event", "Time from a request to the first bytes of its stream"),
   [HISTOGRAM_ANSWER_STREAM] =
-      MILLISECONDS ("answer_stream", "Streams, until their end is handed out"),
-  [HISTOGRAM_REFUSAL] = MILLISECONDS ("refusal", "Requests until they are sent back or given up"),
+      MILLISECONDS ("answer_stream", "Time from a request to the end of its stream"),
+  [HISTOGRAM_REFUSAL] =
+      MILLISECONDS ("refusal", "Time from a request to its rejection or abandonment"),
   [HISTOGRAM_TURN_OPEN] =
-      MILLISECONDS ("turn_open", "Reserving a turn and fetching its history from the archives"),
+      MILLISECONDS ("turn_open", "Time to reserve a turn and fetch its history from the archives"),
   [HISTOGRAM_SLOT_WAIT] =
-      MILLISECONDS ("slot_wait", "Waiting for the owner of an engine to let a turn be sent"),
-  [HISTOGRAM_TURN_STORE] = MILLISECONDS ("turn_store", "Storing a turn on the archives"),
+      MILLISECONDS ("slot_wait", "Time until the owner of an engine grants a turn a slot"),
+  [HISTOGRAM_TURN_STORE] = MILLISECONDS ("turn_store", "Time to store a turn on the archives"),
   [HISTOGRAM_SERVER_HEAD] =
-      MILLISECONDS ("server_head", "Answers of backend servers, up to their headers"),
-  [HISTOGRAM_DISK_SYNC] = MILLISECONDS ("disk_sync", "Writing and syncing one batch of records"),
+      MILLISECONDS ("server_head", "Time to the headers of a backend server's response"),
+  [HISTOGRAM_DISK_SYNC] = MILLISECONDS ("disk_sync", "Time to write and sync one batch of records"),
   [HISTOGRAM_STORE_CALL] =
-      MILLISECONDS ("store_call", "Calls to the platform's store, waiting ones left out"),
+      MILLISECONDS ("store_call", "Duration of calls to the platform's store, except watches"),
 };
 
 struct HistogramCells
