--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# A newcomer needs two commands: `make demo` and `make check`.
+# Main targets: `make demo` runs a demonstration, `make check` all checks.
 BUILD ?= build
 PACKAGES = meson ninja-build pkg-config gcc clang clang-format clang-tidy libclang-rt-14-dev \
   libtalloc-dev libtevent-dev libmsgpack-dev libmicrohttpd-dev libhttp-parser-dev libcurl4-openssl-dev \
