--- a/bench/engine_model.c
+++ b/bench/engine_model.c
@@ -5,17 +5,17 @@
 
 enum
 {
-  ENGINE_BATCH_ROOM = 256,
+  ENGINE_BATCH_LIMIT = 256,
   PREFIX_BUCKETS = 4096
 };
 
 struct Prefix
 {
-  uint64_t name;
+  uint64_t id;
   uint32_t tokens;
   uint32_t n_running;
   struct Prefix *next_in_bucket;
-  struct Prefix *older, *newer; /* in the eviction list while nothing runs on it */
+  struct Prefix *older, *newer; /* in the eviction list while no call runs on it */
 };
 
 struct EngineCall
@@ -24,8 +24,8 @@
   struct Prefix *prefix;
   uint32_t prompt_tokens, generated_tokens, cached_tokens;
   double prefill_left, decode_left; /* tokens */
-  bool decoding;                    /* its first token is out */
-  struct EngineCall *next;          /* waiting inside */
+  bool decoding;                    /* its first token has been generated */
+  struct EngineCall *next;          /* in the list of waiting calls */
 };
 
 struct Engine
@@ -34,7 +34,7 @@
   EngineEventFn fn;
   void *data;
   double now_ms, speed;
-  struct EngineCall *running[ENGINE_BATCH_ROOM]; /* in order of arrival */
+  struct EngineCall *running[ENGINE_BATCH_LIMIT]; /* in order of arrival */
   uint32_t n_running, n_waiting;
   struct EngineCall *first_waiting, *last_waiting;
   struct Prefix *buckets[PREFIX_BUCKETS];
@@ -48,8 +48,8 @@
   struct Engine *engine = talloc_zero (ctx, struct Engine);
 
   engine->params = *params;
-  if (engine->params.batch_max > ENGINE_BATCH_ROOM)
-    engine->params.batch_max = ENGINE_BATCH_ROOM;
+  if (engine->params.batch_max > ENGINE_BATCH_LIMIT)
+    engine->params.batch_max = ENGINE_BATCH_LIMIT;
   engine->fn = fn;
   engine->data = data;
   engine->speed = 1;
@@ -59,17 +59,17 @@
 /* ---- Prefix cache ---- */
 
 static struct Prefix **
-prefix_link (struct Engine *engine, uint64_t name)
+prefix_find_link (struct Engine *engine, uint64_t id)
 {
-  struct Prefix **link = &engine->buckets[(name * 0x9E3779B97F4A7C15ULL) >> 52];
+  struct Prefix **link = &engine->buckets[(id * 0x9E3779B97F4A7C15ULL) >> 52];
 
-  while (*link != NULL && (*link)->name != name)
+  while (*link != NULL && (*link)->id != id)
     link = &(*link)->next_in_bucket;
   return link;
 }
 
 static void
-prefix_unlist (struct Engine *engine, struct Prefix *prefix)
+prefix_leave_lru (struct Engine *engine, struct Prefix *prefix)
 {
   *(prefix->older != NULL ? &prefix->older->newer : &engine->oldest) = prefix->newer;
   *(prefix->newer != NULL ? &prefix->newer->older : &engine->newest) = prefix->older;
@@ -77,7 +77,7 @@
 }
 
 static void
-prefix_list (struct Engine *engine, struct Prefix *prefix)
+prefix_enter_lru (struct Engine *engine, struct Prefix *prefix)
 {
   prefix->older = engine->newest;
   *(engine->newest != NULL ? &engine->newest->newer : &engine->oldest) = prefix;
@@ -87,23 +87,23 @@
 static void
 prefix_drop (struct Engine *engine, struct Prefix *prefix)
 {
-  struct Prefix **link = prefix_link (engine, prefix->name);
+  struct Prefix **link = prefix_find_link (engine, prefix->id);
 
   engine->used_tokens -= prefix->tokens;
-  prefix_unlist (engine, prefix);
+  prefix_leave_lru (engine, prefix);
   *link = prefix->next_in_bucket;
   talloc_free (prefix);
 }
 
-/* Frees tokens by shortening the oldest idle prefixes from their ends. */
+/* Makes room for need tokens by truncating the oldest idle prefixes. Returns whether they fit. */
 static bool
 prefix_evict (struct Engine *engine, uint64_t need)
 {
-  uint64_t room = engine->params.cache_tokens;
+  uint64_t capacity = engine->params.cache_tokens;
 
-  while (engine->used_tokens + need > room && engine->oldest != NULL)
+  while (engine->used_tokens + need > capacity && engine->oldest != NULL)
     {
-      uint64_t over = engine->used_tokens + need - room;
+      uint64_t over = engine->used_tokens + need - capacity;
 
       if (engine->oldest->tokens <= over)
         prefix_drop (engine, engine->oldest);
@@ -113,27 +113,27 @@
           engine->used_tokens -= over;
         }
     }
-  return engine->used_tokens + need <= room;
+  return engine->used_tokens + need <= capacity;
 }
 
 /* ---- Batch ---- */
 
-/* Moves a waiting call into the batch if its memory fits; an empty engine takes any call. */
+/* Moves a waiting call into the batch if its memory fits. An idle engine accepts any call. */
 static bool
 engine_start (struct Engine *engine, struct EngineCall *c)
 {
   uint64_t need = c->prompt_tokens + c->generated_tokens;
-  struct Prefix **link = prefix_link (engine, c->prefix->name);
+  struct Prefix **link = prefix_find_link (engine, c->prefix->id);
   struct Prefix *found = *link;
   uint32_t cached = 0;
 
   if (found != NULL && found != c->prefix)
     {
-      /* Taken out of the eviction list first, else making room could evict it. */
+      /* Leaves the eviction list first: otherwise prefix_evict could evict it. */
       cached = found->tokens < c->prompt_tokens ? found->tokens : c->prompt_tokens;
       if (found->n_running++ == 0)
         {
-          prefix_unlist (engine, found);
+          prefix_leave_lru (engine, found);
           engine->used_tokens -= found->tokens;
         }
     }
@@ -142,7 +142,7 @@
       if (found != NULL && --found->n_running == 0)
         {
           engine->used_tokens += found->tokens;
-          prefix_list (engine, found);
+          prefix_enter_lru (engine, found);
         }
       return false;
     }
@@ -153,7 +153,7 @@
     }
   else
     {
-      *prefix_link (engine, c->prefix->name) = c->prefix;
+      *prefix_find_link (engine, c->prefix->id) = c->prefix;
       c->prefix->n_running = 1;
     }
   engine->used_tokens += need;
@@ -183,8 +183,8 @@
 
 struct EngineRates
 {
-  struct EngineCall *prefilling; /* the oldest that prefills: one at a time */
-  double prefill, decode;        /* tokens a millisecond; decode: of each call */
+  struct EngineCall *prefilling; /* the oldest call in prefill; one at a time */
+  double prefill, decode;        /* tokens per millisecond; decode: per call */
 };
 
 static struct EngineRates
@@ -212,7 +212,7 @@
 engine_next_ms (const struct Engine *engine)
 {
   struct EngineRates rates = engine_rates (engine);
-  double least = INFINITY;
+  double earliest = INFINITY;
 
   if (rates.decode <= 0)
     return INFINITY;
@@ -225,9 +225,9 @@
         t = c->decode_left / rates.decode;
       else if (c == rates.prefilling)
         t = c->prefill_left / rates.prefill;
-      least = t < least ? t : least;
+      earliest = t < earliest ? t : earliest;
     }
-  return engine->now_ms + least;
+  return engine->now_ms + earliest;
 }
 
 static void
@@ -245,13 +245,13 @@
   if (--prefix->n_running == 0)
     {
       engine->used_tokens += prefix->tokens;
-      prefix_list (engine, prefix);
+      prefix_enter_lru (engine, prefix);
     }
   talloc_free (c);
   engine->fn (engine->data, &event);
 }
 
-/* Lets the batch run until end_ms, which is not after the next event. */
+/* Advances the batch to end_ms, which must not lie after the next event. */
 static void
 engine_run (struct Engine *engine, double end_ms)
 {
@@ -271,22 +271,22 @@
 }
 
 static void
-engine_settle (struct Engine *engine)
+engine_report_progress (struct Engine *engine)
 {
-  static const double done = 1e-6;
+  static const double epsilon = 1e-6;
 
   for (uint32_t i = 0; i < engine->n_running; i++)
     {
       struct EngineCall *c = engine->running[i];
 
-      if (!c->decoding && c->prefill_left <= done)
+      if (!c->decoding && c->prefill_left <= epsilon)
         {
           struct EngineEvent event = { ENGINE_FIRST_TOKEN, c->call, c->cached_tokens };
 
           c->decoding = true;
           engine->fn (engine->data, &event);
         }
-      else if (c->decoding && c->decode_left <= done)
+      else if (c->decoding && c->decode_left <= epsilon)
         engine_finish (engine, i--, ENGINE_DONE);
     }
   engine_fill (engine);
@@ -300,7 +300,7 @@
   while ((next = engine_next_ms (engine)) <= now_ms)
     {
       engine_run (engine, next);
-      engine_settle (engine);
+      engine_report_progress (engine);
     }
   if (now_ms > engine->now_ms)
     engine_run (engine, now_ms);
@@ -321,7 +321,7 @@
   c->prompt_tokens = prompt_tokens;
   c->generated_tokens = generated_tokens;
   c->prefix = talloc_zero (engine, struct Prefix);
-  c->prefix->name = prefix;
+  c->prefix->id = prefix;
   *(engine->last_waiting != NULL ? &engine->last_waiting->next : &engine->first_waiting) = c;
   engine->last_waiting = c;
   engine->n_waiting++;
@@ -334,7 +334,7 @@
   struct Prefix *found;
 
   engine_advance (engine, now_ms);
-  found = *prefix_link (engine, prefix);
+  found = *prefix_find_link (engine, prefix);
   if (found != NULL && found->n_running == 0)
     prefix_drop (engine, found);
 }
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -1,6 +1,6 @@
-/* A small model of one model engine for experiments: continuous batching, chunked prefill, a
- * prefix cache with least-recently-used eviction. Time is a continuous number of milliseconds; no
- * network and no cluster. */
+/* Simulates one inference engine for experiments: continuous batching, chunked prefill, and a
+ * prefix cache with least-recently-used eviction. Time is a fractional number of milliseconds;
+ * there is no network and no cluster. */
 #pragma once
 
 #include <stdbool.h>
@@ -11,11 +11,11 @@
 
 struct EngineParams
 {
-  double step_base_ms; /* one decode step of an empty batch */
-  double step_call_ms; /* more for each call that decodes */
+  double step_base_ms; /* duration of a decode step with an empty batch */
+  double step_call_ms; /* added for each decoding call */
   double prefill_us_per_token;
-  uint32_t chunk_tokens; /* prefilled beside one decode step */
-  uint32_t batch_max;    /* further calls wait inside, first in first out */
+  uint32_t chunk_tokens; /* prompt tokens prefilled in one decode step */
+  uint32_t batch_max;    /* most calls running at once; others wait in the engine, FIFO */
   uint64_t cache_tokens; /* memory for running calls and cached prefixes */
 };
 
@@ -23,8 +23,8 @@
 {
   ENGINE_FIRST_TOKEN,
   ENGINE_DONE,
-  ENGINE_FAILED, /* the engine died while the call was in it */
-  ENGINE_REFUSED /* the engine was dead already: the call never reached it */
+  ENGINE_FAILED, /* the engine crashed while it had the call */
+  ENGINE_REFUSED /* the engine was down before: the call never reached it */
 };
 
 struct EngineEvent
@@ -41,12 +41,12 @@
 struct Engine *
 engine_new (TALLOC_CTX *ctx, const struct EngineParams *params, EngineEventFn fn, void *data);
 
-/* All take the present time first, and first let pass what happened until then. */
+/* Each of these functions first advances the engine to now_ms and reports the events until then. */
 void
 engine_submit (struct Engine *engine,
                double now_ms,
                uint64_t call,
-               uint64_t prefix, /* names what the call's prompt extends */
+               uint64_t prefix, /* id of the prefix that the prompt extends */
                uint32_t prompt_tokens,
                uint32_t generated_tokens);
 void
@@ -59,7 +59,7 @@
 void
 engine_advance (struct Engine *engine, double now_ms);
 
-/* When the next event comes if nothing else happens; INFINITY when idle. */
+/* Returns the time of the next event if no further call is submitted; INFINITY when idle. */
 double
 engine_next_ms (const struct Engine *engine);
 
--- a/bench/policy_bench.c
+++ b/bench/policy_bench.c
@@ -1,4 +1,4 @@
-/* Command line of the policy experiments: one JSON object a run. */
+/* Command line of the policy experiments: prints one line for each seed, as text or as JSON. */
 #include "policy_sim.h"
 
 #include <getopt.h>
@@ -42,7 +42,7 @@
 }
 
 static enum PolicyRule
-rule_of (const char *name)
+parse_rule (const char *name)
 {
   for (size_t i = 0; i < sizeof rule_names / sizeof rule_names[0]; i++)
     if (strcmp (rule_names[i], name) == 0)
@@ -72,7 +72,7 @@
   printf (",\"wasted\":%.4f,\"goodput_per_s\":%.4f,\"in_time\":%.4f,\"refused_calls\":%.0f",
           r->wasted, r->goodput_per_s, r->in_time, r->refused_calls);
   printf (",\"fairness\":%.4f,\"wait_ms_mean\":%.1f,\"wait_ms_max\":%.1f,\"utilisation\":%.3f",
-          r->fairness, r->wait_mean_ms, r->wait_most_ms, r->utilisation);
+          r->fairness, r->wait_mean_ms, r->wait_max_ms, r->utilisation);
   printf (",\"limit\":%.1f,\"quarantined\":%.0f", r->limit, r->quarantined);
   printf (",\"taken\":%.0f,\"lapsed\":%.0f,\"live_tokens\":%.0f,\"budget_tokens\":%.0f", r->taken,
           r->lapsed, r->live_tokens, r->budget_tokens);
@@ -80,7 +80,7 @@
 }
 
 static void
-print_words (const struct SimOptions *o, const char *label, const struct SimResult *r)
+print_text (const struct SimOptions *o, const char *label, const struct SimResult *r)
 {
   printf ("%-10s %-16s load %3.0f seed %2" PRIu64 "  mean %7.1f s p50 %6.1f p95 %7.1f p99 %7.1f  "
           "wasted %.3f  short p95 %6.2f  in time %.3f  done %zu/%zu refused %zu late %zu failed %zu"
@@ -88,11 +88,11 @@
           o->scenario, label, o->load * 100, o->seed, r->latency_ms.mean / 1000,
           r->latency_ms.p50 / 1000, r->latency_ms.p95 / 1000, r->latency_ms.p99 / 1000, r->wasted,
           r->short_ms.p95 / 1000, r->in_time, r->n_done, r->n_programs, r->n_refused, r->n_late,
-          r->n_failed, r->fairness, r->wait_most_ms / 1000, r->utilisation, r->limit);
+          r->n_failed, r->fairness, r->wait_max_ms / 1000, r->utilisation, r->limit);
 }
 
 static void
-seeds_of (const char *text, uint64_t *first, uint64_t *last)
+parse_seeds (const char *text, uint64_t *first, uint64_t *last)
 {
   char *end;
 
@@ -115,7 +115,7 @@
 
   if (!sim_scenario (&options, "scarce"))
     return 2;
-  /* The scenario comes first: it sets what the other options change. */
+  /* --scenario must come first: it overwrites the values of all other options. */
   while ((c = getopt_long (argc, argv, "", long_options, NULL)) != -1)
     switch (c)
       {
@@ -124,13 +124,13 @@
           usage ();
         break;
       case 'r':
-        options.weights.rule = rule_of (optarg);
+        options.weights.rule = parse_rule (optarg);
         break;
       case 'l':
         options.load = strtod (optarg, NULL) / 100;
         break;
       case 'n':
-        seeds_of (optarg, &first, &last);
+        parse_seeds (optarg, &first, &last);
         break;
       case 'w':
         options.weights.cache_weight_permille = (uint32_t)strtoul (optarg, NULL, 10);
@@ -179,7 +179,7 @@
       struct SimResult result;
 
       sim_run (&options, &result);
-      (json ? print_json : print_words) (&options, label, &result);
+      (json ? print_json : print_text) (&options, label, &result);
       fflush (stdout);
     }
   return 0;
--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -17,10 +17,10 @@
   INITIAL_LIMIT = 16,
   MAX_TOKENS = 400,
   RETRIES_AFTER_REFUSAL = 3,
-  RESTART_MS = 5000,
+  RESTART_DELAY_MS = 5000,
   SAMPLE_MS = 5000,
-  FROZEN_MS = 30000,
-  DRAIN_FACTOR = 20 /* a run ends after this many times the time of arrivals */
+  FROZEN_REPORTS_MS = 30000,
+  RUN_LIMIT_FACTOR = 20 /* a run ends at the latest after this multiple of duration_ms */
 };
 
 enum CallState
@@ -30,7 +30,7 @@
   CALL_RUNNING
 };
 
-/* One branch of a program under way; it has one call at a time. */
+/* A branch of a running program; it has at most one call at a time. */
 struct SimBranch
 {
   uint32_t turn;
@@ -39,14 +39,14 @@
   uint32_t server;
   uint32_t attempt, refusals;
   double issued_ms;
-  uint64_t call; /* id of the present call */
+  uint64_t call; /* id of the current call */
 };
 
 struct SimProgram
 {
   const struct WorkProgram *work;
   struct SimBranch branches[BRANCHES_MAX];
-  uint32_t n_subs_running;
+  uint32_t n_sub_agents_running;
   uint64_t attained_tokens;
   bool ended;
 };
@@ -58,7 +58,7 @@
   struct Engine *engine;
   struct DispatchQueue *queue;
   struct ServerHealth *health;
-  bool dead;
+  bool crashed;
   double restart_ms;
   uint32_t reported_running;
   double busy_ms;
@@ -83,12 +83,12 @@
   struct Quarantine *quarantine;
   struct SimServer servers[SIM_ENGINES_MAX];
   struct PolicyServer digests[SIM_ENGINES_MAX];
-  struct SimEngineEvent *arrived; /* talloc array: what engines said and is not handled yet */
-  size_t n_arrived;
-  size_t n_open;
-  uint32_t poison; /* index of the program that crashes engines */
+  struct SimEngineEvent *engine_events; /* talloc array: received and not handled yet */
+  size_t n_engine_events;
+  size_t n_open;           /* programs that have not ended */
+  uint32_t poison_program; /* index of the program that crashes engines */
   double now_ms, next_digest_ms, next_report_ms, next_sample_ms;
-  double live_tokens; /* of programs that have begun and not ended */
+  double live_tokens; /* context tokens of the running programs, summed over the samples */
   uint64_t n_samples;
 };
 
@@ -105,7 +105,7 @@
 }
 
 static void
-sim_later (struct Sim *sim, double ms, enum SimEventKind kind, uint64_t call)
+sim_schedule (struct Sim *sim, double ms, enum SimEventKind kind, uint64_t call)
 {
   event_heap_add (&sim->events, &(struct SimEvent){ sim->now_ms + ms, kind, call, 0 });
 }
@@ -119,7 +119,7 @@
 static bool
 sim_is_poison (const struct Sim *sim, uint64_t call)
 {
-  return sim->options->fault == FAULT_POISON && call == call_id (sim->poison, 0);
+  return sim->options->fault == FAULT_POISON && call == call_id (sim->poison_program, 0);
 }
 
 static void
@@ -129,7 +129,7 @@
   memcpy (digest, &call, sizeof call);
 }
 
-/* The profile under which the program's service runs. */
+/* Returns the weights of the profile that the program's service uses. */
 static const struct PolicyWeights *
 sim_weights (const struct Sim *sim, const struct SimProgram *program)
 {
@@ -193,7 +193,7 @@
   switch (end)
     {
     case PROGRAM_DONE:
-      sim_stats_program (sim->stats, program->work, sim->now_ms - program->work->arrival_ms);
+      sim_stats_add_program (sim->stats, program->work, sim->now_ms - program->work->arrival_ms);
       break;
     case PROGRAM_REFUSED:
       sim->result->n_refused++;
@@ -210,14 +210,14 @@
 static void
 sim_place (struct Sim *sim, uint64_t id);
 
-/* A call will not run here: it comes back later, or its program ends. */
+/* Handles a refused call: schedules another attempt, or ends its program. */
 static void
 sim_refused (struct Sim *sim, uint64_t id, int32_t error, uint32_t retry_after_ms)
 {
   uint32_t p = (uint32_t)(id / BRANCHES_MAX);
   struct SimProgram *program = &sim->programs[p];
   struct SimBranch *branch = &program->branches[id % BRANCHES_MAX];
-  double deadline = program->work->arrival_ms + program->work->patience_ms;
+  double deadline = program->work->arrival_ms + program->work->time_limit_ms;
 
   branch->state = CALL_IDLE;
   sim->result->refused_calls++;
@@ -225,13 +225,13 @@
     sim_end_program (sim, p, PROGRAM_FAILED);
   else if (error != ERROR_DEADLINE && branch->refusals++ < RETRIES_AFTER_REFUSAL
            && sim->now_ms + retry_after_ms < deadline)
-    sim_later (sim, retry_after_ms, EVENT_CALL, id);
+    sim_schedule (sim, retry_after_ms, EVENT_CALL, id);
   else
     sim_end_program (sim, p, program->attained_tokens == 0 ? PROGRAM_REFUSED : PROGRAM_LATE);
 }
 
 static void
-sim_drain (struct Sim *sim, struct SimServer *server);
+sim_dispatch (struct Sim *sim, struct SimServer *server);
 
 static void
 sim_push (struct Sim *sim, uint64_t id, const struct Call *call, struct SimServer *server)
@@ -252,7 +252,7 @@
   item.cached_tokens_hint =
       placement_cached_hint (sim->placement, call, sim->digests[server->index].name);
   if (sim->options->deadlines)
-    item.deadline_ms = (int64_t)(program->work->arrival_ms + program->work->patience_ms);
+    item.deadline_ms = (int64_t)(program->work->arrival_ms + program->work->time_limit_ms);
   sim_digest_of (id, digest);
   item.suspect = quarantine_suspects (sim->quarantine, digest);
   branch->server = server->index;
@@ -265,7 +265,7 @@
       return;
     }
   branch->state = CALL_QUEUED;
-  sim_drain (sim, server);
+  sim_dispatch (sim, server);
 }
 
 static void
@@ -306,7 +306,7 @@
 }
 
 static void
-sim_drain (struct Sim *sim, struct SimServer *server)
+sim_dispatch (struct Sim *sim, struct SimServer *server)
 {
   uint64_t id;
 
@@ -319,40 +319,42 @@
       struct Call call = sim_call (sim, id);
 
       branch->state = CALL_RUNNING;
-      sim_stats_wait (sim->stats, sim->now_ms - branch->issued_ms);
+      sim_stats_add_wait (sim->stats, sim->now_ms - branch->issued_ms);
       server_health_sent (server->health, sim_clock (sim));
-      if (server->dead)
+      if (server->crashed)
         {
           struct EngineEvent event = { ENGINE_REFUSED, id, 0 };
-          size_t i = sim->n_arrived++;
+          size_t i = sim->n_engine_events++;
 
-          sim->arrived = talloc_realloc (sim, sim->arrived, struct SimEngineEvent, i + 1);
-          sim->arrived[i] = (struct SimEngineEvent){ server->index, event };
+          sim->engine_events =
+              talloc_realloc (sim, sim->engine_events, struct SimEngineEvent, i + 1);
+          sim->engine_events[i] = (struct SimEngineEvent){ server->index, event };
           continue;
         }
       engine_submit (server->engine, sim->now_ms, id, id, call.prompt_tokens,
                      sim_turn (&sim->programs[p], b)->generated_tokens);
       if (sim_is_poison (sim, id))
-        sim_later (sim, 200, EVENT_CRASH, server->index);
+        sim_schedule (sim, 200, EVENT_CRASH, server->index);
     }
 }
 
-/* ---- Answers ---- */
+/* ---- Engine events ---- */
 
 static void
-sim_start_subs (struct Sim *sim, uint32_t p, uint32_t turn)
+sim_start_sub_agents (struct Sim *sim, uint32_t p, uint32_t turn)
 {
   struct SimProgram *program = &sim->programs[p];
 
   for (uint32_t b = 1; b < program->work->n_branches; b++)
     if (program->work->branches[b].after_turn == turn)
       {
-        program->n_subs_running++;
-        sim_later (sim, 0, EVENT_CALL, call_id (p, b));
+        program->n_sub_agents_running++;
+        sim_schedule (sim, 0, EVENT_CALL, call_id (p, b));
       }
 }
 
-/* A turn has its answer: pause, then sub-agents, then the next turn. */
+/* Moves on after a completed turn: starts its sub-agents. The next turn begins when they have
+ * ended, or after the tool pause if there are none. */
 static void
 sim_advance (struct Sim *sim, uint32_t p, uint32_t b)
 {
@@ -366,18 +368,18 @@
   if (branch->turn < program->work->branches[b].n_turns)
     {
       if (b == MAIN_BRANCH_INDEX)
-        sim_start_subs (sim, p, branch->turn - 1);
-      if (b != MAIN_BRANCH_INDEX || program->n_subs_running == 0)
-        sim_later (sim, pause_ms, EVENT_CALL, call_id (p, b));
+        sim_start_sub_agents (sim, p, branch->turn - 1);
+      if (b != MAIN_BRANCH_INDEX || program->n_sub_agents_running == 0)
+        sim_schedule (sim, pause_ms, EVENT_CALL, call_id (p, b));
     }
   else if (b == MAIN_BRANCH_INDEX)
     sim_end_program (sim, p, PROGRAM_DONE);
-  else if (--program->n_subs_running == 0)
-    sim_later (sim, 0, EVENT_CALL, call_id (p, MAIN_BRANCH_INDEX));
+  else if (--program->n_sub_agents_running == 0)
+    sim_schedule (sim, 0, EVENT_CALL, call_id (p, MAIN_BRANCH_INDEX));
 }
 
 static void
-sim_done (struct Sim *sim, struct SimServer *server, const struct EngineEvent *event)
+sim_call_done (struct Sim *sim, struct SimServer *server, const struct EngineEvent *event)
 {
   uint32_t p = (uint32_t)(event->call / BRANCHES_MAX), b = (uint32_t)(event->call % BRANCHES_MAX);
   struct SimProgram *program = &sim->programs[p];
@@ -393,7 +395,7 @@
   if (sim->now_ms < sim->options->duration_ms)
     sim->result->useful += turn_work_ms (&sim->options->engine, turn)
                            / (sim->options->n_engines * sim->options->duration_ms);
-  sim_stats_prefix (sim->stats, branch->context_tokens, event->cached_tokens);
+  sim_stats_add_prefix (sim->stats, branch->context_tokens, event->cached_tokens);
   program->attained_tokens += call.prompt_tokens - event->cached_tokens + turn->generated_tokens;
   branch->context_tokens = call.prompt_tokens + turn->generated_tokens;
   sim_digest_of (event->call, digest);
@@ -411,7 +413,7 @@
 }
 
 static void
-sim_failed (struct Sim *sim, struct SimServer *server, const struct EngineEvent *event)
+sim_call_failed (struct Sim *sim, struct SimServer *server, const struct EngineEvent *event)
 {
   uint32_t p = (uint32_t)(event->call / BRANCHES_MAX);
   struct SimBranch *branch = &sim->programs[p].branches[event->call % BRANCHES_MAX];
@@ -435,55 +437,56 @@
   branch->state = CALL_IDLE;
   if (retry_budget_take (sim->retries, &call, &outcome, branch->attempt++, 0, &delay_ms, &fault)
       == ERROR_NONE)
-    sim_later (sim, delay_ms, EVENT_RESEND, event->call);
+    sim_schedule (sim, delay_ms, EVENT_RESEND, event->call);
   else
     sim_end_program (sim, p, PROGRAM_FAILED);
 }
 
 static void
-sim_hear (void *data, const struct EngineEvent *event)
+sim_on_engine_event (void *data, const struct EngineEvent *event)
 {
   struct SimServer *server = data;
   struct Sim *sim = server->sim;
-  size_t room = talloc_array_length (sim->arrived);
+  size_t capacity = talloc_array_length (sim->engine_events);
 
-  if (sim->n_arrived == room)
-    sim->arrived = talloc_realloc (sim, sim->arrived, struct SimEngineEvent, room + 64);
-  sim->arrived[sim->n_arrived++] = (struct SimEngineEvent){ server->index, *event };
+  if (sim->n_engine_events == capacity)
+    sim->engine_events =
+        talloc_realloc (sim, sim->engine_events, struct SimEngineEvent, capacity + 64);
+  sim->engine_events[sim->n_engine_events++] = (struct SimEngineEvent){ server->index, *event };
 }
 
 static void
-sim_handle_answers (struct Sim *sim)
+sim_handle_engine_events (struct Sim *sim)
 {
-  for (size_t i = 0; i < sim->n_arrived; i++)
+  for (size_t i = 0; i < sim->n_engine_events; i++)
     {
-      struct SimEngineEvent arrived = sim->arrived[i];
-      struct SimServer *server = &sim->servers[arrived.server];
+      struct SimEngineEvent received = sim->engine_events[i];
+      struct SimServer *server = &sim->servers[received.server];
 
-      switch (arrived.event.kind)
+      switch (received.event.kind)
         {
         case ENGINE_FIRST_TOKEN:
           server_health_progress (server->health, sim_clock (sim));
-          dispatch_queue_first_token (server->queue, arrived.event.call, sim_clock (sim));
+          dispatch_queue_first_token (server->queue, received.event.call, sim_clock (sim));
           break;
         case ENGINE_DONE:
-          sim_done (sim, server, &arrived.event);
+          sim_call_done (sim, server, &received.event);
           break;
         case ENGINE_FAILED:
         case ENGINE_REFUSED:
-          sim_failed (sim, server, &arrived.event);
+          sim_call_failed (sim, server, &received.event);
           break;
         }
-      sim_drain (sim, server);
+      sim_dispatch (sim, server);
     }
-  sim->n_arrived = 0;
+  sim->n_engine_events = 0;
 }
 
 /* ---- Time ---- */
 
-/* A suspected server's waiting calls are placed anew. */
+/* Places the calls that wait for a suspected server again. */
 static void
-sim_evacuate (struct Sim *sim, struct SimServer *server)
+sim_reassign_waiting (struct Sim *sim, struct SimServer *server)
 {
   for (uint32_t p = 0; p < sim->work->n_programs; p++)
     for (uint32_t b = 0; b < sim->programs[p].work->n_branches; b++)
@@ -494,7 +497,7 @@
             || !dispatch_queue_remove (server->queue, branch->call))
           continue;
         branch->state = CALL_IDLE;
-        sim_later (sim, 0, EVENT_RESEND, call_id (p, b));
+        sim_schedule (sim, 0, EVENT_RESEND, call_id (p, b));
       }
 }
 
@@ -509,10 +512,10 @@
       dispatch_queue_digest (server->queue, &sim->digests[s]);
       sim->digests[s].reported_running = server->reported_running;
       if (sim->digests[s].usable && !usable)
-        sim_evacuate (sim, server);
+        sim_reassign_waiting (sim, server);
       sim->digests[s].usable = usable;
-      /* The probe is a report, which a living server answers. */
-      if (server_health_probe_due (server->health, sim_clock (sim)) && !server->dead)
+      /* The probe is a load report, to which a running server responds. */
+      if (server_health_probe_due (server->health, sim_clock (sim)) && !server->crashed)
         server_health_ended (server->health, &(struct Outcome){ .ran = RAN_YES }, sim_clock (sim));
     }
 }
@@ -523,7 +526,7 @@
   double third = sim->options->duration_ms / 3;
 
   if (sim->options->fault == FAULT_FROZEN && sim->now_ms >= third
-      && sim->now_ms < third + FROZEN_MS)
+      && sim->now_ms < third + FROZEN_REPORTS_MS)
     return;
   for (uint32_t s = 0; s < sim->options->n_engines; s++)
     {
@@ -558,9 +561,9 @@
 static void
 sim_crash (struct Sim *sim, struct SimServer *server)
 {
-  if (server->dead)
+  if (server->crashed)
     return;
-  server->dead = true;
+  server->crashed = true;
   engine_crash (server->engine, sim->now_ms);
 }
 
@@ -588,17 +591,17 @@
 
       engine_load (sim->servers[s].engine, &running, &waiting);
       sim->servers[s].busy_ms += running > 0 ? TICK_MS : 0;
-      sim_drain (sim, &sim->servers[s]);
+      sim_dispatch (sim, &sim->servers[s]);
     }
   if (sim->n_open > 0)
-    sim_later (sim, TICK_MS, EVENT_TICK, 0);
+    sim_schedule (sim, TICK_MS, EVENT_TICK, 0);
 }
 
 static void
 sim_arrive (struct Sim *sim, uint32_t p)
 {
   if (p + 1 < sim->work->n_programs)
-    sim_later (sim, sim->work->programs[p + 1].arrival_ms - sim->now_ms, EVENT_ARRIVAL, p + 1);
+    sim_schedule (sim, sim->work->programs[p + 1].arrival_ms - sim->now_ms, EVENT_ARRIVAL, p + 1);
   sim_issue (sim, call_id (p, MAIN_BRANCH_INDEX));
 }
 
@@ -619,19 +622,19 @@
     case EVENT_TICK:
       sim_tick (sim);
       break;
-    case EVENT_SLOW:
+    case EVENT_SLOWDOWN:
       engine_set_speed (sim->servers[0].engine, sim->now_ms, 0.25);
       break;
-    case EVENT_FAST:
+    case EVENT_SLOWDOWN_END:
       engine_set_speed (sim->servers[0].engine, sim->now_ms, 1);
       break;
     case EVENT_CRASH:
       sim_crash (sim, &sim->servers[event->subject]);
       if (sim->options->fault == FAULT_POISON)
-        sim_later (sim, RESTART_MS, EVENT_RESTART, event->subject);
+        sim_schedule (sim, RESTART_DELAY_MS, EVENT_RESTART, event->subject);
       break;
     case EVENT_RESTART:
-      sim->servers[event->subject].dead = false;
+      sim->servers[event->subject].crashed = false;
       break;
     }
 }
@@ -644,14 +647,14 @@
   switch (sim->options->fault)
     {
     case FAULT_SLOW:
-      sim_later (sim, third, EVENT_SLOW, 0);
-      sim_later (sim, 2 * third, EVENT_FAST, 0);
+      sim_schedule (sim, third, EVENT_SLOWDOWN, 0);
+      sim_schedule (sim, 2 * third, EVENT_SLOWDOWN_END, 0);
       break;
-    case FAULT_DEAD:
-      sim_later (sim, third, EVENT_CRASH, 0);
+    case FAULT_CRASHED:
+      sim_schedule (sim, third, EVENT_CRASH, 0);
       break;
     case FAULT_POISON:
-      sim->poison = (uint32_t)(sim->work->n_programs / 3);
+      sim->poison_program = (uint32_t)(sim->work->n_programs / 3);
       break;
     case FAULT_NONE:
     case FAULT_FROZEN:
@@ -688,7 +691,7 @@
 
       server->sim = sim;
       server->index = s;
-      server->engine = engine_new (sim, &options->engine, sim_hear, server);
+      server->engine = engine_new (sim, &options->engine, sim_on_engine_event, server);
       server->queue = dispatch_queue_new (sim, INITIAL_LIMIT);
       server->health = server_health_new (sim);
       snprintf (sim->digests[s].name, sizeof sim->digests[s].name, "engine-%u", s);
@@ -697,7 +700,7 @@
   return sim;
 }
 
-/* The moment of the next event, of the engines or of the heap. */
+/* Returns the time of the next event of the engines or of the event heap. */
 static double
 sim_next_ms (struct Sim *sim)
 {
@@ -748,8 +751,8 @@
   if (sim->work->n_programs > 0)
     event_heap_add (&sim->events,
                     &(struct SimEvent){ sim->work->programs[0].arrival_ms, EVENT_ARRIVAL, 0, 0 });
-  sim_later (sim, 0, EVENT_TICK, 0);
-  while (sim->n_open > 0 && sim->now_ms < options->duration_ms * DRAIN_FACTOR)
+  sim_schedule (sim, 0, EVENT_TICK, 0);
+  while (sim->n_open > 0 && sim->now_ms < options->duration_ms * RUN_LIMIT_FACTOR)
     {
       double next = sim_next_ms (sim);
       struct SimEvent event;
@@ -759,13 +762,13 @@
       sim->now_ms = next;
       for (uint32_t s = 0; s < options->n_engines; s++)
         engine_advance (sim->servers[s].engine, next);
-      sim_handle_answers (sim);
+      sim_handle_engine_events (sim);
       while (event_heap_first (&sim->events) != NULL
              && event_heap_first (&sim->events)->at_ms <= next)
         {
-          event_heap_take (&sim->events, &event);
+          event_heap_pop (&sim->events, &event);
           sim_handle (sim, &event);
-          sim_handle_answers (sim);
+          sim_handle_engine_events (sim);
         }
     }
   sim_finish (sim);
--- a/bench/policy_sim.h
+++ b/bench/policy_sim.h
@@ -1,4 +1,4 @@
-/* Runs the policy core against model engines in simulated time, and measures outcomes. */
+/* Runs the policy core against engine models in simulated time and collects the results. */
 #pragma once
 
 #include <buckthornhead/policy.h>
@@ -14,10 +14,10 @@
 enum SimFault
 {
   FAULT_NONE,
-  FAULT_SLOW,   /* one engine at a quarter of its speed, for the middle third */
-  FAULT_DEAD,   /* one engine dies after a third of the time and stays dead */
-  FAULT_FROZEN, /* reports stand still for 30 s */
-  FAULT_POISON  /* a request that crashes each engine which runs it */
+  FAULT_SLOW,    /* one engine runs at a quarter of its speed for the middle third of the time */
+  FAULT_CRASHED, /* one engine crashes after a third of the time and is not restarted */
+  FAULT_FROZEN,  /* load reports are not updated for 30 s */
+  FAULT_POISON   /* one request crashes every engine that runs it */
 };
 
 struct SimOptions
@@ -28,15 +28,15 @@
   enum ArrivalShape shape;
   enum SimFault fault;
   struct PolicyWeights weights;
-  struct PolicyWeights menu_weights; /* of menu-agents and label-export */
+  struct PolicyWeights menu_weights; /* of the services menu-agents and label-export */
   uint64_t seed;
-  double load;     /* share of the capacity */
-  double capacity; /* measured: what the best baseline gets done when there is always work, as a
-                      share of full batches with nothing computed twice */
+  double load;     /* as a fraction of the capacity */
+  double capacity; /* measured throughput of the best baseline under saturation, as a fraction of
+                      that of full batches which compute no prefix twice */
   double duration_ms;
-  bool deadlines; /* enforced; else only counted */
-  bool reports;   /* engines report their cache size */
-  uint32_t digest_ms, report_ms;
+  bool deadlines;                /* enforced; if false, missed deadlines are only counted */
+  bool reports;                  /* engines report their cache size */
+  uint32_t digest_ms, report_ms; /* intervals of owners' digests and engines' load reports */
 };
 
 struct Percentiles
@@ -47,33 +47,34 @@
 struct SimResult
 {
   size_t n_programs, n_done, n_refused, n_late, n_failed;
-  struct Percentiles latency_ms;     /* of programs that were done */
-  struct Percentiles short_ms;       /* of these, programs of one call */
-  struct Percentiles short_ideal_ms; /* and what the same programs take alone on an engine */
-  struct Percentiles slowdown;       /* latency / ideal */
-  double wasted;                     /* prefix tokens computed again / prefix tokens seen */
-  double goodput_per_s;              /* done within their deadline, per second of arrivals */
-  double in_time;                    /* share of all programs done within their deadline */
+  struct Percentiles latency_ms;     /* of completed programs */
+  struct Percentiles short_ms;       /* of completed programs with one call, exports aside */
+  struct Percentiles short_ideal_ms; /* ideal_ms of the same programs */
+  struct Percentiles slowdown;       /* latency / ideal_ms */
+  double wasted;                     /* recomputed prefix tokens / all prefix tokens */
+  double goodput_per_s; /* programs completed by their deadline, per second of duration_ms */
+  double in_time;       /* fraction of all programs completed by their deadline */
   double refused_calls;
-  double fairness;                   /* Jain's index over the services' mean slowdown */
-  double wait_mean_ms, wait_most_ms; /* of one call in the queues */
-  double utilisation;                /* share of the engines' time with anything running */
-  double limit;                      /* mean of the engines' learned limits at the end */
+  double fairness;                  /* Jain's index over the services' mean slowdown */
+  double wait_mean_ms, wait_max_ms; /* queueing time of a call */
+  double utilisation;               /* fraction of time with a call running, over all engines */
+  double limit;                     /* mean of the owners' learned concurrency limits at the end */
   double quarantined;
-  double taken, lapsed; /* places in the engines' caches */
-  double live_tokens;   /* mean context of the programs under way, per engine */
+  double taken, lapsed; /* cache places taken from paused programs; places lost to long pauses */
+  double live_tokens;   /* mean context of the running programs, per engine */
   double budget_tokens; /* mean of the learned cache budgets at the end */
-  double useful;        /* work done while programs arrived, as a share of the capacity */
-  double active;        /* mean programs with a place, per engine */
+  double useful;        /* work completed before duration_ms, as a fraction of full batches' */
+  double active;        /* mean number of programs with a cache place, per engine */
 };
 
-/* Fills in defaults and the named built-in scenario. False when there is none of that name. */
+/* Sets options to the named built-in scenario. Returns false when there is none of that name. */
 bool
 sim_scenario (struct SimOptions *options, const char *name);
 
-/* Reads [scenario] of an INI file: base (a built-in one, first), arrivals, fault, engines, minutes,
- * capacity, deadlines, reports, digest_ms, report_ms, and the engine's parameters. 0, the line of
- * the first fault, or -1 when the file can not be read. */
+/* Reads section [scenario] of an INI file. Its keys are base (a built-in scenario; must come
+ * first), arrivals, fault, engines, minutes, capacity, deadlines, reports, digest_ms, report_ms,
+ * and the engine's parameters. Returns 0, the line of the first error, or -1 when the file can't be
+ * read. */
 int
 sim_scenario_load (struct SimOptions *options, const char *file);
 
--- a/bench/scenario.c
+++ b/bench/scenario.c
@@ -5,7 +5,7 @@
 
 #include <ini.h>
 
-/* One engine that is busy with sixteen calls serves about 680 tokens a second. */
+/* An engine that decodes sixteen calls generates about 680 tokens per second. */
 static const struct EngineParams engine = { .step_base_ms = 18,
                                             .step_call_ms = 0.35,
                                             .prefill_us_per_token = 60,
@@ -13,13 +13,14 @@
                                             .batch_max = 32,
                                             .cache_tokens = 4000000 };
 
-/* What the best baseline gets done at 250% load (seed 2): sticky, and least reported load. */
+/* SimOptions.capacity: throughput of the best baseline at 250% load (seed 2), which is sticky with
+ * the ample cache and least_reported with the scarce one. */
 static const double ample_capacity = 0.945;
 static const double scarce_capacity = 0.53;
 
 enum
 {
-  /* Half of the 200,000 tokens an engine that programs hold at 95% load when the cache is ample. */
+  /* Half of the 200,000 tokens per engine that programs occupy at 95% load with the ample cache. */
   SCARCE_CACHE_TOKENS = 100000
 };
 
@@ -40,7 +41,7 @@
   { "dawn", true, true, ARRIVAL_DAWN, FAULT_NONE },
   { "night", true, false, ARRIVAL_NIGHT, FAULT_NONE },
   { "slow", true, false, ARRIVAL_STEADY, FAULT_SLOW },
-  { "dead", true, false, ARRIVAL_STEADY, FAULT_DEAD },
+  { "dead", true, false, ARRIVAL_STEADY, FAULT_CRASHED },
   { "frozen", true, false, ARRIVAL_STEADY, FAULT_FROZEN },
   { "poison", true, false, ARRIVAL_STEADY, FAULT_POISON },
 };
@@ -85,7 +86,7 @@
 static const char *const shape_names[] = { "steady", "dawn", "night" };
 static const char *const fault_names[] = { "none", "slow", "dead", "frozen", "poison" };
 
-/* Index of value among n names, or n. */
+/* Returns the index of value in names, or n. */
 static size_t
 name_index (const char *const *names, size_t n, const char *value)
 {
--- a/bench/sim_events.c
+++ b/bench/sim_events.c
@@ -32,7 +32,7 @@
 }
 
 void
-event_heap_take (struct EventHeap *events, struct SimEvent *event)
+event_heap_pop (struct EventHeap *events, struct SimEvent *event)
 {
   struct EventEntry *entry =
       HEAP_ENTRY (policy_heap_first (&events->heap), struct EventEntry, node);
--- a/bench/sim_events.h
+++ b/bench/sim_events.h
@@ -1,4 +1,4 @@
-/* Events of the simulation, by time and then by the order in which they were added. */
+/* Event heap of the simulation, ordered by time, then by insertion. */
 #pragma once
 
 #include "../core/policy_heap.h"
@@ -6,11 +6,11 @@
 enum SimEventKind
 {
   EVENT_ARRIVAL, /* subject: program */
-  EVENT_CALL,    /* subject: call; a new turn, or a refused one that comes back */
-  EVENT_RESEND,  /* subject: call; after a failure */
+  EVENT_CALL,    /* subject: call; of a new turn, or refused before */
+  EVENT_RESEND,  /* subject: call; sent before, or waiting for a server that is suspected */
   EVENT_TICK,
-  EVENT_SLOW,
-  EVENT_FAST,
+  EVENT_SLOWDOWN,
+  EVENT_SLOWDOWN_END,
   EVENT_CRASH,  /* subject: server */
   EVENT_RESTART /* subject: server */
 };
@@ -37,4 +37,4 @@
 const struct SimEvent *
 event_heap_first (const struct EventHeap *events);
 void
-event_heap_take (struct EventHeap *events, struct SimEvent *event);
+event_heap_pop (struct EventHeap *events, struct SimEvent *event);
--- a/bench/sim_stats.c
+++ b/bench/sim_stats.c
@@ -14,7 +14,7 @@
   double kind_slowdown[N_KINDS];
   size_t kind_n[N_KINDS];
   size_t n_in_time, n_waits;
-  double wait_sum_ms, wait_most_ms;
+  double wait_sum_ms, wait_max_ms;
   double prefix_tokens, recomputed_tokens;
 };
 
@@ -27,10 +27,11 @@
 static void
 samples_add (struct SimStats *stats, struct Samples *samples, double value)
 {
-  size_t room = talloc_array_length (samples->values);
+  size_t capacity = talloc_array_length (samples->values);
 
-  if (samples->n == room)
-    samples->values = talloc_realloc (stats, samples->values, double, room > 0 ? room * 2 : 256);
+  if (samples->n == capacity)
+    samples->values =
+        talloc_realloc (stats, samples->values, double, capacity > 0 ? capacity * 2 : 256);
   samples->values[samples->n++] = value;
 }
 
@@ -43,9 +44,9 @@
 }
 
 static double
-samples_at (const struct Samples *samples, double share)
+samples_quantile (const struct Samples *samples, double quantile)
 {
-  return samples->values[(size_t)(share * (double)(samples->n - 1))];
+  return samples->values[(size_t)(quantile * (double)(samples->n - 1))];
 }
 
 static void
@@ -59,14 +60,14 @@
   for (size_t i = 0; i < samples->n; i++)
     sum += samples->values[i];
   percentiles->mean = sum / (double)samples->n;
-  percentiles->p50 = samples_at (samples, 0.50);
-  percentiles->p95 = samples_at (samples, 0.95);
-  percentiles->p99 = samples_at (samples, 0.99);
-  percentiles->most = samples_at (samples, 1);
+  percentiles->p50 = samples_quantile (samples, 0.50);
+  percentiles->p95 = samples_quantile (samples, 0.95);
+  percentiles->p99 = samples_quantile (samples, 0.99);
+  percentiles->most = samples_quantile (samples, 1);
 }
 
 void
-sim_stats_program (struct SimStats *stats, const struct WorkProgram *work, double latency_ms)
+sim_stats_add_program (struct SimStats *stats, const struct WorkProgram *work, double latency_ms)
 {
   double slowdown = latency_ms / work->ideal_ms;
 
@@ -79,27 +80,27 @@
     }
   stats->kind_slowdown[work->kind] += slowdown;
   stats->kind_n[work->kind]++;
-  stats->n_in_time += latency_ms <= work->patience_ms;
+  stats->n_in_time += latency_ms <= work->time_limit_ms;
 }
 
 void
-sim_stats_wait (struct SimStats *stats, double wait_ms)
+sim_stats_add_wait (struct SimStats *stats, double wait_ms)
 {
   stats->n_waits++;
   stats->wait_sum_ms += wait_ms;
-  if (wait_ms > stats->wait_most_ms)
-    stats->wait_most_ms = wait_ms;
+  if (wait_ms > stats->wait_max_ms)
+    stats->wait_max_ms = wait_ms;
 }
 
 void
-sim_stats_prefix (struct SimStats *stats, uint32_t prefix_tokens, uint32_t cached_tokens)
+sim_stats_add_prefix (struct SimStats *stats, uint32_t prefix_tokens, uint32_t cached_tokens)
 {
   stats->prefix_tokens += prefix_tokens;
   if (cached_tokens < prefix_tokens)
     stats->recomputed_tokens += prefix_tokens - cached_tokens;
 }
 
-/* Jain's index: 1 when all kinds are slowed down alike. */
+/* Returns Jain's fairness index over the kinds' mean slowdowns: 1 when all are equal. */
 static double
 stats_fairness (const struct SimStats *stats)
 {
@@ -133,5 +134,5 @@
   result->fairness = stats_fairness (stats);
   if (stats->n_waits > 0)
     result->wait_mean_ms = stats->wait_sum_ms / (double)stats->n_waits;
-  result->wait_most_ms = stats->wait_most_ms;
+  result->wait_max_ms = stats->wait_max_ms;
 }
--- a/bench/workload.c
+++ b/bench/workload.c
@@ -6,24 +6,24 @@
 
 enum
 {
-  SAMPLE_PROGRAMS = 4000
+  MEAN_SAMPLE_PROGRAMS = 4000
 };
 
 const char *const kind_services[N_KINDS] = { "hiring-agents", "hiring-agents", "field-desk",
                                              "menu-agents",   "kitchen-api",   "label-export" };
 
-/* Ranges of what a kind of program is made of. */
+/* Parameters of the distributions from which a kind of program is drawn. */
 struct KindShape
 {
-  double share;                               /* of arrivals */
-  double turns_least, turns_tail, turns_most; /* Pareto */
-  double first_low, first_high;               /* prompt tokens of the first turn */
-  double add_low, add_high;                   /* of each further turn */
+  double share;                            /* fraction of arrivals */
+  double turns_min, turns_tail, turns_max; /* bounded Pareto */
+  double first_low, first_high;            /* prompt tokens of the first turn */
+  double add_low, add_high;                /* new prompt tokens of each further turn */
   double generated_low, generated_high;
-  double pause_ms; /* mean; exponential, or heavier when .pause_heavy */
-  double pause_heavy;
-  double sub_agents; /* chance a turn */
-  double patience_factor, patience_ms;
+  double pause_ms;                         /* mean of an exponential distribution */
+  double pause_heavy;                      /* above 0: one pause in ten lasts five times as long */
+  double sub_agents;                       /* probability per turn of the main branch */
+  double time_limit_factor, time_limit_ms; /* factor of the ideal latency, and offset */
 };
 
 static const struct KindShape shapes[N_KINDS] = {
@@ -66,19 +66,18 @@
 }
 
 static double
-random_pareto (struct Random *random, double least, double tail, double most)
+random_pareto (struct Random *random, double min, double tail, double max)
 {
-  double x = tail > 0 ? least / pow (1.0 - erand48 (random->state), 1.0 / tail) : least;
+  double x = tail > 0 ? min / pow (1.0 - erand48 (random->state), 1.0 / tail) : min;
 
-  return x < most ? x : most;
+  return x < max ? x : max;
 }
 
 static double
-pause_draw (struct Random *random, const struct KindShape *shape)
+draw_pause (struct Random *random, const struct KindShape *shape)
 {
   double pause = random_exponential (random, shape->pause_ms);
 
-  /* One pause in ten of the heavy kind lasts five times as long. */
   return shape->pause_heavy > 0 && erand48 (random->state) < 0.1 ? pause * 5 : pause;
 }
 
@@ -97,7 +96,7 @@
                                       : random_uniform (random, shape->add_low, shape->add_high)),
       .generated_tokens =
           (uint32_t)random_uniform (random, shape->generated_low, shape->generated_high),
-      .pause_ms = i + 1 < n_turns ? pause_draw (random, shape) : 0,
+      .pause_ms = i + 1 < n_turns ? draw_pause (random, shape) : 0,
     };
 }
 
@@ -177,7 +176,7 @@
         longest = fmax (longest, branch_ideal_ms (engine, &program->branches[s]));
       program->ideal_ms += longest;
     }
-  program->patience_ms = program->ideal_ms * shape->patience_factor + shape->patience_ms;
+  program->time_limit_ms = program->ideal_ms * shape->time_limit_factor + shape->time_limit_ms;
 }
 
 static void
@@ -188,7 +187,7 @@
               struct WorkProgram *program)
 {
   const struct KindShape *shape = &shapes[kind];
-  double turns = random_pareto (random, shape->turns_least, shape->turns_tail, shape->turns_most);
+  double turns = random_pareto (random, shape->turns_min, shape->turns_tail, shape->turns_max);
 
   memset (program, 0, sizeof *program);
   program->kind = kind;
@@ -200,7 +199,7 @@
 }
 
 static enum ProgramKind
-kind_draw (struct Random *random)
+draw_kind (struct Random *random)
 {
   double x = erand48 (random->state);
 
@@ -210,51 +209,51 @@
   return KIND_ALERT;
 }
 
-/* Mean engine time of a program: the same whatever the seed. */
+/* Returns the mean engine time of a program over fixed seeds, so that it is equal in all runs. */
 static double
 mean_work_ms (const struct EngineParams *engine)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
   double sum = 0;
 
-  for (uint64_t i = 0; i < SAMPLE_PROGRAMS; i++)
+  for (uint64_t i = 0; i < MEAN_SAMPLE_PROGRAMS; i++)
     {
       struct Random random = random_seeded (1000003, i);
       struct WorkProgram program;
 
-      program_fill (ctx, engine, &random, kind_draw (&random), &program);
+      program_fill (ctx, engine, &random, draw_kind (&random), &program);
       sum += program.work_ms;
     }
   talloc_free (ctx);
-  return sum / SAMPLE_PROGRAMS;
+  return sum / MEAN_SAMPLE_PROGRAMS;
 }
 
-/* Rate at this moment, relative to the mean. */
+/* Returns the arrival rate at now_ms relative to the mean. */
 static double
 shape_rate (const struct WorkOptions *options, double now_ms)
 {
-  double share = now_ms / options->duration_ms;
+  double progress = now_ms / options->duration_ms;
 
   if (options->shape != ARRIVAL_DAWN)
     return 1;
-  return share >= 0.25 && share < 0.5 ? 2.0 : 2.0 / 3;
+  return progress >= 0.25 && progress < 0.5 ? 2.0 : 2.0 / 3;
 }
 
 static struct WorkProgram *
 workload_add (struct Workload *work)
 {
-  size_t room = talloc_array_length (work->programs);
+  size_t capacity = talloc_array_length (work->programs);
 
-  if (work->n_programs == room)
-    work->programs =
-        talloc_realloc (work, work->programs, struct WorkProgram, room > 0 ? room * 2 : 256);
+  if (work->n_programs == capacity)
+    work->programs = talloc_realloc (work, work->programs, struct WorkProgram,
+                                     capacity > 0 ? capacity * 2 : 256);
   return &work->programs[work->n_programs++];
 }
 
 static void
 workload_add_export (struct Workload *work, const struct WorkOptions *options)
 {
-  /* As much work as a fifth of the whole time's. */
+  /* The export's work is a fifth of the configured load over the whole run. */
   double left = options->n_engines * options->duration_ms * 0.2 * options->load;
 
   for (uint64_t i = 0; left > 0; i++)
@@ -296,7 +295,7 @@
       if (now >= options->duration_ms)
         break;
       program = workload_add (work);
-      program_fill (work, options->engine, &random, kind_draw (&random), program);
+      program_fill (work, options->engine, &random, draw_kind (&random), program);
       program->arrival_ms = now;
     }
   if (options->shape == ARRIVAL_NIGHT)
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -1,5 +1,5 @@
-/* Seeded programs like the two deployments': the same seed and load give the same arrivals under
- * every policy. */
+/* Generates programs modelled on the two deployments. The same seed and load give the same arrivals
+ * under every policy. */
 #pragma once
 
 #include <stddef.h>
@@ -18,36 +18,36 @@
 enum ProgramKind
 {
   KIND_SCREENING,   /* hiring-agents */
-  KIND_NEGOTIATION, /* hiring-agents: long pauses in the field */
+  KIND_NEGOTIATION, /* hiring-agents: long tool pauses */
   KIND_ALERT,       /* field-desk: one call */
   KIND_REVIEW,      /* menu-agents: long shared prefix */
-  KIND_QUESTION,    /* kitchen-api: a parent at the counter */
-  KIND_EXPORT,      /* label-export: nightly, in bulk, no hurry */
+  KIND_QUESTION,    /* kitchen-api: interactive, at most three short turns */
+  KIND_EXPORT,      /* label-export: nightly batch, not urgent */
   N_KINDS
 };
 
 struct Turn
 {
-  uint32_t new_tokens; /* that the prompt adds to what the engine has seen of this branch */
+  uint32_t new_tokens; /* prompt tokens beyond the branch's previous context */
   uint32_t generated_tokens;
-  double pause_ms; /* tool time after it */
+  double pause_ms; /* tool time after the turn */
 };
 
-/* The program's own calls, or one sub-agent's. */
+/* The calls of the main branch or of one sub-agent. */
 struct Branch
 {
   struct Turn *turns;
   uint32_t n_turns;
-  uint32_t after_turn; /* sub-agents start after this turn of the main branch, which waits */
+  uint32_t after_turn; /* of the main branch, which waits for the sub-agents started then */
 };
 
 struct WorkProgram
 {
   enum ProgramKind kind;
   double arrival_ms;
-  double patience_ms; /* from arrival to deadline */
-  double ideal_ms;    /* alone on an engine that forgets nothing */
-  double work_ms;     /* engine time of it in a full batch */
+  double time_limit_ms; /* from arrival to deadline */
+  double ideal_ms;      /* latency alone on an engine that evicts nothing */
+  double work_ms;       /* engine time in full batches */
   struct Branch branches[BRANCHES_MAX];
   uint32_t n_branches;
 };
@@ -55,8 +55,8 @@
 enum ArrivalShape
 {
   ARRIVAL_STEADY,
-  ARRIVAL_DAWN, /* a quarter of the time at three times the rate of the rest */
-  ARRIVAL_NIGHT /* steady, and an export that comes all at once */
+  ARRIVAL_DAWN, /* the second quarter at three times the rate of the rest */
+  ARRIVAL_NIGHT /* steady, and a batch export that arrives all at once */
 };
 
 struct WorkOptions
@@ -64,20 +64,20 @@
   const struct EngineParams *engine;
   uint32_t n_engines;
   uint64_t seed;
-  double load; /* share of what engines could do with full batches and nothing computed twice */
-  double duration_ms; /* of arrivals */
+  double load; /* as a fraction of the throughput of full batches which compute no prefix twice */
+  double duration_ms; /* period in which programs arrive */
   enum ArrivalShape shape;
 };
 
 struct Workload
 {
-  struct WorkProgram *programs; /* by arrival */
+  struct WorkProgram *programs; /* in the order of their arrival */
   size_t n_programs;
 };
 
 extern const char *const kind_services[N_KINDS];
 
-/* Engine time of one turn in a full batch, when its prefix is cached. */
+/* Returns the engine time of one turn in a full batch with its prefix cached. */
 double
 turn_work_ms (const struct EngineParams *engine, const struct Turn *turn);
 
