--- a/bench/decide_bench.c
+++ b/bench/decide_bench.c
@@ -1,9 +1,9 @@
-/* What a gateway's decisions on a request cost, by the size of the configuration.
+/* Measures the time of a gateway's decisions on a request by the size of the configuration.
  *
  * decide_bench [--rounds N]
  *
- * Prints a JSON line for each decision and size: nanoseconds a request, and the bytes of the table
- * that it looks into. Run it twice and compare within one machine only. */
+ * Prints a JSON line for each decision and size: nanoseconds per request, and the bytes of the
+ * table that is searched. Run it twice, and compare figures of the same instance only. */
 #include <buckthornhead/customers/quota.h>
 #include <buckthornhead/route.h>
 
@@ -15,7 +15,7 @@
 enum
 {
   ROUNDS = 200000,
-  KEYS_A_CUSTOMER = 3
+  KEYS_PER_CUSTOMER = 3
 };
 
 static int64_t
@@ -28,10 +28,10 @@
 }
 
 static void
-report (const char *what, uint32_t size, int64_t took_ns, uint32_t rounds, size_t n_bytes)
+report (const char *decision, uint32_t size, int64_t elapsed_ns, uint32_t rounds, size_t n_bytes)
 {
-  printf ("{\"decision\":\"%s\",\"size\":%u,\"ns_a_request\":%.1f,\"table_bytes\":%zu}\n", what,
-          size, (double)took_ns / rounds, n_bytes);
+  printf ("{\"decision\":\"%s\",\"size\":%u,\"ns_a_request\":%.1f,\"table_bytes\":%zu}\n", decision,
+          size, (double)elapsed_ns / rounds, n_bytes);
 }
 
 static void
@@ -75,7 +75,7 @@
 
       snprintf (customer.name, sizeof customer.name, "customer-%u", i);
       customer_table_add (table, &customer, &fault);
-      for (uint32_t k = 0; k < KEYS_A_CUSTOMER; k++)
+      for (uint32_t k = 0; k < KEYS_PER_CUSTOMER; k++)
         {
           snprintf (key, sizeof key, "j3nr26tta828m82t%uk%u", i, k);
           customer_table_add_key (table, key, &fault);
@@ -94,7 +94,7 @@
   for (uint32_t i = 0; i < rounds; i++)
     {
       int n = snprintf (key, sizeof key, "j3nr26tta828m82t%uk%u", i * 7919 % n_customers,
-                        i % KEYS_A_CUSTOMER);
+                        i % KEYS_PER_CUSTOMER);
 
       n_found += customer_table_find_key (table, key, (size_t)n) != NULL;
     }
@@ -127,7 +127,7 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_int *rounds = arg_int0 (NULL, "rounds", "N", "requests a line (200000)");
+  struct arg_int *rounds = arg_int0 (NULL, "rounds", "N", "requests per line (200000)");
   struct arg_end *end = arg_end (4);
   void *table[] = { rounds, end };
   static const uint32_t routes[] = { 50, 500, 1900 }, customers[] = { 79, 7300 };
--- a/bench/ledger_bench.c
+++ b/bench/ledger_bench.c
@@ -1,8 +1,8 @@
-/* What a home holds and spends for its programs: bytes of a waiting program, time of a turn, time
- * of the sweeps, by the number of programs.
+/* Measures a home's memory and time by its number of programs: bytes per program and turn, time to
+ * create a program, per turn, and per sweep over all programs.
  *
- * ledger_bench [N...]: a JSON line for each N programs (1,000, 10,000 and 100,000 by default), each
- * with 4 turns of 64 bytes of request and 256 bytes of answer. */
+ * ledger_bench [N...]: prints a JSON line for each N programs (1,000, 10,000, and 100,000 by
+ * default). Each program has 4 turns with a request of 64 bytes and a response of 256 bytes. */
 #include <buckthornhead/ledger.h>
 
 #include <inttypes.h>
@@ -15,11 +15,11 @@
 {
   TURNS = 4,
   REQUEST_BYTES = 64,
-  ANSWER_BYTES = 256
+  RESPONSE_BYTES = 256
 };
 
 static uint8_t request_text[REQUEST_BYTES];
-static uint8_t answer_text[ANSWER_BYTES];
+static uint8_t response_text[RESPONSE_BYTES];
 
 static int64_t
 now_us (void)
@@ -37,30 +37,30 @@
 }
 
 static int32_t
-create (struct Ledger *ledger, uint32_t i)
+create_program (struct Ledger *ledger, uint32_t i)
 {
-  struct Record want = { .kind = RECORD_PROGRAM, .partition = i % 64, .epoch = 1 };
+  struct Record record = { .kind = RECORD_PROGRAM, .partition = i % 64, .epoch = 1 };
   struct Fault fault;
   bool exists;
   int32_t error;
 
-  program_name (want.program.program, sizeof want.program.program, i);
-  snprintf (want.program.service, sizeof want.program.service, "bench");
-  want.program.budget_tokens = 1000000;
-  want.program.grant_tokens = 50000;
-  error = ledger_create_program (ledger, &want, &exists, &fault);
-  return error == ERROR_NONE ? ledger_apply (ledger, &want) : error;
+  program_name (record.program.program, sizeof record.program.program, i);
+  snprintf (record.program.service, sizeof record.program.service, "bench");
+  record.program.budget_tokens = 1000000;
+  record.program.grant_tokens = 50000;
+  error = ledger_create_program (ledger, &record, &exists, &fault);
+  return error == ERROR_NONE ? ledger_apply (ledger, &record) : error;
 }
 
 static int32_t
-turn (struct Ledger *ledger, uint32_t i, uint64_t sequence)
+run_turn (struct Ledger *ledger, uint32_t i, uint64_t sequence)
 {
   struct Call call = { .idempotent = true, .max_tokens = 64, .prompt_tokens = 16 };
   struct Outcome outcome = { .ran = RAN_YES,
                              .status = 200,
                              .charge_tokens = 80,
-                             .answer = answer_text,
-                             .answer_bytes = ANSWER_BYTES };
+                             .answer = response_text,
+                             .answer_bytes = RESPONSE_BYTES };
   struct LedgerDecision decision;
   struct Record record;
   int32_t error;
@@ -84,7 +84,7 @@
 }
 
 static void
-count_program (void *data, const struct LedgerProgramView *view)
+count_turns (void *data, const struct LedgerProgramView *view)
 {
   *(uint64_t *)data += view->turns;
 }
@@ -98,7 +98,7 @@
 }
 
 static int
-run (uint32_t n)
+bench_programs (uint32_t n)
 {
   struct Ledger *ledger = ledger_new (NULL);
   size_t empty_bytes = talloc_total_size (ledger);
@@ -109,17 +109,17 @@
 
   start_us = now_us ();
   for (uint32_t i = 0; i < n && error == ERROR_NONE; i++)
-    error = create (ledger, i);
+    error = create_program (ledger, i);
   created_us = now_us () - start_us;
   created_bytes = talloc_total_size (ledger) - empty_bytes;
   start_us = now_us ();
   for (uint64_t t = 1; t <= TURNS; t++)
     for (uint32_t i = 0; i < n && error == ERROR_NONE; i++)
-      error = turn (ledger, i, t);
+      error = run_turn (ledger, i, t);
   turns_us = now_us () - start_us;
   full_bytes = talloc_total_size (ledger) - empty_bytes;
   start_us = now_us ();
-  ledger_each_program (ledger, count_program, &n_turns);
+  ledger_each_program (ledger, count_turns, &n_turns);
   sweep_us = now_us () - start_us;
   start_us = now_us ();
   ledger_each_held (ledger, count_held, &n_held);
@@ -142,10 +142,10 @@
   if (argc > 1)
     {
       for (int i = 1; i < argc; i++)
-        status |= run ((uint32_t)strtoul (argv[i], NULL, 10));
+        status |= bench_programs ((uint32_t)strtoul (argv[i], NULL, 10));
       return status;
     }
   for (size_t i = 0; i < sizeof defaults / sizeof defaults[0]; i++)
-    status |= run (defaults[i]);
+    status |= bench_programs (defaults[i]);
   return status;
 }
--- a/bench/path_bench.c
+++ b/bench/path_bench.c
@@ -1,12 +1,12 @@
-/* What the system itself adds to a call.
+/* Measures the latency that the system adds to a call.
  *
  * path_bench --direct IP:PORT --through IP:PORT [--through IP:PORT] --service NAME
  *            [--callers N] [--calls N] [--pause-ms N] [--not-idempotent]
  *
- * Each caller runs one program, call after call over a connection it keeps, against a plain service
- * that answers at once: first straight to the service, then through each instance given. Prints a
- * JSON line a target with calls a second and the latency's percentiles, and the ratio to the direct
- * one. */
+ * Each caller runs one program, call after call over a persistent connection, against a service
+ * that responds immediately: first directly, then through each instance given. Prints a JSON line
+ * per target with calls per second, percentiles of the latency, and the difference between its
+ * median and that of the direct run. */
 #include <argtable2.h>
 #include <inttypes.h>
 #include <pthread.h>
@@ -27,7 +27,7 @@
   URL_BYTES = 256
 };
 
-/* What one run is about. */
+/* The service itself (direct), or an instance in front of it. */
 struct Target
 {
   const char *address;
@@ -47,7 +47,7 @@
   const struct Run *run;
   uint32_t number;
   pthread_t thread;
-  int64_t *took_us;
+  int64_t *latency_us;
   uint32_t n_failed;
 };
 
@@ -61,7 +61,7 @@
 }
 
 static size_t
-ignore_body (char *bytes, size_t size, size_t n, void *data)
+discard_body (char *bytes, size_t size, size_t n, void *data)
 {
   (void)bytes;
   (void)data;
@@ -121,7 +121,7 @@
   struct curl_slist *headers = call_headers (run);
   char program[64], url[URL_BYTES];
 
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, ignore_body);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, discard_body);
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, 30000L);
   snprintf (program, sizeof program, "bench-%ld-%" PRId64 "-%u", (long)getpid (), now_us (),
@@ -139,7 +139,7 @@
                   run->target->address, program, i + 1);
       start_us = now_us ();
       caller->n_failed += !post (easy, url, headers, "{\"n\":1}");
-      caller->took_us[i] = now_us () - start_us;
+      caller->latency_us[i] = now_us () - start_us;
       usleep (run->pause_ms * 1000);
     }
   curl_slist_free_all (headers);
@@ -155,17 +155,17 @@
   return (*x > *y) - (*x < *y);
 }
 
-/* Median of the direct run, which the others are compared to. */
+/* Median latency of the direct run, with which the others are compared. */
 static int64_t direct_p50_us;
 
 static void
-report (const struct Run *run, int64_t *took_us, size_t n, int64_t wall_us, uint32_t n_failed)
+report (const struct Run *run, int64_t *latency_us, size_t n, int64_t wall_us, uint32_t n_failed)
 {
   int64_t p50_us, p99_us;
 
-  qsort (took_us, n, sizeof *took_us, compare_us);
-  p50_us = took_us[n / 2];
-  p99_us = took_us[n * 99 / 100];
+  qsort (latency_us, n, sizeof *latency_us, compare_us);
+  p50_us = latency_us[n / 2];
+  p99_us = latency_us[n * 99 / 100];
   if (run->target->direct)
     direct_p50_us = p50_us;
   printf ("{\"target\":\"%s\",\"direct\":%s,\"idempotent\":%s,\"calls\":%zu,\"failed\":%u,"
@@ -181,7 +181,7 @@
 run_target (const struct Run *run, uint32_t n_callers)
 {
   struct Caller *callers = calloc (n_callers, sizeof *callers);
-  int64_t *took_us = calloc ((size_t)n_callers * run->n_calls, sizeof *took_us);
+  int64_t *latency_us = calloc ((size_t)n_callers * run->n_calls, sizeof *latency_us);
   int64_t start_us = now_us ();
   uint32_t n_failed = 0;
 
@@ -189,7 +189,7 @@
     {
       callers[i].run = run;
       callers[i].number = i;
-      callers[i].took_us = took_us + (size_t)i * run->n_calls;
+      callers[i].latency_us = latency_us + (size_t)i * run->n_calls;
       pthread_create (&callers[i].thread, NULL, caller_run, &callers[i]);
     }
   for (uint32_t i = 0; i < n_callers; i++)
@@ -197,8 +197,8 @@
       pthread_join (callers[i].thread, NULL);
       n_failed += callers[i].n_failed;
     }
-  report (run, took_us, (size_t)n_callers * run->n_calls, now_us () - start_us, n_failed);
-  free (took_us);
+  report (run, latency_us, (size_t)n_callers * run->n_calls, now_us () - start_us, n_failed);
+  free (latency_us);
   free (callers);
   return n_failed > 0;
 }
@@ -206,16 +206,18 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_str *direct = arg_str1 (NULL, "direct", "IP:PORT", "the plain service itself");
+  struct arg_str *direct = arg_str1 (NULL, "direct", "IP:PORT", "address of the service itself");
   struct arg_str *through =
       arg_strn (NULL, "through", "IP:PORT", 0, TARGETS_MAX, "an instance in front of it");
-  struct arg_str *service = arg_str1 (NULL, "service", "NAME", "the service's name there");
-  struct arg_int *callers = arg_int0 (NULL, "callers", "N", "at once (1)");
-  struct arg_int *calls = arg_int0 (NULL, "calls", "N", "of each caller (500)");
-  struct arg_int *pause = arg_int0 (NULL, "pause-ms", "N", "between a caller's calls (0)");
-  struct arg_lit *once = arg_lit0 (NULL, "not-idempotent", "calls that may run once only");
+  struct arg_str *service =
+      arg_str1 (NULL, "service", "NAME", "the service's name at the instances");
+  struct arg_int *callers = arg_int0 (NULL, "callers", "N", "concurrent callers (1)");
+  struct arg_int *calls = arg_int0 (NULL, "calls", "N", "calls per caller (500)");
+  struct arg_int *pause = arg_int0 (NULL, "pause-ms", "N", "pause between a caller's calls (0)");
+  struct arg_lit *not_idempotent =
+      arg_lit0 (NULL, "not-idempotent", "send the calls as not idempotent");
   struct arg_end *end = arg_end (8);
-  void *argtable[] = { direct, through, service, callers, calls, pause, once, end };
+  void *argtable[] = { direct, through, service, callers, calls, pause, not_idempotent, end };
   uint32_t n_callers;
   int status = 0;
 
@@ -235,7 +237,7 @@
     {
       struct Target target = { i < 0 ? direct->sval[0] : through->sval[i], i < 0 };
       struct Run run = { &target, service->sval[0], (uint32_t)calls->ival[0],
-                         (uint32_t)pause->ival[0], once->count == 0 };
+                         (uint32_t)pause->ival[0], not_idempotent->count == 0 };
 
       status |= run_target (&run, n_callers);
     }
--- a/bench/policy_cost.c
+++ b/bench/policy_cost.c
@@ -1,5 +1,5 @@
-/* What one decision costs: placement over N servers, and a call's way through a queue in which M
- * programs wait already. Prints a table; asserts nothing. */
+/* Measures the time of policy decisions: placement over N servers, and the steps of a call through
+ * a queue in which M programs wait. Prints a table and checks nothing. */
 #include <buckthornhead/policy.h>
 
 #include <stdio.h>
@@ -30,13 +30,13 @@
 }
 
 static void
-name_program (char *name, size_t bytes, uint64_t i)
+program_name (char *name, size_t bytes, uint64_t i)
 {
   snprintf (name, bytes, "program-%llu", (unsigned long long)i);
 }
 
 static double
-cost_of_placement (size_t n_servers)
+measure_placement (size_t n_servers)
 {
   static struct PolicyServer servers[SERVERS_MAX];
   static struct Call calls[PROGRAMS];
@@ -57,7 +57,7 @@
   for (size_t i = 0; i < PROGRAMS; i++)
     {
       memset (&calls[i], 0, sizeof calls[i]);
-      name_program (calls[i].key.program, sizeof calls[i].key.program, i);
+      program_name (calls[i].key.program, sizeof calls[i].key.program, i);
       snprintf (calls[i].key.branch, sizeof calls[i].key.branch, "%s", MAIN_BRANCH);
       calls[i].prompt_tokens = 4000;
       placement_learn (placement, &calls[i], servers[i % n_servers].name, &outcome, 0);
@@ -76,21 +76,21 @@
 }
 
 static struct DispatchItem
-cost_item (uint64_t id)
+make_item (uint64_t id)
 {
   struct DispatchItem item = { .id = id,
                                .prompt_tokens = 1000 + (uint32_t)(id * 7919 % 8000),
                                .max_tokens = 200,
                                .attained_tokens = id * 104729 % 100000 };
 
-  name_program (item.program, sizeof item.program, id);
+  program_name (item.program, sizeof item.program, id);
   snprintf (item.service, sizeof item.service, "service-%d", (int)(id % 5));
   return item;
 }
 
-/* Push, pop, first token and end of one call while n_waiting others wait. */
+/* Returns the time of push, pop, first token, and end of a call while n_waiting others wait. */
 static double
-cost_of_queue (size_t n_waiting, size_t *n_sent)
+measure_queue (size_t n_waiting, size_t *n_sent)
 {
   struct DispatchQueue *queue = dispatch_queue_new (NULL, 32);
   struct Outcome outcome = { .charge_tokens = 5000, .cached_tokens = 100 };
@@ -102,7 +102,7 @@
   dispatch_queue_report_cache (queue, 100000);
   for (size_t i = 0; i < n_waiting; i++)
     {
-      struct DispatchItem item = cost_item (++id);
+      struct DispatchItem item = make_item (++id);
 
       dispatch_queue_push (queue, &weights, &item, (uint32_t)id, now, &retry_after_ms, &fault);
     }
@@ -110,7 +110,7 @@
   begin = clock_ns ();
   for (size_t i = 0; i < ROUNDS; i++)
     {
-      struct DispatchItem item = cost_item (++id);
+      struct DispatchItem item = make_item (++id);
 
       now += 10;
       dispatch_queue_push (queue, &weights, &item, (uint32_t)id, now, &retry_after_ms, &fault);
@@ -132,16 +132,17 @@
   static const size_t servers[] = { 3, 9, 20, 200, 2000 };
   static const size_t waiting[] = { 0, 10, 100, 1000, 10000, 100000 };
 
-  puts ("placement_choose over 20,000 known programs");
+  puts ("placement_choose, 20,000 programs in the table");
   for (size_t i = 0; i < sizeof servers / sizeof servers[0]; i++)
-    printf ("  %5zu servers   %7.0f ns a decision\n", servers[i], cost_of_placement (servers[i]));
-  puts ("push, pop, first token and end of a call");
+    printf ("  %5zu servers   %7.0f ns per decision\n", servers[i], measure_placement (servers[i]));
+  puts ("push, pop, first token, and end of a call");
   for (size_t i = 0; i < sizeof waiting / sizeof waiting[0]; i++)
     {
       size_t n_sent;
-      double ns = cost_of_queue (waiting[i], &n_sent);
+      double ns = measure_queue (waiting[i], &n_sent);
 
-      printf ("  %6zu waiting  %7.0f ns a call, %zu of %d sent\n", waiting[i], ns, n_sent, ROUNDS);
+      printf ("  %6zu waiting  %7.0f ns per call, %zu of %d sent\n", waiting[i], ns, n_sent,
+              ROUNDS);
     }
   return 0;
 }
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -1,8 +1,8 @@
-/* How long a replay takes against the length of the journal.
+/* Measures the time to replay a journal by its length.
  *
- * Usage: replay KV_URL. Against a key-value service over HTTP, for each of four sizes: writes a
- * journal of as many slots, seals and reads it, applies its records and packs the snapshots, and
- * prints one JSON object with the times of each. */
+ * Usage: replay KV_URL. For each of four sizes, writes a journal with that number of slots to a
+ * key-value service over HTTP, seals and reads it, applies its records, and packs the snapshots.
+ * Prints one JSON object per size with the time of each step. */
 #include <buckthornhead/curl_loop.h>
 #include <buckthornhead/error.h>
 #include <buckthornhead/journal.h>
@@ -19,7 +19,7 @@
 {
   TURNS_PER_SLOT = 40,
   TURNS_PER_PROGRAM = 20,
-  BODY_BYTES = 2048, /* of a request, and of an answer */
+  BODY_BYTES = 2048, /* of each request, and of each response */
   KV_TIMEOUT_MS = 10000
 };
 
@@ -29,8 +29,8 @@
   struct KvPort *kv;
   struct TimerService *timers;
   struct Ledger *ledger;
-  uint32_t n_waiting;
-  bool read;
+  uint32_t n_appending;
+  bool read_done;
   int32_t error;
   size_t n_records;
   double read_ms, apply_ms;
@@ -51,7 +51,7 @@
 {
   struct Bench *bench = data;
 
-  bench->n_waiting--;
+  bench->n_appending--;
   if (error != ERROR_NONE)
     bench->error = error;
 }
@@ -60,7 +60,7 @@
 append (struct Bench *bench, struct Journal *journal, const struct Record *record)
 {
   if (journal_append (journal, record, on_written, bench) == ERROR_NONE)
-    bench->n_waiting++;
+    bench->n_appending++;
 }
 
 static void
@@ -102,7 +102,7 @@
     {
       for (uint32_t i = 0; i < TURNS_PER_SLOT; i++)
         append_turn (bench, journal, slot * TURNS_PER_SLOT + i);
-      while (bench->n_waiting > 0 && tevent_loop_once (bench->events) == 0)
+      while (bench->n_appending > 0 && tevent_loop_once (bench->events) == 0)
         ;
     }
   talloc_free (journal);
@@ -114,7 +114,7 @@
   struct Bench *bench = data;
   double start_ms = now_ms ();
 
-  bench->read = true;
+  bench->read_done = true;
   bench->read_ms = start_ms - bench->start_ms;
   if (replay->error != ERROR_NONE)
     bench->error = replay->error;
@@ -126,7 +126,7 @@
 }
 
 static int32_t
-run (struct Bench *bench, uint32_t n_slots)
+bench_replay (struct Bench *bench, uint32_t n_slots)
 {
   char incarnation[32];
   struct Record *snapshots;
@@ -134,14 +134,14 @@
   double snapshot_ms;
 
   snprintf (incarnation, sizeof incarnation, "bench.%" PRIu32, n_slots);
-  bench->read = false;
+  bench->read_done = false;
   bench->n_records = 0;
   bench->ledger = ledger_new (bench);
   write_journal (bench, incarnation, n_slots);
   bench->start_ms = now_ms ();
   journal_seal_and_read (bench, bench->kv, bench->timers, "bench/", incarnation, "taker.1", on_read,
                          bench);
-  while (!bench->read && tevent_loop_once (bench->events) == 0)
+  while (!bench->read_done && tevent_loop_once (bench->events) == 0)
     ;
   snapshot_ms = now_ms ();
   ledger_adopt_partition (bench->ledger, bench->ledger, 0, 2, false, &snapshots, &n_snapshots);
@@ -173,7 +173,7 @@
   bench->timers = timer_tevent_new (bench, bench->events);
   bench->kv = kv_http_new (bench, curl_loop_new (bench, bench->events), argv[1], KV_TIMEOUT_MS);
   for (size_t i = 0; i < sizeof sizes / sizeof sizes[0] && error == ERROR_NONE; i++)
-    error = run (bench, sizes[i]);
+    error = bench_replay (bench, sizes[i]);
   talloc_free (bench);
   return error == ERROR_NONE ? 0 : 1;
 }
