--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -1,9 +1,9 @@
-/* Randomized soak: the real programs as processes of this machine, faults from outside them, and
- * the promises of the pages checked from what callers and servers see.
+/* Randomized soak test: runs gateways and archives as processes, injects faults from outside them,
+ * and checks the documented guarantees by what callers and servers observe.
  *
  *   soak --seed N --seeds COUNT --seconds S
  *
- * Prints each fault as it begins; a violation keeps the processes' logs and fails the run. */
+ * Prints each fault when it begins. A violation fails the run and keeps the processes' logs. */
 #include "soak_load.h"
 #include "soak_plan.h"
 #include "soak_proxy.h"
@@ -25,8 +25,8 @@
   DELAY_MAX_MS = 250
 };
 
-/* What an event holds until it is over. */
-struct Running
+/* An event, and whether it has begun and not ended. */
+struct ActiveEvent
 {
   struct SoakEvent event;
   bool active;
@@ -36,15 +36,15 @@
 {
   struct Fleet *fleet;
   struct SoakLoad load;
-  struct Proxy *proxies[N_PROXIES]; /* of gateways, then archives, then the store */
+  struct Proxy *proxies[N_PROXIES]; /* in the order of their creation; see soak_proxy */
   size_t n_proxies;
-  bool busy[N_GATEWAYS + N_ARCHIVES]; /* an event has this process */
+  bool busy[N_GATEWAYS + N_ARCHIVES]; /* by process: an event is active on it */
   bool links_busy[N_PROXIES], store_busy, servers_busy;
   uint64_t version;
 };
 
 static uint16_t
-soak_forward (void *data, uint16_t target)
+soak_add_proxy (void *data, uint16_t target)
 {
   struct Soak *soak = data;
   uint16_t port = session_port (soak->fleet->session);
@@ -56,36 +56,37 @@
   return port;
 }
 
-/* The place of a forwarder: the store's is made first, then the archives', then the gateways'. */
+/* Returns the proxy in front of a process or the store. The store's is created first, then the
+ * archives', then the gateways'. */
 static struct Proxy *
-soak_proxy (const struct Soak *soak, uint32_t of)
+soak_proxy (const struct Soak *soak, uint32_t node)
 {
-  if (of == STORE_PROXY)
+  if (node == STORE_PROXY)
     return soak->proxies[0];
-  if (of < N_GATEWAYS)
-    return soak->proxies[1 + N_ARCHIVES + of];
-  return soak->proxies[1 + of - N_GATEWAYS];
+  if (node < N_GATEWAYS)
+    return soak->proxies[1 + N_ARCHIVES + node];
+  return soak->proxies[1 + node - N_GATEWAYS];
 }
 
 static struct Process *
-soak_process (const struct Soak *soak, uint32_t of)
+soak_process (const struct Soak *soak, uint32_t node)
 {
-  return of < N_GATEWAYS ? soak->fleet->gateways[of].process
-                         : soak->fleet->archives[of - N_GATEWAYS].process;
+  return node < N_GATEWAYS ? soak->fleet->gateways[node].process
+                           : soak->fleet->archives[node - N_GATEWAYS].process;
 }
 
 static void
-soak_restart (struct Soak *soak, uint32_t of)
+soak_restart (struct Soak *soak, uint32_t node)
 {
-  process_kill (soak_process (soak, of));
-  if (of < N_GATEWAYS)
-    gateway_start (soak->fleet, of);
+  process_kill (soak_process (soak, node));
+  if (node < N_GATEWAYS)
+    gateway_start (soak->fleet, node);
   else
-    archive_start (soak->fleet, of - N_GATEWAYS, false);
+    archive_start (soak->fleet, node - N_GATEWAYS, false);
 }
 
 static bool
-take (bool *busy)
+claim (bool *busy)
 {
   if (*busy)
     return false;
@@ -109,37 +110,37 @@
 }
 
 static bool
-begin_link (struct Soak *soak, uint32_t of, const struct SoakEvent *event)
+begin_link (struct Soak *soak, uint32_t node, const struct SoakEvent *event)
 {
-  if (!take (&soak->links_busy[of]))
+  if (!claim (&soak->links_busy[node]))
     return false;
-  proxy_set (soak_proxy (soak, of), 1 + event->how % (N_PROXY_MODES - 1),
-             1 + event->how % DELAY_MAX_MS);
+  proxy_set (soak_proxy (soak, node), 1 + event->variant % (N_PROXY_MODES - 1),
+             1 + event->variant % DELAY_MAX_MS);
   return true;
 }
 
 static bool
 begin_process (struct Soak *soak, const struct SoakEvent *event)
 {
-  uint32_t of = event_process (event);
+  uint32_t node = event_process (event);
 
-  if (!take (&soak->busy[of]))
+  if (!claim (&soak->busy[node]))
     return false;
   switch (event->fault)
     {
     case SOAK_GATEWAY_TERM:
-      process_signal (soak_process (soak, of), SIGTERM);
+      process_signal (soak_process (soak, node), SIGTERM);
       break;
     case SOAK_GATEWAY_PAUSE:
     case SOAK_ARCHIVE_PAUSE:
-      process_signal (soak_process (soak, of), SIGSTOP);
+      process_signal (soak_process (soak, node), SIGSTOP);
       break;
     case SOAK_ARCHIVE_WIPE:
-      process_kill (soak_process (soak, of));
-      archive_wipe (soak->fleet, of - N_GATEWAYS);
+      process_kill (soak_process (soak, node));
+      archive_wipe (soak->fleet, node - N_GATEWAYS);
       break;
     default:
-      process_kill (soak_process (soak, of));
+      process_kill (soak_process (soak, node));
     }
   return true;
 }
@@ -150,28 +151,28 @@
   static const enum ServerMode modes[] = { SERVER_FULL, SERVER_LOSES, SERVER_BREAKS_OFF,
                                            SERVER_SPOILS, SERVER_HANGS };
 
-  if (!take (&soak->servers_busy))
+  if (!claim (&soak->servers_busy))
     return false;
   server_set_mode (soak->fleet->installation, event->target % (DESK + 1),
-                   modes[event->how % (sizeof modes / sizeof modes[0])]);
+                   modes[event->variant % (sizeof modes / sizeof modes[0])]);
   return true;
 }
 
 static bool
 begin_kill_all (struct Soak *soak)
 {
-  for (uint32_t of = 0; of < N_GATEWAYS + N_ARCHIVES; of++)
-    if (soak->busy[of])
+  for (uint32_t node = 0; node < N_GATEWAYS + N_ARCHIVES; node++)
+    if (soak->busy[node])
       return false;
-  for (uint32_t of = 0; of < N_GATEWAYS + N_ARCHIVES; of++)
+  for (uint32_t node = 0; node < N_GATEWAYS + N_ARCHIVES; node++)
     {
-      soak->busy[of] = true;
-      process_signal (soak_process (soak, of), SIGKILL);
+      soak->busy[node] = true;
+      process_signal (soak_process (soak, node), SIGKILL);
     }
   return true;
 }
 
-/* False when something else holds what the event wants. */
+/* Begins an event. Returns false when another one is active on the same target. */
 static bool
 event_begin (struct Soak *soak, const struct SoakEvent *event)
 {
@@ -183,10 +184,10 @@
     case SOAK_STORE_LINK:
       return begin_link (soak, STORE_PROXY, event);
     case SOAK_STORE:
-      if (!take (&soak->store_busy))
+      if (!claim (&soak->store_busy))
         return false;
       installation_set_store (soak->fleet->installation,
-                              event->how % 2 == 0 ? STORE_REFUSES : STORE_SILENT);
+                              event->variant % 2 == 0 ? STORE_REFUSES : STORE_SILENT);
       return true;
     case SOAK_SERVER:
       return begin_server (soak, event);
@@ -203,20 +204,20 @@
 static void
 end_process (struct Soak *soak, const struct SoakEvent *event)
 {
-  uint32_t of = event_process (event);
+  uint32_t node = event_process (event);
 
   if (event->fault == SOAK_GATEWAY_PAUSE || event->fault == SOAK_ARCHIVE_PAUSE)
-    process_signal (soak_process (soak, of), SIGCONT);
+    process_signal (soak_process (soak, node), SIGCONT);
   else
-    soak_restart (soak, of);
-  soak->busy[of] = false;
+    soak_restart (soak, node);
+  soak->busy[node] = false;
 }
 
 static void
-end_link (struct Soak *soak, uint32_t of)
+end_link (struct Soak *soak, uint32_t node)
 {
-  proxy_set (soak_proxy (soak, of), PROXY_PASSES, 0);
-  soak->links_busy[of] = false;
+  proxy_set (soak_proxy (soak, node), PROXY_FORWARD, 0);
+  soak->links_busy[node] = false;
 }
 
 static void
@@ -242,10 +243,10 @@
     case SOAK_CONFIG:
       break;
     case SOAK_KILL_ALL:
-      for (uint32_t of = 0; of < N_GATEWAYS + N_ARCHIVES; of++)
+      for (uint32_t node = 0; node < N_GATEWAYS + N_ARCHIVES; node++)
         {
-          soak_restart (soak, of);
-          soak->busy[of] = false;
+          soak_restart (soak, node);
+          soak->busy[node] = false;
         }
       break;
     default:
@@ -256,7 +257,7 @@
 static void
 soak_play (struct Soak *soak, const struct SoakEvent *events, size_t n_events, int64_t length_ms)
 {
-  static struct Running running[SOAK_EVENTS_MAX];
+  static struct ActiveEvent running[SOAK_EVENTS_MAX];
   int64_t start_ms = monotonic_ms (), now_ms = 0;
   size_t next = 0, n_active = 0;
 
@@ -265,14 +266,14 @@
       now_ms = monotonic_ms () - start_ms;
       for (; next < n_events && events[next].at_ms <= now_ms; next++)
         {
-          running[next] = (struct Running){ events[next], event_begin (soak, &events[next]) };
+          running[next] = (struct ActiveEvent){ events[next], event_begin (soak, &events[next]) };
           n_active += running[next].active;
           if (running[next].active)
             printf ("%6lld ms: %s for %lld ms\n", (long long)now_ms,
-                    soak_fault_name (events[next].fault), (long long)events[next].for_ms);
+                    soak_fault_name (events[next].fault), (long long)events[next].duration_ms);
         }
       for (size_t i = 0; i < next; i++)
-        if (running[i].active && events[i].at_ms + events[i].for_ms <= now_ms)
+        if (running[i].active && events[i].at_ms + events[i].duration_ms <= now_ms)
           {
             event_end (soak, &events[i]);
             running[i].active = false;
@@ -294,7 +295,7 @@
   printf ("seed %llu, %zu faults\n", (unsigned long long)seed, n_events);
   soak->version = 1;
   soak->fleet = fleet_new (ctx);
-  fleet_start_all (soak->fleet, N_GATEWAYS, N_ARCHIVES, soak_forward, soak);
+  fleet_start_all (soak->fleet, N_GATEWAYS, N_ARCHIVES, soak_add_proxy, soak);
   installation_set_customers (soak->fleet->installation, soak_customers);
   installation_configure (soak->fleet->installation, ++soak->version, "");
   for (uint32_t i = 0; i < N_GATEWAYS; i++)
@@ -305,8 +306,8 @@
   soak_load_start (&soak->load, N_CALLERS);
   soak_play (soak, events, n_events, length_ms);
   soak_load_end (&soak->load);
-  soak_check_end (&soak->load);
-  printf ("seed %llu: %u programs, %u turns, %u calls, %u sent back, %u unknown, %u violations\n",
+  soak_check_recovery (&soak->load);
+  printf ("seed %llu: %u programs, %u turns, %u calls, %u rejected, %u unknown, %u violations\n",
           (unsigned long long)seed, counts->n_programs, counts->n_turns, counts->n_calls,
           counts->n_refused, counts->n_unknown, counts->n_violations);
   fflush (stdout);
@@ -321,9 +322,9 @@
 int
 main (int argc, char *argv[])
 {
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed; 1 unless given");
-  struct arg_int *seeds = arg_int0 (NULL, "seeds", "COUNT", "how many seeds; 1 unless given");
-  struct arg_int *seconds = arg_int0 (NULL, "seconds", "S", "of faults a seed; 20 unless given");
+  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed (1)");
+  struct arg_int *seeds = arg_int0 (NULL, "seeds", "COUNT", "number of seeds (1)");
+  struct arg_int *seconds = arg_int0 (NULL, "seconds", "S", "duration of the faults per seed (20)");
   struct arg_end *end = arg_end (4);
   void *table[] = { seed, seeds, seconds, end };
   uint32_t n_failed = 0;
--- a/tests/soak/soak_client.c
+++ b/tests/soak/soak_client.c
@@ -9,25 +9,25 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-struct Reading
+struct ResponseReader
 {
   struct ClientReply *reply;
-  bool keep;
+  bool keep_alive;
 };
 
 static int
 on_headers (http_parser *parser)
 {
-  struct Reading *reading = parser->data;
+  struct ResponseReader *reader = parser->data;
 
-  reading->reply->status = parser->status_code;
+  reader->reply->status = parser->status_code;
   return 0;
 }
 
 static int
 on_body (http_parser *parser, const char *bytes, size_t n_bytes)
 {
-  struct ClientReply *reply = ((struct Reading *)parser->data)->reply;
+  struct ClientReply *reply = ((struct ResponseReader *)parser->data)->reply;
 
   if (reply->n_bytes + n_bytes >= CLIENT_TEXT_MAX)
     return -1;
@@ -40,10 +40,10 @@
 static int
 on_complete (http_parser *parser)
 {
-  struct Reading *reading = parser->data;
+  struct ResponseReader *reader = parser->data;
 
-  reading->reply->whole = true;
-  reading->keep = http_should_keep_alive (parser) != 0;
+  reader->reply->complete = true;
+  reader->keep_alive = http_should_keep_alive (parser) != 0;
   return 0;
 }
 
@@ -65,12 +65,12 @@
 client_open (struct ClientLink *link, uint32_t timeout_ms)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_port = htons (link->port) };
-  struct timeval limit = { timeout_ms / 1000, (timeout_ms % 1000) * 1000 };
+  struct timeval timeout = { timeout_ms / 1000, (timeout_ms % 1000) * 1000 };
 
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   link->fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  setsockopt (link->fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
-  setsockopt (link->fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
+  setsockopt (link->fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  setsockopt (link->fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   if (connect (link->fd, (struct sockaddr *)&address, sizeof address) == 0)
     return true;
   client_close (link);
@@ -95,13 +95,13 @@
 static bool
 client_read (struct ClientLink *link, struct ClientReply *reply)
 {
-  struct Reading reading = { reply, false };
+  struct ResponseReader reader = { reply, false };
   http_parser parser;
   char bytes[4096];
 
   http_parser_init (&parser, HTTP_RESPONSE);
-  parser.data = &reading;
-  while (!reply->whole)
+  parser.data = &reader;
+  while (!reply->complete)
     {
       ssize_t n = recv (link->fd, bytes, sizeof bytes, 0);
 
@@ -111,7 +111,7 @@
       if (n == 0 || HTTP_PARSER_ERRNO (&parser) != HPE_OK)
         return false;
     }
-  return reading.keep;
+  return reader.keep_alive;
 }
 
 void
--- a/tests/soak/soak_client.h
+++ b/tests/soak/soak_client.h
@@ -1,5 +1,5 @@
-/* A caller that keeps its connections open and knows exactly what it was told: no library sends
- * anything a second time. */
+/* Blocking HTTP client on persistent connections. It does not use an HTTP library, which might send
+ * a request a second time by itself and hide the first outcome. */
 #pragma once
 
 #include <stdbool.h>
@@ -11,7 +11,7 @@
   CLIENT_TEXT_MAX = 16 * 1024
 };
 
-/* One connection; used again until either side closes it. */
+/* A connection, reused until either side closes it. */
 struct ClientLink
 {
   uint16_t port;
@@ -20,14 +20,15 @@
 
 struct ClientReply
 {
-  uint32_t status; /* 0: no answer began */
-  bool whole;      /* the answer came to its end */
-  bool sent;       /* the request may have been read */
+  uint32_t status; /* 0: no response was started */
+  bool complete;   /* the response was received completely */
+  bool sent;       /* the gateway may have received the request */
   char text[CLIENT_TEXT_MAX];
   size_t n_bytes;
 };
 
-/* One request. headers: lines that end with CR LF. Gives up after timeout_ms without a byte. */
+/* Sends a POST request. headers: lines that end with CR LF. Times out after timeout_ms without a
+ * byte. */
 void
 client_send (struct ClientLink *link,
              const char *path,
--- a/tests/soak/soak_load.c
+++ b/tests/soak/soak_load.c
@@ -10,14 +10,14 @@
 enum
 {
   CALLERS_MAX = 16,
-  EVENTS = 4,       /* of a whole turn, as the stand-ins stream it */
-  MAX_TOKENS = 200, /* of one turn, as its caller declares */
+  EVENTS_PER_TURN = 4, /* as the stand-ins stream them */
+  MAX_TOKENS = 200,    /* of one turn, as its caller declares */
   TURNS_MAX = 5,
-  TRIES_MAX = 12,
+  ATTEMPTS_MAX = 12,
   TIMEOUT_MS = 3000,
   PAUSE_MS = 30,
   HISTORY_MAX = 32 * 1024,
-  RECOVERY_LIMIT_MS = 60000
+  RECOVERY_TIMEOUT_MS = 60000
 };
 
 const char soak_customers[] =
@@ -38,17 +38,17 @@
 };
 
 static struct Caller callers[CALLERS_MAX];
-static uint32_t n_started;
+static uint32_t n_callers_started;
 
-/* A program as its caller knows it. */
+/* A program as its caller tracks it. */
 struct SoakProgram
 {
   char id[32];
-  char last[48]; /* turn that was answered whole; "" for none */
+  char last[48]; /* last turn with a complete response; "" for none */
   char history[HISTORY_MAX];
-  uint32_t budget; /* 0: none */
-  uint32_t handed; /* tokens, at least */
-  uint32_t most;   /* tokens that all attempts may have taken */
+  uint32_t budget_tokens;    /* 0: none */
+  uint32_t received_tokens;  /* lower bound of the tokens received */
+  uint32_t spent_max_tokens; /* upper bound of the tokens that all attempts have spent */
 };
 
 void
@@ -73,7 +73,7 @@
 }
 
 static void
-load_remember (struct SoakLoad *load, char ***ids, size_t *n, const char *id)
+load_record_id (struct SoakLoad *load, char ***ids, size_t *n, const char *id)
 {
   pthread_mutex_lock (&load->lock);
   *ids = realloc (*ids, (*n + 1) * sizeof **ids);
@@ -89,7 +89,7 @@
 }
 
 static uint32_t
-count_of (const char *text, const char *part)
+count_occurrences (const char *text, const char *part)
 {
   uint32_t n = 0;
 
@@ -98,7 +98,8 @@
   return n;
 }
 
-/* Sends through any gateway; true when the answer is a promise that the request never runs. */
+/* Sends a request through a random gateway. Returns true when the response guarantees that the
+ * request never runs. */
 static bool
 caller_send (
     struct Caller *caller, const char *path, const char *id, const char *headers, const char *body)
@@ -115,16 +116,16 @@
   client_send (link, path, all, body, TIMEOUT_MS, reply);
   if (reply->status == 503 || reply->status == 429 || reply->status == 402)
     {
-      load_remember (load, &load->not_run, &load->n_not_run, id);
+      load_record_id (load, &load->not_run, &load->n_not_run, id);
       atomic_fetch_add (&load->counts.n_refused, 1);
       return true;
     }
-  if (!reply->whole && reply->sent)
+  if (!reply->complete && reply->sent)
     atomic_fetch_add (&load->counts.n_unknown, 1);
   return false;
 }
 
-/* What ran, ran in its customer's name, and its server saw no key. */
+/* A request that ran must carry its customer's name and no credential at the server. */
 static void
 check_customer (struct Caller *caller, const char *id)
 {
@@ -137,13 +138,14 @@
   if (installation_runs_of (installation, id) > 0
       && (strcmp (installation_header_of (installation, ctx, id, "X-Tenant"), name) != 0
           || strcmp (installation_header_of (installation, ctx, id, "Authorization"), "") != 0))
-    soak_violation (load, "%s: the server was not told that it is %s's, or saw a key", id, name);
+    soak_violation (load, "%s: X-Tenant at the server is not %s, or it received a credential", id,
+                    name);
   talloc_free (ctx);
 }
 
-/* Another customer names the program's last turn as its own: for it there is none. */
+/* Another customer must not be able to go on from the program's last turn. */
 static void
-check_stranger (struct Caller *caller, const struct SoakProgram *program)
+check_other_customer (struct Caller *caller, const struct SoakProgram *program)
 {
   uint32_t customer = caller->customer;
   char id[48], headers[256];
@@ -158,30 +160,32 @@
   caller->customer = customer;
   if (caller->reply.status == 200
       || installation_runs_of (caller->load->fleet->installation, id) > 0)
-    soak_violation (caller->load, "%s: another customer went on from %s", id, program->last);
+    soak_violation (caller->load, "%s: another customer continued turn %s", id, program->last);
 }
 
-/* A whole turn: the engine got the conversation in order, and the caller the engine's words. */
+/* Checks a complete turn: the engine received the program's history in order, and the caller the
+ * engine's stream. Then appends the turn to the history. */
 static void
 check_turn (struct Caller *caller, struct SoakProgram *program, const char *id, const char *input)
 {
   struct SoakLoad *load = caller->load;
-  char *ran = installation_body_of (load->fleet->installation, NULL, id);
-  char wanted[512] = "";
+  char *body = installation_body_of (load->fleet->installation, NULL, id);
+  char expected[512] = "";
   size_t n = 0;
 
-  for (int i = 1; i <= EVENTS; i++)
-    n += (size_t)snprintf (wanted + n, sizeof wanted - n, "id: %d\ndata: %s-%d\n\n", i, id, i);
-  if (strcmp (caller->reply.text, wanted) != 0)
-    soak_violation (load, "turn %s: its stream is not the engine's", id);
-  if (ran == NULL || strncmp (ran, program->history, strlen (program->history)) != 0
-      || strcmp (ran + strlen (program->history), input) != 0)
-    soak_violation (load, "turn %s of %s: the engine did not get its history", id, program->id);
-  talloc_free (ran);
+  for (int i = 1; i <= EVENTS_PER_TURN; i++)
+    n += (size_t)snprintf (expected + n, sizeof expected - n, "id: %d\ndata: %s-%d\n\n", i, id, i);
+  if (strcmp (caller->reply.text, expected) != 0)
+    soak_violation (load, "turn %s: the stream differs from the engine's", id);
+  if (body == NULL || strncmp (body, program->history, strlen (program->history)) != 0
+      || strcmp (body + strlen (program->history), input) != 0)
+    soak_violation (load, "turn %s of %s: the engine received a different history", id,
+                    program->id);
+  talloc_free (body);
   check_customer (caller, id);
   n = strlen (program->history);
   n += (size_t)snprintf (program->history + n, HISTORY_MAX - n, "%s", input);
-  for (int i = 1; i <= EVENTS; i++)
+  for (int i = 1; i <= EVENTS_PER_TURN; i++)
     n += (size_t)snprintf (program->history + n, HISTORY_MAX - n, "%s-%d\n", id, i);
   snprintf (program->last, sizeof program->last, "%s", id);
   atomic_fetch_add (&load->counts.n_turns, 1);
@@ -192,14 +196,14 @@
 {
   struct SoakLoad *load = caller->load;
 
-  if (program->budget == 0)
+  if (program->budget_tokens == 0)
     soak_violation (load, "turn %s: 402 without a budget", id);
-  else if (program->most + MAX_TOKENS <= program->budget)
-    soak_violation (load, "turn %s: 402, and at most %u of %u are spent", id, program->most,
-                    program->budget);
+  else if (program->spent_max_tokens + MAX_TOKENS <= program->budget_tokens)
+    soak_violation (load, "turn %s: 402, but at spent_max_tokens %u of %u tokens are spent", id,
+                    program->spent_max_tokens, program->budget_tokens);
 }
 
-/* One attempt at the program's next turn. False when the program is over. */
+/* Makes one attempt at the program's next turn. Returns false when the program has ended. */
 static bool
 caller_try_turn (struct Caller *caller, struct SoakProgram *program, const char *input, bool *done)
 {
@@ -214,8 +218,8 @@
   if (program->last[0] != '\0')
     n += (size_t)snprintf (headers + n, sizeof headers - n, "X-Previous-Turn: %s\r\n",
                            program->last);
-  if (program->budget > 0)
-    snprintf (headers + n, sizeof headers - n, "X-Token-Budget: %u\r\n", program->budget);
+  if (program->budget_tokens > 0)
+    snprintf (headers + n, sizeof headers - n, "X-Token-Budget: %u\r\n", program->budget_tokens);
   if (caller_send (caller, "/turns/1", id, headers, input))
     {
       if (reply->status != 402)
@@ -225,15 +229,16 @@
     }
   if (reply->status == 404 || reply->status == 410)
     {
-      soak_violation (load, "turn %s: %u for the kept turn %s", id, reply->status, program->last);
+      soak_violation (load, "turn %s: status %u after the kept turn %s", id, reply->status,
+                      program->last);
       return false;
     }
-  program->handed += count_of (reply->text, "data: ") * TOKENS_PER_EVENT;
-  if (program->budget > 0 && program->handed > program->budget + MAX_TOKENS)
-    soak_violation (load, "program %s: %u tokens of %u", program->id, program->handed,
-                    program->budget);
-  *done = reply->status == 200 && reply->whole;
-  program->most += *done ? EVENTS * TOKENS_PER_EVENT : MAX_TOKENS;
+  program->received_tokens += count_occurrences (reply->text, "data: ") * TOKENS_PER_EVENT;
+  if (program->budget_tokens > 0 && program->received_tokens > program->budget_tokens + MAX_TOKENS)
+    soak_violation (load, "program %s: received %u tokens of a budget of %u", program->id,
+                    program->received_tokens, program->budget_tokens);
+  *done = reply->status == 200 && reply->complete;
+  program->spent_max_tokens += *done ? EVENTS_PER_TURN * TOKENS_PER_EVENT : MAX_TOKENS;
   if (*done)
     check_turn (caller, program, id, input);
   return true;
@@ -246,7 +251,7 @@
   bool done = false;
 
   snprintf (input, sizeof input, "<in %u>", turn);
-  for (uint32_t i = 0; i < TRIES_MAX && !done && !caller->load->ends; i++)
+  for (uint32_t i = 0; i < ATTEMPTS_MAX && !done && !caller->load->stopping; i++)
     {
       if (!caller_try_turn (caller, program, input, &done))
         return false;
@@ -255,12 +260,12 @@
   return done;
 }
 
-/* A call that may run once only. */
+/* Sends a call that may run only once. */
 static void
 caller_call (struct Caller *caller)
 {
   struct SoakLoad *load = caller->load;
-  char id[48], wanted[64];
+  char id[48], expected[64];
   uint32_t n_runs;
 
   caller_next_id (caller, id);
@@ -269,10 +274,10 @@
   check_customer (caller, id);
   if (n_runs > 1)
     soak_violation (load, "call %s ran %u times", id, n_runs);
-  snprintf (wanted, sizeof wanted, "done %s", id);
-  if (caller->reply.status == 200 && caller->reply.whole
-      && strcmp (caller->reply.text, wanted) != 0)
-    soak_violation (load, "call %s got another answer: %s", id, caller->reply.text);
+  snprintf (expected, sizeof expected, "done %s", id);
+  if (caller->reply.status == 200 && caller->reply.complete
+      && strcmp (caller->reply.text, expected) != 0)
+    soak_violation (load, "call %s got a wrong response: %s", id, caller->reply.text);
   atomic_fetch_add (&load->counts.n_calls, 1);
 }
 
@@ -280,7 +285,7 @@
 caller_program (struct Caller *caller)
 {
   struct SoakLoad *load = caller->load;
-  struct SoakProgram program = { .budget = caller_random (caller, 2) == 0 ? 0 : 450 };
+  struct SoakProgram program = { .budget_tokens = caller_random (caller, 2) == 0 ? 0 : 450 };
   uint32_t n_turns = 1 + caller_random (caller, TURNS_MAX);
 
   snprintf (program.id, sizeof program.id, "p-%u-%llu", caller->number,
@@ -288,9 +293,9 @@
   for (uint32_t turn = 0; turn < n_turns && caller_turn (caller, &program, turn); turn++)
     caller_call (caller);
   if (caller_random (caller, 4) == 0)
-    check_stranger (caller, &program);
+    check_other_customer (caller, &program);
   if (program.last[0] != '\0')
-    load_remember (load, &load->kept, &load->n_kept, program.last);
+    load_record_id (load, &load->kept, &load->n_kept, program.last);
   atomic_fetch_add (&load->counts.n_programs, 1);
 }
 
@@ -299,7 +304,7 @@
 {
   struct Caller *caller = data;
 
-  while (!caller->load->ends)
+  while (!caller->load->stopping)
     caller_program (caller);
   return NULL;
 }
@@ -324,18 +329,19 @@
 soak_load_start (struct SoakLoad *load, uint32_t n_callers)
 {
   pthread_mutex_init (&load->lock, NULL);
-  for (n_started = 0; n_started < n_callers; n_started++)
+  for (n_callers_started = 0; n_callers_started < n_callers; n_callers_started++)
     {
-      caller_init (&callers[n_started], load, n_started);
-      pthread_create (&callers[n_started].thread, NULL, caller_run, &callers[n_started]);
+      caller_init (&callers[n_callers_started], load, n_callers_started);
+      pthread_create (&callers[n_callers_started].thread, NULL, caller_run,
+                      &callers[n_callers_started]);
     }
 }
 
 void
 soak_load_end (struct SoakLoad *load)
 {
-  load->ends = true;
-  for (uint32_t i = 0; i < n_started; i++)
+  load->stopping = true;
+  for (uint32_t i = 0; i < n_callers_started; i++)
     {
       pthread_join (callers[i].thread, NULL);
       for (uint32_t g = 0; g < load->fleet->n_gateways; g++)
@@ -343,17 +349,16 @@
     }
 }
 
-/* The end. */
-
-/* Tries a turn after last until it is served; the first answer that must not be is told. */
+/* Sends turns after last ("": the first of a program) until one is served. Reports a violation when
+ * the kept turn is lost or RECOVERY_TIMEOUT_MS have passed. */
 static void
-check_goes_on (struct SoakLoad *load, struct Caller *caller, const char *last)
+check_continuation (struct SoakLoad *load, struct Caller *caller, const char *last)
 {
-  int64_t limit_ms = monotonic_ms () + RECOVERY_LIMIT_MS;
+  int64_t limit_ms = monotonic_ms () + RECOVERY_TIMEOUT_MS;
   struct ClientReply *reply = &caller->reply;
   char id[48], headers[256] = "X-Token-Count: 100,200\r\n";
 
-  /* The number of the caller stands in its ids. */
+  /* An id has the number of its caller after the first dash. */
   caller->customer = (uint32_t)strtoul (strchr (last[0] != '\0' ? last : "-0", '-') + 1, NULL, 10)
                      % SOAK_CUSTOMERS;
   if (last[0] != '\0')
@@ -362,34 +367,35 @@
     {
       caller_next_id (caller, id);
       caller_send (caller, "/turns/1", id, headers, "again");
-      if (reply->status == 200 && reply->whole)
+      if (reply->status == 200 && reply->complete)
         return;
       if (reply->status == 404 || reply->status == 410)
         break;
       sleep_ms (100);
     }
   while (monotonic_ms () < limit_ms);
-  soak_violation (load, "after the faults: %u for a turn after %s", reply->status,
+  soak_violation (load, "after the faults: status %u for a turn after %s", reply->status,
                   last[0] != '\0' ? last : "none");
 }
 
 void
-soak_check_end (struct SoakLoad *load)
+soak_check_recovery (struct SoakLoad *load)
 {
   struct Caller *caller = &callers[0];
 
-  load->ends = false;
+  load->stopping = false;
   caller_init (caller, load, 99);
   for (uint32_t i = 0; i < 2 * load->fleet->n_gateways; i++)
-    check_goes_on (load, caller, "");
+    check_continuation (load, caller, "");
   for (size_t i = 0; i < load->n_kept; i++)
-    check_goes_on (load, caller, load->kept[i]);
+    check_continuation (load, caller, load->kept[i]);
   for (size_t i = 0; i < load->n_not_run; i++)
     if (installation_runs_of (load->fleet->installation, load->not_run[i]) > 0)
-      soak_violation (load, "%s was said not to run, and ran", load->not_run[i]);
-  if (installation_fullest (load->fleet->installation, "c2", 5000) > SOAK_LIMIT_BOUND)
-    soak_violation (load, "%u requests of c2 ran in five seconds, %d may",
-                    installation_fullest (load->fleet->installation, "c2", 5000), SOAK_LIMIT_BOUND);
+      soak_violation (load, "%s was rejected, but ran", load->not_run[i]);
+  if (installation_fullest (load->fleet->installation, "c2", 5000) > SOAK_LIMIT_TOLERATED)
+    soak_violation (load, "%u requests of c2 ran in 5 s, tolerated are %d",
+                    installation_fullest (load->fleet->installation, "c2", 5000),
+                    SOAK_LIMIT_TOLERATED);
   for (uint32_t g = 0; g < load->fleet->n_gateways; g++)
     client_close (&caller->links[g]);
   for (size_t i = 0; i < load->n_kept; i++)
--- a/tests/soak/soak_load.h
+++ b/tests/soak/soak_load.h
@@ -1,4 +1,4 @@
-/* Programs and calls of a soak, and what their callers check while it runs. */
+/* Callers of a soak run: they send programs and calls and check the responses during the faults. */
 #pragma once
 
 #include "gateways.h"
@@ -14,39 +14,40 @@
 enum
 {
   SOAK_CUSTOMERS = 3,
-  /* The last one's limit, and what operators bear over it in any five seconds. */
-  SOAK_LIMIT_PER_S = 12,
-  SOAK_LIMIT_BOUND = (SOAK_LIMIT_PER_S * 5 + SOAK_LIMIT_PER_S) * 11 / 10 + 20
+  SOAK_LIMIT_PER_S = 12, /* requests per second of the last customer, with the same burst */
+  /* Most requests of the last customer in any 5 s that the operators tolerate: rate and burst, a
+   * tenth more, and 20. */
+  SOAK_LIMIT_TOLERATED = (SOAK_LIMIT_PER_S * 5 + SOAK_LIMIT_PER_S) * 11 / 10 + 20
 };
 
-/* Customers "c0", "c1"..., each with one key, for the operators' configuration. */
+/* Customers "c0", "c1"..., each with one key, as JSON for the operators' configuration. */
 extern const char soak_customers[];
 
 struct SoakLoad
 {
   struct Fleet *fleet;
   uint64_t seed;
-  _Atomic bool ends;
+  _Atomic bool stopping;
   struct SoakCounts counts;
   pthread_mutex_t lock;
-  char **not_run; /* ids of requests whose callers were told that they never run */
+  char **not_run; /* ids of rejected requests, which must never run */
   size_t n_not_run;
-  char **kept; /* ids of turns that were answered whole, the last of each program */
+  char **kept; /* id of the last turn of each program whose response was complete */
   size_t n_kept;
 };
 
-/* Starts n_callers threads, which end with soak_load_end. */
+/* Starts n_callers threads. soak_load_end stops them. */
 void
 soak_load_start (struct SoakLoad *load, uint32_t n_callers);
 void
 soak_load_end (struct SoakLoad *load);
 
-/* Once all faults are over: what was said not to run has not run, each turn that was answered whole
- * can be continued, and new programs are served by every gateway. */
+/* To be called when all faults are over. Checks that no rejected request has run, that programs can
+ * go on from each kept turn, and that new programs are served. */
 void
-soak_check_end (struct SoakLoad *load);
+soak_check_recovery (struct SoakLoad *load);
 
-/* Prints what is broken, and counts it. */
+/* Prints a violation and counts it. */
 void
 soak_violation (struct SoakLoad *load, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
--- a/tests/soak/soak_plan.c
+++ b/tests/soak/soak_plan.c
@@ -4,9 +4,9 @@
 {
   FIRST_MS = 500,
   GAP_MAX_MS = 1200,
-  SHORT_MS = 200,
-  LONG_MS = 3500,
-  WIPE_GAP_MS = 9000 /* copying takes a second, and waits for paused gateways do not matter to it */
+  DURATION_MIN_MS = 200,
+  DURATION_MAX_MS = 3500,
+  WIPE_GAP_MS = 9000 /* for copying to the wiped archive: 1 s, also with paused gateways */
 };
 
 static const char *const names[N_SOAK_FAULTS] = {
@@ -39,7 +39,7 @@
 }
 
 static bool
-is_of_archives (enum SoakFault fault)
+affects_archives (enum SoakFault fault)
 {
   switch (fault)
     {
@@ -57,7 +57,7 @@
 soak_plan (uint64_t seed, int64_t length_ms, struct SoakEvent events[SOAK_EVENTS_MAX])
 {
   uint64_t state = seed * 7919 + 17;
-  bool wipes = draw (&state, 2) == 0;
+  bool wipes_disks = draw (&state, 2) == 0;
   int64_t at_ms = FIRST_MS, next_wipe_ms = FIRST_MS;
   size_t n = 0;
 
@@ -65,16 +65,16 @@
     {
       struct SoakEvent event = { .at_ms = at_ms, .fault = draw (&state, N_SOAK_FAULTS) };
 
-      event.for_ms = SHORT_MS + draw (&state, LONG_MS - SHORT_MS);
+      event.duration_ms = DURATION_MIN_MS + draw (&state, DURATION_MAX_MS - DURATION_MIN_MS);
       event.target = draw (&state, 1u << 16);
-      event.how = draw (&state, 1u << 16);
+      event.variant = draw (&state, 1u << 16);
       at_ms += draw (&state, GAP_MAX_MS);
-      if (wipes ? is_of_archives (event.fault) : event.fault == SOAK_ARCHIVE_WIPE)
+      if (wipes_disks ? affects_archives (event.fault) : event.fault == SOAK_ARCHIVE_WIPE)
         continue;
       if (event.fault == SOAK_ARCHIVE_WIPE && event.at_ms < next_wipe_ms)
         continue;
       if (event.fault == SOAK_ARCHIVE_WIPE)
-        next_wipe_ms = event.at_ms + event.for_ms + WIPE_GAP_MS;
+        next_wipe_ms = event.at_ms + event.duration_ms + WIPE_GAP_MS;
       events[n++] = event;
     }
   return n;
--- a/tests/soak/soak_plan.h
+++ b/tests/soak/soak_plan.h
@@ -1,4 +1,4 @@
-/* What goes wrong in a soak, and when: drawn from a seed, the same for the same seed. */
+/* Draws the faults of a soak run and their times from a seed. */
 #pragma once
 
 #include <stdbool.h>
@@ -10,25 +10,25 @@
   SOAK_GATEWAY_KILL,
   SOAK_GATEWAY_TERM,
   SOAK_GATEWAY_PAUSE,
-  SOAK_GATEWAY_LINK, /* connections of others to it misbehave */
+  SOAK_GATEWAY_LINK, /* faults on connections to it */
   SOAK_ARCHIVE_KILL,
   SOAK_ARCHIVE_PAUSE,
   SOAK_ARCHIVE_LINK,
-  SOAK_ARCHIVE_WIPE, /* killed, and its disk comes back empty */
-  SOAK_STORE,        /* refuses, or takes calls and answers none */
+  SOAK_ARCHIVE_WIPE, /* killed, and restarted with an empty disk */
+  SOAK_STORE,        /* refuses requests, or accepts them and does not respond */
   SOAK_STORE_LINK,
-  SOAK_SERVER, /* an engine or the desk misbehaves */
-  SOAK_CONFIG, /* the operators write a new version */
+  SOAK_SERVER, /* an engine or the desk fails requests */
+  SOAK_CONFIG, /* the operators write a new configuration version */
   SOAK_KILL_ALL,
   N_SOAK_FAULTS
 };
 
 struct SoakEvent
 {
-  int64_t at_ms, for_ms;
+  int64_t at_ms, duration_ms;
   enum SoakFault fault;
-  uint32_t target; /* any number: taken modulo how many there are */
-  uint32_t how;    /* any number: which variant */
+  uint32_t target;  /* any number; used modulo the number of targets */
+  uint32_t variant; /* any number; used modulo the number of variants */
 };
 
 enum
@@ -36,9 +36,9 @@
   SOAK_EVENTS_MAX = 256
 };
 
-/* Fills events in the order of their times; returns how many. Of one seed, archives either lose
- * their disks, one after the other with time to copy between, or everything else goes wrong with
- * them: no more than the loss of one disk at a time is promised to be borne. */
+/* Fills events in the order of their start and returns their number. With one seed, archives either
+ * lose their disks, one at a time with a gap for copying, or have the other faults: only the loss
+ * of one disk at a time is guaranteed to be tolerated. */
 size_t
 soak_plan (uint64_t seed, int64_t length_ms, struct SoakEvent events[SOAK_EVENTS_MAX]);
 
--- a/tests/soak/soak_proxy.c
+++ b/tests/soak/soak_proxy.c
@@ -19,11 +19,11 @@
   TICK_MS = 5
 };
 
-/* Bytes on their way. */
+/* Data that was read and is not forwarded yet. */
 struct Chunk
 {
   struct Chunk *next;
-  int64_t due_ms;
+  int64_t send_at_ms;
   size_t n_bytes, n_sent;
   uint8_t bytes[];
 };
@@ -32,13 +32,13 @@
 struct Flow
 {
   int from, to;
-  bool swallows; /* for good: what was lost in between can not be made up */
+  bool discards; /* permanent: later data would follow a gap in the stream */
   struct Chunk *first, **last;
 };
 
 struct Pair
 {
-  struct Flow there, back;
+  struct Flow to_target, to_client;
 };
 
 struct Proxy
@@ -47,7 +47,7 @@
   pthread_mutex_t lock;
   enum ProxyMode mode;
   uint32_t delay_ms;
-  bool ended;
+  bool stopping;
   int listen_fd;
   uint16_t target_port;
   struct Pair pairs[PAIRS_MAX];
@@ -79,27 +79,27 @@
 static void
 pair_close (struct Proxy *proxy, size_t i, bool reset)
 {
-  struct linger at_once = { 1, 0 };
+  struct linger no_wait = { 1, 0 };
   struct Pair *pair = &proxy->pairs[i];
 
   if (reset)
     {
-      setsockopt (pair->there.from, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-      setsockopt (pair->there.to, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+      setsockopt (pair->to_target.from, SOL_SOCKET, SO_LINGER, &no_wait, sizeof no_wait);
+      setsockopt (pair->to_target.to, SOL_SOCKET, SO_LINGER, &no_wait, sizeof no_wait);
     }
-  close (pair->there.from);
-  close (pair->there.to);
-  flow_drop (&pair->there);
-  flow_drop (&pair->back);
+  close (pair->to_target.from);
+  close (pair->to_target.to);
+  flow_drop (&pair->to_target);
+  flow_drop (&pair->to_client);
   proxy->n_pairs--;
   if (i == proxy->n_pairs)
     return;
-  /* An empty list's end points into the pair itself. */
+  /* The tail pointer of an empty list points into the pair, which has moved. */
   *pair = proxy->pairs[proxy->n_pairs];
-  if (pair->there.first == NULL)
-    pair->there.last = &pair->there.first;
-  if (pair->back.first == NULL)
-    pair->back.last = &pair->back.first;
+  if (pair->to_target.first == NULL)
+    pair->to_target.last = &pair->to_target.first;
+  if (pair->to_client.first == NULL)
+    pair->to_client.last = &pair->to_client.first;
 }
 
 static void
@@ -112,7 +112,7 @@
 
   if (from < 0)
     return;
-  if (to < 0 || proxy->n_pairs == PAIRS_MAX || proxy->mode == PROXY_RESETS
+  if (to < 0 || proxy->n_pairs == PAIRS_MAX || proxy->mode == PROXY_RESET
       || connect (to, (struct sockaddr *)&target, sizeof target) != 0)
     {
       close (from);
@@ -123,20 +123,20 @@
   fcntl (to, F_SETFL, O_NONBLOCK);
   pair = &proxy->pairs[proxy->n_pairs++];
   memset (pair, 0, sizeof *pair);
-  pair->there.from = pair->back.to = from;
-  pair->there.to = pair->back.from = to;
-  pair->there.last = &pair->there.first;
-  pair->back.last = &pair->back.first;
+  pair->to_target.from = pair->to_client.to = from;
+  pair->to_target.to = pair->to_client.from = to;
+  pair->to_target.last = &pair->to_target.first;
+  pair->to_client.last = &pair->to_client.first;
 }
 
-/* False when the connection has ended. */
+/* Returns false when the connection is closed or has failed. */
 static bool
 flow_read (const struct Proxy *proxy, struct Flow *flow)
 {
   struct Chunk *chunk = malloc (sizeof *chunk + CHUNK_BYTES);
   ssize_t n = recv (flow->from, chunk->bytes, CHUNK_BYTES, 0);
 
-  if (n <= 0 || flow->swallows)
+  if (n <= 0 || flow->discards)
     {
       free (chunk);
       return n > 0 || (n < 0 && (errno == EAGAIN || errno == EINTR));
@@ -144,7 +144,7 @@
   chunk->next = NULL;
   chunk->n_bytes = (size_t)n;
   chunk->n_sent = 0;
-  chunk->due_ms = monotonic_ms () + (proxy->mode == PROXY_DELAYS ? proxy->delay_ms : 0);
+  chunk->send_at_ms = monotonic_ms () + (proxy->mode == PROXY_DELAY ? proxy->delay_ms : 0);
   *flow->last = chunk;
   flow->last = &chunk->next;
   return true;
@@ -153,7 +153,7 @@
 static bool
 flow_write (struct Flow *flow)
 {
-  while (flow->first != NULL && flow->first->due_ms <= monotonic_ms ())
+  while (flow->first != NULL && flow->first->send_at_ms <= monotonic_ms ())
     {
       struct Chunk *chunk = flow->first;
       ssize_t n = send (flow->to, chunk->bytes + chunk->n_sent, chunk->n_bytes - chunk->n_sent,
@@ -172,25 +172,25 @@
   return true;
 }
 
-/* What the mode does to connections that there are. */
+/* Applies the mode to the open connections. */
 static void
 proxy_apply (struct Proxy *proxy)
 {
   for (size_t i = proxy->n_pairs; i-- > 0;)
     switch (proxy->mode)
       {
-      case PROXY_SILENCES:
-        proxy->pairs[i].there.swallows = true;
-        proxy->pairs[i].back.swallows = true;
+      case PROXY_BLACKHOLE:
+        proxy->pairs[i].to_target.discards = true;
+        proxy->pairs[i].to_client.discards = true;
         break;
-      case PROXY_CUTS_ANSWERS:
-        proxy->pairs[i].back.swallows = true;
+      case PROXY_BLACKHOLE_RESPONSES:
+        proxy->pairs[i].to_client.discards = true;
         break;
-      case PROXY_RESETS:
+      case PROXY_RESET:
         pair_close (proxy, i, true);
         break;
-      case PROXY_PASSES:
-      case PROXY_DELAYS:
+      case PROXY_FORWARD:
+      case PROXY_DELAY:
       case N_PROXY_MODES:
         break;
       }
@@ -203,14 +203,14 @@
   for (size_t i = proxy->n_pairs; i-- > 0;)
     {
       struct Pair *pair = &proxy->pairs[i];
-      bool known = 2 * i + 2 < n_polled;
-      bool sound = true;
+      bool was_polled = 2 * i + 2 < n_polled;
+      bool is_open = true;
 
-      if (known && polled[2 * i + 1].revents != 0)
-        sound = flow_read (proxy, &pair->there);
-      if (sound && known && polled[2 * i + 2].revents != 0)
-        sound = flow_read (proxy, &pair->back);
-      if (!sound || !flow_write (&pair->there) || !flow_write (&pair->back))
+      if (was_polled && polled[2 * i + 1].revents != 0)
+        is_open = flow_read (proxy, &pair->to_target);
+      if (is_open && was_polled && polled[2 * i + 2].revents != 0)
+        is_open = flow_read (proxy, &pair->to_client);
+      if (!is_open || !flow_write (&pair->to_target) || !flow_write (&pair->to_client))
         pair_close (proxy, i, false);
     }
   if (polled[0].revents != 0)
@@ -221,9 +221,9 @@
 proxy_run (void *data)
 {
   struct Proxy *proxy = data;
-  bool ended = false;
+  bool stopping = false;
 
-  while (!ended)
+  while (!stopping)
     {
       struct pollfd polled[1 + 2 * PAIRS_MAX];
       size_t n = 1;
@@ -231,13 +231,13 @@
       polled[0] = (struct pollfd){ .fd = proxy->listen_fd, .events = POLLIN };
       for (size_t i = 0; i < proxy->n_pairs; i++)
         {
-          polled[n++] = (struct pollfd){ .fd = proxy->pairs[i].there.from, .events = POLLIN };
-          polled[n++] = (struct pollfd){ .fd = proxy->pairs[i].back.from, .events = POLLIN };
+          polled[n++] = (struct pollfd){ .fd = proxy->pairs[i].to_target.from, .events = POLLIN };
+          polled[n++] = (struct pollfd){ .fd = proxy->pairs[i].to_client.from, .events = POLLIN };
         }
       poll (polled, n, TICK_MS);
       pthread_mutex_lock (&proxy->lock);
       proxy_step (proxy, polled, n);
-      ended = proxy->ended;
+      stopping = proxy->stopping;
       pthread_mutex_unlock (&proxy->lock);
     }
   while (proxy->n_pairs > 0)
@@ -281,7 +281,7 @@
 proxy_end (struct Proxy *proxy)
 {
   pthread_mutex_lock (&proxy->lock);
-  proxy->ended = true;
+  proxy->stopping = true;
   pthread_mutex_unlock (&proxy->lock);
   pthread_join (proxy->thread, NULL);
   talloc_free (proxy);
--- a/tests/soak/soak_proxy.h
+++ b/tests/soak/soak_proxy.h
@@ -1,4 +1,4 @@
-/* Loopback connections that misbehave: a forwarder of ports between two processes. */
+/* TCP proxy on loopback that injects faults into the connections between two processes. */
 #pragma once
 
 #include <stdint.h>
@@ -7,17 +7,17 @@
 
 enum ProxyMode
 {
-  PROXY_PASSES,
-  PROXY_DELAYS,       /* each byte by .delay_ms */
-  PROXY_SILENCES,     /* connections of that time stay open and carry nothing any more */
-  PROXY_CUTS_ANSWERS, /* the same for what flows back to the dialler */
-  PROXY_RESETS,       /* all connections are reset, new ones at once */
+  PROXY_FORWARD,
+  PROXY_DELAY,               /* delays all data by delay_ms */
+  PROXY_BLACKHOLE,           /* connections open meanwhile discard all data from then on */
+  PROXY_BLACKHOLE_RESPONSES, /* the same, but only for data to the client */
+  PROXY_RESET,               /* resets open connections and closes new ones */
   N_PROXY_MODES
 };
 
 struct Proxy;
 
-/* Forwards from port to target_port of 127.0.0.1 on a thread of its own. NULL when it can not. */
+/* Starts a thread that forwards from port to target_port of 127.0.0.1. Returns NULL on failure. */
 struct Proxy *
 proxy_new (TALLOC_CTX *ctx, uint16_t port, uint16_t target_port);
 void
