--- a/bench/failover.sh
+++ b/bench/failover.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Time from the death of a program's home (kill -9) to its next answer, through another instance.
-# One JSON line a run.
+# Measures the time from a kill -9 of a program's home to the first successful response to its next
+# call through another instance. Prints one JSON line per run.
 #
 # bench/failover.sh BUILD LEASE RUNS       e.g. bench/failover.sh build 2s 3
 set -eu
--- a/bench/fleet.sh
+++ b/bench/fleet.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# What a fleet costs: starts N instances with the stand-ins on loopback, lets them settle, and
-# measures over some seconds, idle or under calls, per instance: processor time, resident memory,
-# bytes to peers; and of the platform: reads, writes, watches a second. One JSON line.
+# Measures the resource usage of a fleet: starts N instances with the stand-ins on loopback, lets them
+# settle, and measures for SECONDS, idle or under load. Prints one JSON line: processor time, resident
+# memory, and bytes to peers per instance; reads, writes, and watches per second at the platform.
 #
 # bench/fleet.sh BUILD N SECONDS [CALLERS PAUSE_MS]
 set -eu
@@ -78,7 +78,7 @@
 else
   sleep "$seconds"
 fi
-elapsed_note=$([ "$callers" -gt 0 ] && echo "the direct run is within the time" || echo "")
+elapsed_note=$([ "$callers" -gt 0 ] && echo "the measured time includes the direct run" || echo "")
 stats1=$(stats); ticks1=$(ticks); bytes1=$(peer_bytes)
 rss=$(for pid in "${instances[@]}"; do awk '/VmRSS/ {print $2}' "/proc/$pid/status"; done | sort -n | tail -1)
 jq -nc --argjson n "$n" --argjson s "$seconds" --argjson a "$stats0" --argjson b "$stats1" --argjson load "$load" \
--- a/bench/run_policy.sh
+++ b/bench/run_policy.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all policy experiments and writes the tables (docs/plots/policy-tables.md) and the plots
-# (docs/plots/policy-*.svg). Usage: bench/run_policy.sh [BUILD [SEEDS [PROCESSES]]]
+# Runs all policy experiments and writes their tables to docs/plots/policy-tables.md and the plots
+# to docs/plots/policy-*.svg. Usage: bench/run_policy.sh [BUILD [SEEDS [PROCESSES]]]
 set -eu
 cd "$(dirname "$0")/.."
 build=${1:-build}
@@ -11,7 +11,7 @@
 mkdir -p "$out" "$plots"
 : >"$out/commands"
 
-# label, then options of policy_bench
+# Each line: label, then options of policy_bench.
 variants="round_robin --rule round_robin
 least_reported --rule least_reported
 sticky --rule sticky
@@ -24,7 +24,7 @@
 program-cache --rule program --cache-weight 1000
 program-both --rule program --cache-weight 100 --menu-cache-weight 1000"
 
-add () { # file, scenario, load, further options, variants
+add () { # arguments: file, scenario, load, further options, variants
   while read -r label options; do
     echo "$1 --scenario $2 $options $4 --load $3 --label $label"
   done <<<"$5" >>"$out/commands"
@@ -68,7 +68,7 @@
   jq -rs "$means" "$file" >"${file%.jsonl}.tsv"
 done
 
-table () { # file, scenario, load
+table () { # arguments: file, scenario, load
   echo
   echo "$2 at $3% load:"
   echo
@@ -78,7 +78,7 @@
     printf "| %s | %.1f | %.1f | %.0f | %.0f | %.3f | %.2f | %.3f | %.3f | %.1f | %.1f | %.1f | %.2f | %.0f |\n",
       $2, $4, $5, $6, $7, $8, $9, $10, $11, $12, $13, $14, $15, $16 }' "$out/$1.tsv"
 }
-# Ratios in one run (one seed) to the best of the four baselines: mean and worst over the seeds.
+# Ratios to the best of the four baselines with the same seed: mean and maximum over the seeds.
 ratios='def best(f): map(select(.rule | IN("round_robin", "least_reported", "sticky", "fifo")) | f) | min;
   map(select(.load == 95)) | group_by(.seed)
   | map(. as $run | map(select(.rule == $rule))[0] as $p
@@ -90,7 +90,7 @@
   | [$rule] + ([.[] | .mean] | [add / length, max]) + ([.[] | .p50] | [add / length, max])
     + ([.[] | .p95] | [add / length, max]) + ([.[] | .wasted] | [add / length, max])
   | @tsv'
-goals () { # file, true: share wasted as a ratio, false: as a difference
+goals () { # arguments: file; true: compares the wasted share as a ratio, false: as a difference
   echo
   echo "Ratio to the best baseline of the same run, $1, 95% load: mean over the seeds (worst seed)"
   echo
@@ -102,7 +102,7 @@
   done | awk -F'\t' '{ printf "| %s | %.2f (%.2f) | %.2f (%.2f) | %.2f (%.2f) | %.3f (%.3f) |\n",
     $1, $2, $3, $4, $5, $6, $7, $8, $9 }'
 }
-overload () { # file
+overload () { # arguments: file
   echo
   echo "Overload, $1, deadlines enforced: mean over the seeds (worst seed)"
   echo
@@ -144,7 +144,7 @@
   done
 } >"$plots/policy-tables.md"
 
-lines () { # name, title, y label, file, scenario, column, rules...
+lines () { # arguments: name, title, y label, file, scenario, column, rules...
   local name=$1 title=$2 label=$3 file=$4 scenario=$5 column=$6 rule plot=""
   shift 6
   for rule in "$@"; do
