--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -1,4 +1,5 @@
-/* What the fuzz targets share. A broken property stops the process, as a crash does. */
+/* Shared by the fuzz targets. A violated property aborts the process, so that it is found as a
+ * crash is. */
 #pragma once
 
 #include <stddef.h>
@@ -10,7 +11,7 @@
   do                                                                                               \
     if (!(condition))                                                                              \
       {                                                                                            \
-        fprintf (stderr, "%s:%d: does not hold: %s\n", __FILE__, __LINE__, #condition);            \
+        fprintf (stderr, "%s:%d: property violated: %s\n", __FILE__, __LINE__, #condition);        \
         abort ();                                                                                  \
       }                                                                                            \
   while (0)
--- a/tests/fuzz/fuzz_caller.c
+++ b/tests/fuzz/fuzz_caller.c
@@ -1,4 +1,5 @@
-/* Callers' requests: any method, path, headers and body give a call or a fault with a remedy.
+/* Requests of callers: any method, path, headers, and body parse to a request or give a fault with
+ * a message and a remedy.
  *
  * The input is "METHOD PATH\n", then "Name: value\n" lines (a name with '?' in front is a query
  * argument), an empty line, and the body. */
@@ -33,9 +34,9 @@
 {
   for (size_t i = 0; i < input->n_fields; i++)
     {
-      const char *known = input->fields[i].name;
+      const char *field = input->fields[i].name;
 
-      if (query == (known[0] == '?') && strcmp (known + (query ? 1 : 0), name) == 0)
+      if (query == (field[0] == '?') && strcmp (field + (query ? 1 : 0), name) == 0)
         return input->fields[i].value;
     }
   return NULL;
@@ -54,7 +55,7 @@
 }
 
 static char *
-take_until (char **rest, const char *end)
+cut_at (char **rest, const char *end)
 {
   char *start = *rest;
   char *stop = strstr (start, end);
@@ -73,19 +74,19 @@
 split (char *text, struct Input *input)
 {
   char *rest = text;
-  char *line = take_until (&rest, "\n");
+  char *line = cut_at (&rest, "\n");
   char *line_rest = line;
 
   memset (input, 0, sizeof *input);
-  input->method = take_until (&line_rest, " ");
+  input->method = cut_at (&line_rest, " ");
   input->path = line_rest;
   while (*rest != '\0' && *rest != '\n')
     {
-      line = take_until (&rest, "\n");
+      line = cut_at (&rest, "\n");
       line_rest = line;
       if (input->n_fields == FIELDS_MAX)
         continue;
-      input->fields[input->n_fields].name = take_until (&line_rest, ": ");
+      input->fields[input->n_fields].name = cut_at (&line_rest, ": ");
       input->fields[input->n_fields++].value = line_rest;
     }
   input->body = *rest == '\n' ? rest + 1 : rest;
--- a/tests/fuzz/fuzz_config.c
+++ b/tests/fuzz/fuzz_config.c
@@ -1,4 +1,4 @@
-/* Settings and profiles: any text is sound or has faults, each with a message and a remedy. */
+/* Settings and profiles: any text is valid or gives faults with a line, a message, and a remedy. */
 #include "fuzz.h"
 
 #include <buckthornhead/config_key.h>
@@ -61,7 +61,7 @@
   TALLOC_CTX *ctx = talloc_new (NULL);
   char *text = talloc_strndup (ctx, (const char *)data, n_bytes);
 
-  /* Names a file to read, which may be any of this machine's. */
+  /* Skipped: this key names a file that the parser reads, which could be any file of the host. */
   if (strstr (text, "operator_token_file") == NULL)
     check_settings (ctx, text);
   check_profile (ctx, text);
--- a/tests/fuzz/fuzz_credential.c
+++ b/tests/fuzz/fuzz_credential.c
@@ -1,6 +1,7 @@
-/* Credentials and names of customers in a caller's headers, one "name: value" a line, after the
- * bytes have passed the check that every header on the wire passes. Whatever they are, the server
- * is told the name that the gateway gives it, once, and no line that could be a credential. */
+/* Credentials and names of customers in a caller's headers. The input has one "name: value" per
+ * line; headers that the HTTP parser would reject are left out. In all cases, the backend server
+ * receives the customer's name once, as set by the gateway, and no header that could be a
+ * credential. */
 #include "fuzz.h"
 
 #include <buckthornhead/error.h>
@@ -16,15 +17,15 @@
 
 static const char id_header[] = "X-Request-Id";
 
-/* What the parser takes for a header's name: no byte of it ends a line or stands apart. */
+/* Accepts what the HTTP parser accepts as a header's name: no separators and line ends. */
 static bool
-name_is_proper (const char *name)
+name_is_valid (const char *name)
 {
   return name[0] != '\0' && name[strcspn (name, " \t:\r\n()<>@,;\\\"/[]?={}")] == '\0';
 }
 
 static int32_t
-headers_read (TALLOC_CTX *ctx, char *text, struct HttpHeaders *headers)
+read_headers (TALLOC_CTX *ctx, char *text, struct HttpHeaders *headers)
 {
   struct HttpHeadText head = { 0 };
   size_t n = 0;
@@ -39,7 +40,7 @@
       if (colon == NULL)
         continue;
       *colon = '\0';
-      if (!name_is_proper (line) || strcasecmp (line, id_header) == 0)
+      if (!name_is_valid (line) || strcasecmp (line, id_header) == 0)
         continue;
       if (http_head_text_add (ctx, &head, false, line, strlen (line)) != ERROR_NONE
           || http_head_text_add (ctx, &head, true, colon + 1, strlen (colon + 1)) != ERROR_NONE)
@@ -49,9 +50,10 @@
   return http_head_text_finish (ctx, &head, headers);
 }
 
-/* Lines of head that begin with name and a colon, dashes and underscores taken for one. */
+/* Counts the lines of head that begin with name and a colon. An underscore matches a dash, since
+ * some servers treat the two alike. */
 static uint32_t
-lines_of (const char *head, const char *name)
+count_headers (const char *head, const char *name)
 {
   size_t n_bytes = strlen (name);
   uint32_t n = 0;
@@ -84,12 +86,13 @@
                 || (request.key_bytes > 0 && request.key_bytes <= strlen (request.key)
                     && memchr (request.key, ' ', request.key_bytes) == NULL));
   head = platform_dialect.write_request (ctx, exchange, &target);
-  FUZZ_REQUIRE (lines_of (head, "x-tenant") == 1);
+  FUZZ_REQUIRE (count_headers (head, "x-tenant") == 1);
   FUZZ_REQUIRE (strstr (head, "\r\nX-Tenant: alma\r\n") != NULL);
-  FUZZ_REQUIRE (lines_of (head, "authorization") == 0);
+  FUZZ_REQUIRE (count_headers (head, "authorization") == 0);
   target.customer = "";
   head = platform_dialect.write_request (ctx, exchange, &target);
-  FUZZ_REQUIRE (lines_of (head, "x-tenant") == 0 && lines_of (head, "authorization") == 0);
+  FUZZ_REQUIRE (count_headers (head, "x-tenant") == 0
+                && count_headers (head, "authorization") == 0);
 }
 
 int
@@ -99,7 +102,7 @@
   struct HttpExchange exchange = { .method = "GET", .target = "/a" };
   char *text = talloc_strndup (ctx, (const char *)bytes, n_bytes);
 
-  if (headers_read (ctx, text, &exchange.headers) == ERROR_NONE)
+  if (read_headers (ctx, text, &exchange.headers) == ERROR_NONE)
     fuzz_headers (ctx, &exchange);
   talloc_free (ctx);
   return 0;
--- a/tests/fuzz/fuzz_gateway.c
+++ b/tests/fuzz/fuzz_gateway.c
@@ -1,6 +1,6 @@
-/* What gateways and archives tell each other, and what they read from the platform: any bytes are
- * refused or are something that packs and unpacks to the same again. The first byte says what it is
- * meant to be. */
+/* Messages between gateways and archives, and entries of the platform: any input is rejected, or
+ * packs and unpacks to the same value. An event stream gives the same events however it is split.
+ * The first byte selects the format. */
 #include "fuzz.h"
 
 #include <buckthornhead/error.h>
@@ -32,7 +32,7 @@
 }
 
 static void
-fuzz_set (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes)
+fuzz_archive_set (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes)
 {
   struct ArchiveSet set, again;
   uint8_t *packed;
@@ -46,7 +46,7 @@
 }
 
 static void
-fuzz_entry (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes)
+fuzz_replica_entry (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes)
 {
   struct ReplicaEntry entry;
   uint8_t *packed;
@@ -82,15 +82,15 @@
 static void
 fuzz_events (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes)
 {
-  struct EventStream whole = { .keeps_data = true }, cut = { .keeps_data = true };
+  struct EventStream whole = { .keeps_data = true }, split = { .keeps_data = true };
 
   event_stream_take (ctx, &whole, bytes, n_bytes);
   for (size_t i = 0; i < n_bytes; i++)
-    event_stream_take (ctx, &cut, bytes + i, 1);
-  FUZZ_REQUIRE (whole.n_events == cut.n_events);
-  FUZZ_REQUIRE (byte_queue_length (&whole.data) == byte_queue_length (&cut.data));
-  FUZZ_REQUIRE (whole.open_bytes == cut.open_bytes && whole.open_bytes <= n_bytes);
-  FUZZ_REQUIRE (whole.has_last_id == cut.has_last_id && whole.last_id == cut.last_id);
+    event_stream_take (ctx, &split, bytes + i, 1);
+  FUZZ_REQUIRE (whole.n_events == split.n_events);
+  FUZZ_REQUIRE (byte_queue_length (&whole.data) == byte_queue_length (&split.data));
+  FUZZ_REQUIRE (whole.open_bytes == split.open_bytes && whole.open_bytes <= n_bytes);
+  FUZZ_REQUIRE (whole.has_last_id == split.has_last_id && whole.last_id == split.last_id);
 }
 
 int
@@ -106,10 +106,10 @@
       fuzz_message (ctx, bytes + 1, n_bytes - 1);
       break;
     case 1:
-      fuzz_set (ctx, bytes + 1, n_bytes - 1);
+      fuzz_archive_set (ctx, bytes + 1, n_bytes - 1);
       break;
     case 2:
-      fuzz_entry (ctx, bytes + 1, n_bytes - 1);
+      fuzz_replica_entry (ctx, bytes + 1, n_bytes - 1);
       break;
     case 3:
       fuzz_routes (ctx, bytes + 1, n_bytes - 1);
--- a/tests/fuzz/fuzz_state.c
+++ b/tests/fuzz/fuzz_state.c
@@ -1,6 +1,5 @@
-/* Values of the key-value service and what peers pass on of them: any bytes are refused or are
- * something that packs and unpacks to the same again. The first byte says what it is meant to be.
- */
+/* Values of the key-value service, also as peers relay them: any input is rejected, or packs and
+ * unpacks to the same bytes. The first byte selects the format. */
 #include "fuzz.h"
 #include "state_kind.h"
 
@@ -13,7 +12,7 @@
 
 #include <string.h>
 
-/* A value packed twice, by way of what it was unpacked to. */
+/* A value that was unpacked and packed again. */
 struct Packed
 {
   uint8_t *bytes;
@@ -100,7 +99,8 @@
   talloc_free (ctx);
 }
 
-/* A program's snapshot is taken in or refused; freeing the ledger finds what was left behind. */
+/* A program's snapshot is accepted or rejected. Freeing the ledger shows leaks and double frees to
+ * the sanitizer. */
 static void
 check_snapshot (const uint8_t *bytes, size_t n_bytes)
 {
--- a/tests/fuzz/make_seeds.c
+++ b/tests/fuzz/make_seeds.c
@@ -1,5 +1,6 @@
-/* Writes the first inputs of the targets whose format is binary: below FOLDER, one folder a target.
- */
+/* Writes seeds for the fuzz targets with binary formats to FOLDER/TARGET.
+ *
+ * make_seeds FOLDER */
 #include "state_kind.h"
 
 #include <config_entry.h>
@@ -42,7 +43,7 @@
   key->sequence = 1;
 }
 
-/* One record of each kind; what a kind does not need stays empty. */
+/* Writes a slot with one record of each kind, its optional fields empty, and a seal. */
 static int
 write_slots (const char *folder)
 {
@@ -100,7 +101,7 @@
   return failures;
 }
 
-/* A seed of fuzz_state: the kind, then the value, when packing gave one. */
+/* Writes a seed of fuzz_state: the kind, then the packed value. Fails if error is set. */
 static int
 write_state (TALLOC_CTX *ctx,
              const char *folder,
--- a/tests/fuzz/state_kind.h
+++ b/tests/fuzz/state_kind.h
@@ -1,4 +1,4 @@
-/* First byte of fuzz_state's inputs, modulo N_STATES. */
+/* The first byte of an input of fuzz_state, modulo N_STATES, selects the format. */
 #pragma once
 
 enum StateKind
