--- a/tests/interface_page.sh
+++ b/tests/interface_page.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the curl examples of docs/INTERFACE.md as they stand there against one instance, then what the
-# page says of limits and malformed requests, and an ordinary request after each.
+# Runs the curl examples of docs/INTERFACE.md unchanged against one instance. Then checks the documented
+# responses to malformed and oversized requests, with an ordinary request after each.
 #
 # interface_page.sh SOURCE_FOLDER DAEMON STANDIN
 set -u
@@ -15,7 +15,7 @@
 }
 trap stop_all EXIT
 
-# Six ports below those that the kernel gives to clients, and below those of the sessions.
+# Six ports below the kernel's ephemeral ports and below those of tests/sessions.
 base=$((10000 + $$ % 200 * 10))
 cat >"$folder/one.ini" <<INI
 [instance]
@@ -59,17 +59,17 @@
   sleep 0.1
 done
 
-expect () { # what, wanted status, curl arguments
+expect () { # arguments: what, wanted status, curl arguments
   local what=$1 wanted=$2 status
   shift 2
   status=$(curl -s -o "$folder/answer" -w '%{http_code}' --max-time 30 "$@")
   if [ "$status" != "$wanted" ]; then
-    echo "$what: status $status, wanted $wanted: $(head -c 300 "$folder/answer")"
+    echo "$what: status $status, expected $wanted: $(head -c 300 "$folder/answer")"
     failed=$((failed + 1))
   fi
 }
 
-# The examples: indented lines that begin with curl, continued by a backslash.
+# The examples are indented lines that begin with curl; a backslash continues them.
 sed -n '/^    curl/,/[^\\]$/p' "$source/docs/INTERFACE.md" | sed 's/^ *//' \
   | sed -e ':a' -e '/\\$/{N;s/\\\n//;ba' -e '}' >"$folder/examples"
 n_examples=$(grep -c '^curl' "$folder/examples")
@@ -101,7 +101,7 @@
 expect "unknown path" 404 "$url/v2/anything"; good "unknown path"
 expect "lone call without key" 400 -d '{}' "$url/v1/services/gate/arrivals"; good "no key"
 expect "path with a space" 400 -H 'X-Target-Service: gate' -H 'X-Target-Path: /a b' -d '{}' "$program/p-1/calls?sequence=2"
-# Header lines beyond what is taken: an answer of 4xx, or the connection closed, and the next one works.
+# Headers above the limit: a 4xx response or a closed connection, and the next request is served.
 status=$(curl -s -o /dev/null -w '%{http_code}' --max-time 30 -H "X-Large: $(head -c 60000 /dev/zero | tr '\0' 'h')" "$program/p-1")
 case "$status" in 4?? | 000) ;; *) echo "header too large: status $status"; failed=$((failed + 1)) ;; esac
 good "header too large"
--- a/tests/man_pages.sh
+++ b/tests/man_pages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Man pages: no warning from the formatter, and every command and key that the binary knows is in them.
+# Checks that the man pages format without warnings and document every command and key of the binary.
 # Usage: man_pages.sh BINARY MAN_FOLDER
 set -u
 binary=$1
@@ -16,9 +16,9 @@
   [ -z "$warnings" ] || fail "$page: $warnings"
 done
 
-# documented PAGE WORD: the word begins a tagged paragraph, or stands bold in one.
+# documented PAGE WORD: counts a failure unless a .B or .BR line of PAGE begins with WORD.
 documented() {
-  grep -qE "^\.(B|BR) \"?$2(\"| |$)" "$folder/$1" || fail "$1 does not explain '$2'"
+  grep -qE "^\.(B|BR) \"?$2(\"| |$)" "$folder/$1" || fail "$1 does not document '$2'"
 }
 
 while read -r name; do
@@ -48,7 +48,7 @@
   documented buckthornhead-profile.5 "$key"
   n_keys=$((n_keys + 1))
 done
-# A gateway's settings are told by their section [archives].
+# Section [archives] marks the settings of a gateway.
 for section in instance listen platform stop directory limits archives; do
   header="[archives]"
   [ "$section" = archives ] && header=""
--- a/tests/operations_page.sh
+++ b/tests/operations_page.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Every counter and every log event of the code stands in docs/OPERATIONS.md, and the page names no
-# event that the code does not have. Usage: operations_page.sh SOURCE_FOLDER
+# Checks that docs/OPERATIONS.md documents every counter, histogram, and log event of the code and no
+# log event that the code does not have. Usage: operations_page.sh SOURCE_FOLDER
 set -u
 cd "$1" || exit 1
 page=docs/OPERATIONS.md
@@ -11,32 +11,32 @@
   failures=$((failures + 1))
 }
 
-# The table's names: COUNTS ("name", ...) gets "_total", GAUGES does not.
+# Names in the table of counters: COUNTS ("name", ...) gets "_total", GAUGES does not.
 counters=$(tr '\n' ' ' <core/counter.c | grep -oE '(COUNTS|GAUGES) \("[a-z_]+"' \
   | sed -E 's/COUNTS \("(.*)"/\1_total/; s/GAUGES \("(.*)"/\1/')
 for name in $counters; do
-  grep -q "\`$name\`" "$page" || fail "counter $name is not explained"
+  grep -q "\`$name\`" "$page" || fail "counter $name is not documented"
 done
 
 histograms=$(tr '\n' ' ' <core/histogram.c | grep -oE 'MILLISECONDS \("[a-z_]+"' \
   | sed -E 's/MILLISECONDS \("(.*)"/\1/')
 for name in $histograms; do
-  grep -q "\`$name\`" "$page" || fail "histogram $name is not explained"
+  grep -q "\`$name\`" "$page" || fail "histogram $name is not documented"
 done
 
-# The second argument of log_event, or both ends of a choice between two.
+# The second argument of log_event and log_request; both names if it is a conditional expression.
 sources=$(cat core/*.c core/gateway/*.c adapters/*.c daemon/*.c gateway/*.c | tr '\n' ' ')
 events=$({ echo "$sources" | grep -oE 'log_(event|request) \([^,]*,[^,]*,' | grep -oE '"[a-z_]+"'
-  # Names of the failures of requests stand in one table.
+  # The names of request failures are in one table.
   echo "$sources" | grep -oE 'failure_words\[\] = [^;]*' | grep -oE '"[a-z_]+"'
 } | tr -d '"' | sort -u)
 for name in $events; do
-  grep -q "\`$name\`" "$page" || fail "event $name is not explained"
+  grep -q "\`$name\`" "$page" || fail "event $name is not documented"
 done
 
-# The event column of the last table.
+# The first column of the table under "Log events".
 for name in $(sed -n '/^## Log events/,$p' "$page" | grep '^| `' | cut -d'|' -f2 | tr -d '`,'); do
-  echo "$events" | grep -qx "$name" || fail "event $name is explained, but not in the code"
+  echo "$events" | grep -qx "$name" || fail "event $name is documented, but not in the code"
 done
 
 n_counters=$(echo "$counters" | wc -w)
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts the stand-ins of the outside systems and three instances on loopback, puts two profiles in
-# force, runs a hiring negotiation and a menu review to their ends, prints their outcomes and the
-# operators' status, and stops the instances as planned.
+# Starts the stand-ins of the external systems and three instances on loopback, applies two profiles,
+# runs a hiring negotiation and a menu review to their ends, prints their outcomes and the operators'
+# status, and stops the instances as planned. Usage: demo.sh BUILD
 set -eu
 build=$1
 folder=$(mktemp -d)
@@ -29,12 +29,12 @@
     curl -s -o "$folder/answer" --max-time 1 "$1" && return 0
     sleep 0.1
   done
-  echo "demo: no answer at $1; see the log:"
+  echo "demo: no response from $1; ends of the logs:"
   tail -5 "$folder"/*.log
   exit 1
 }
 
-write_settings () { # number zone
+write_settings () { # arguments: number, zone
   local n=$1
   cat >"$folder/entry-$n.ini" <<INI
 [instance]
@@ -105,11 +105,11 @@
 status=0
 for program in hiring menu; do
   echo
-  echo "== $program program, called at instance 2, one line a step"
+  echo "== $program program, calls through instance 2, one line per step"
   "$standin" caller --entry "127.0.0.1:$((base + 20))" --script "examples/programs/$program.json" || status=1
 done
 echo
-echo "== what operators see"
+echo "== status for operators"
 "${ctl[@]}" status
 
 echo
--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages named that are missing; asks the registry only when one is.
+# Installs those of the given Debian packages that are missing. Contacts the registry only if one is.
 set -eu
 missing=()
 for package in "$@"; do
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,14 +1,16 @@
 #!/usr/bin/env bash
-# Formatter and linter over every C file that git tracks.
+# Checks the format of all tracked C files and lints those that are part of the build.
+# Usage: lint.sh BUILD
 set -eu
 build=$1
 mapfile -t files < <(git ls-files -- '*.c' '*.h')
 clang-format --dry-run -Werror "${files[@]}"
-# clang-tidy reads the flags meson gave; files outside the build (generated code) are left out.
-# One file a clang-tidy process: with several, clang 14 reports va_list false positives.
+# clang-tidy needs the compiler flags of the build, so files outside of it are left out. It gets one
+# file per process: with several, clang 14 reports false positives about va_list.
 mapfile -t sources < <(git ls-files -- '*.c' | while read -r f; do
   grep -q "\"file\": \".*/$f\"" "$build/compile_commands.json" && echo "$f"; done)
-# The platform's headers, keys and paths stand in platform/ alone; its stand-in and deploy/ speak them, too.
+# The platform's headers, keys, and paths belong in platform/. Its stand-in in tests/ and deploy/ use
+# them, too.
 names='X-(Tenant|Response-Seal|Request-Id|Expect-Instance|Expect-Version|Not-Executed|Server-Load|Prompt-Prefix|Pin-Ms|Hold|Token-Budget|Token-Count|Previous-Turn|Program-Id|Session-Id|Kv-Backup)|Kv-(From|Fetch)|/-/(kv-|resolve|ready|report|hold)|op/(config|retire)|status/retire'
 if git grep -nIE "$names" -- '*.c' '*.h' ':!platform' ':!tests' ':!bench'; then
   echo "lint: names of the platform outside platform/" >&2
--- a/tools/play_days.sh
+++ b/tools/play_days.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days on one site and reports them as a table. Not in CI: it needs the
-# platform's bench. Usage: play_days.sh BENCH SITE [JOBS] [DAY...]
+# Runs the days of deploy/days on one site and prints a line for each. Not part of CI, since it needs
+# the platform's bench. Usage: play_days.sh BENCH SITE [JOBS] [DAY...]
 set -u
 bench=$1
 site=$2
--- a/tools/run_fuzz.sh
+++ b/tools/run_fuzz.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Builds the fuzz targets with clang, ASan and UBSan, and runs each a bounded number of times.
+# Builds the fuzz targets with clang, ASan, and UBSan, and runs each with a bounded number of inputs.
+# Usage: run_fuzz.sh BUILD
 set -eu
 build=$1
 [ -f "$build/build.ninja" ] || CC=clang meson setup "$build" -Dfuzz=true \
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs every test program; a failure listed in KNOWN-RED.txt is printed and passed over.
+# Runs all tests. Failures that are listed in KNOWN-RED.txt are printed and do not fail the run.
+# Usage: run_tests.sh BUILD
 set -u
 build=$1
 log=$(mktemp)
