--- a/tests/model/run.sh
+++ b/tests/model/run.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Checks the model of the core protocol by Spin, exhaustively within each set of bounds, and demands
-# that every mutant, which lacks one guard, is caught. Usage: run.sh MODEL
+# Checks the model of the takeover protocol with Spin, exhaustively within each set of bounds, and
+# requires a violation in every mutant, each of which lacks one guard. Usage: run.sh MODEL
 set -u
 model=$(realpath "$1")
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 failures=0
 
-# check NAME FLAGS...: prints Spin's verdict; the output stays in $folder/NAME/out.
+# check NAME FLAGS...: runs the verifier in $folder/NAME, which becomes the working folder, and writes
+# its output to the file out.
 check () {
   local name=$1
   shift
@@ -17,7 +18,7 @@
   ./pan -E -m10000 > out 2>&1
 }
 
-# Two calls on two branches; one call sent again over two take-overs; two calls and two take-overs.
+# Two calls on two branches; one call, resent across two takeovers; two calls and two takeovers.
 sound=(
   "two-calls:-DMAX_CLAIMS=1"
   "two-takeovers:-DN_CALLS=1"
--- a/tests/model/takeover.pml
+++ b/tests/model/takeover.pml
@@ -1,20 +1,20 @@
-/* The core protocol: journals written once, seal, map, replay, resend, hand-off.
+/* Spin model of the takeover protocol: write-once journals, seal, map, replay, resend, hand-off.
  *
- * N_HOMES incarnations and two non-idempotent calls on two branches of one program. Callers have no
- * process: any home may meet any call at any time, which covers resends to everybody at once. There
- * is no clock and no crash: a process that is never scheduled again is dead, one that is scheduled
- * late was paused. A put whose answer is lost is a put after which the home looks again; a late one
- * takes effect at any time afterwards.
+ * There are N_HOMES incarnations and two non-idempotent calls on two branches of one program.
+ * Callers are not processes: any home may receive any call at any time, which covers concurrent
+ * resends to all homes. There is no clock and no crash: a process that is never scheduled again has
+ * crashed, one that is scheduled late was paused. After a put whose response is lost, the home
+ * reads the slot; a late put takes effect at any later time.
  *
- * Step here                      Function of the product
- *   wants INTENT                   ledger_accept_call (LEDGER_JOURNAL_FIRST), journal_append
+ * Step of the model              Function of the implementation
+ *   append INTENT                  ledger_accept_call (LEDGER_JOURNAL_FIRST), journal_append
  *   put, late put                  journal_put
  *   own slot seen: durable         journal_on_present, journal_on_durable, ledger_apply
  *   seal seen: fenced              journal_on_present, journal_fence
  *   send                           the daemon, after JournalDone of the intent
- *   wants NOT_SENT                 ledger_abandon_call
- *   wants OUTCOME                  ledger_end_call
- *   tell                           LEDGER_STORED, or the end of the call in flight
+ *   append NOT_SENT                ledger_abandon_call
+ *   append OUTCOME                 ledger_end_call
+ *   report                         LEDGER_STORED, or the end of the call in flight
  *   suspect, seal                  plan_away, homes_seal, replay_on_seal_conflict
  *   claim                          entry_claim, homes_map_change, homes_on_change
  *   adopt                          homes_adopt_group, adopt_partition, ledger_adopt_partition
@@ -22,9 +22,9 @@
  *   leave, hand over               try_to_leave, homes_on_handoff, plan_handed
  *   clean                          homes_clean_step, clean_on_keys
  *
- * Each mutant (-D...) takes one guard out; run.sh demands that every one is caught. */
+ * Each mutant (-D...) removes one guard. run.sh requires that Spin finds a violation in each. */
 
-/* Bounds; run.sh checks several sets of them, since all at once would take minutes. */
+/* Bounds. run.sh checks several sets of them, since all at their maximum would take minutes. */
 #ifndef MAX_INTENTS
 #define MAX_INTENTS 2
 #endif
@@ -47,7 +47,7 @@
 #define N_HOMES 3
 #define N_SLOTS 8
 
-/* Records; those of call c are the base + c. */
+/* Records. INTENT, OUTCOME and NOT_SENT of call c are the constant + c. */
 #define EMPTY 0
 #define INTENT 1
 #define OUTCOME 3
@@ -61,7 +61,7 @@
 #define DONE 1
 #define MAY_HAVE_RUN 2
 
-/* What a home does with a call. */
+/* State of a call at a home. */
 #define IDLE 0
 #define JOURNALED 1 /* its intent is durable */
 #define SENT 2
@@ -79,19 +79,19 @@
 byte slots[24];          /* N_HOMES * N_SLOTS */
 byte map_home = 0;
 byte map_epoch = 1;
-byte chain[4];           /* journals that count, oldest first, as home + 1 */
+byte chain[4];           /* journals to be replayed, oldest first, as home + 1 */
 byte n_chain = 1;
-bool planned = false;    /* the home was given the partition by a hand-off */
+bool planned = false;    /* the home received the partition by a hand-off */
 
-byte late[N_HOMES];      /* a put on its way */
+byte late[N_HOMES];      /* record of a late put; 0: none */
 byte late_slot[N_HOMES];
 
-/* What the outside has seen. */
-byte runs[2];
-byte told[2];
+/* What backend servers and callers have observed. */
+byte runs[2];            /* by call */
+byte reported[2];        /* outcome reported to the caller, by call */
 byte order[2];           /* calls + 1 in the order of their outcomes */
 
-/* How often what is bounded has happened. */
+/* Numbers of the bounded steps so far. */
 byte n_intents = 0;
 byte n_late = 0;
 byte n_not_sent = 0;
@@ -100,15 +100,16 @@
 
 #define SLOT(home, n) slots[(home) * N_SLOTS + (n)]
 
-/* Told as soon as a home knows: that leaves the least room for another home to say else. */
-inline tell (c)
+/* Reports an outcome as soon as a home has it, which leaves the least room for another home to
+ * report a different one. */
+inline report (c)
 {
-  assert (told[c] == NONE || told[c] == res[c]);
-  told[c] = res[c]
+  assert (reported[c] == NONE || reported[c] == res[c]);
+  reported[c] = res[c]
 }
 
-/* An outcome takes its place in the history, the same at every home. */
-inline take_outcome (c, outcome)
+/* Records an outcome. All homes must agree on the call that is first in the history. */
+inline record_outcome (c, outcome)
 {
   res[c] = outcome;
   if
@@ -127,7 +128,8 @@
   fi
 }
 
-/* Replays the journals that count, in the order of their epochs, and decides on what is open. */
+/* Replays the journals of the chain in the order of their epochs. A call that stays open gets the
+ * outcome MAY_HAVE_RUN. */
 inline replay ()
 {
   res[0] = NONE; res[1] = NONE; open[0] = false; open[1] = false; first = 0;
@@ -144,7 +146,7 @@
         :: r == OUTCOME || r == OUTCOME + 1 ->
            open[r - OUTCOME] = false;
            if
-           :: res[r - OUTCOME] == NONE -> take_outcome (r - OUTCOME, DONE)
+           :: res[r - OUTCOME] == NONE -> record_outcome (r - OUTCOME, DONE)
            :: else
            fi
         :: r >= SNAPSHOT ->
@@ -160,38 +162,38 @@
   :: i < n_chain && chain[i] == me + 1 -> i++
   :: else -> break
   od;
-  /* A planned stop cuts no call in flight. */
+  /* A planned stop interrupts no call in flight. */
   assert (!planned || (!open[0] && !open[1]));
   if
-  :: open[0] -> take_outcome (0, MAY_HAVE_RUN)
+  :: open[0] -> record_outcome (0, MAY_HAVE_RUN)
   :: else
   fi;
   if
-  :: open[1] -> take_outcome (1, MAY_HAVE_RUN)
+  :: open[1] -> record_outcome (1, MAY_HAVE_RUN)
   :: else
   fi;
   open[0] = false; open[1] = false; i = 0; n = 0; r = 0
 }
 
-/* The wanted record is durable. */
+/* The pending record is durable. */
 inline apply ()
 {
   if
-  :: want == INTENT || want == INTENT + 1 ->
-     phase[want - INTENT] = JOURNALED;
-     not_run_told[want - INTENT] = false
-  :: want == NOT_SENT || want == NOT_SENT + 1 ->
-     phase[want - NOT_SENT] = IDLE;
-     not_run_told[want - NOT_SENT] = true
-  :: want == OUTCOME || want == OUTCOME + 1 ->
-     phase[want - OUTCOME] = IDLE;
-     take_outcome (want - OUTCOME, DONE);
-     tell (want - OUTCOME);
+  :: pending == INTENT || pending == INTENT + 1 ->
+     phase[pending - INTENT] = JOURNALED;
+     not_run_reported[pending - INTENT] = false
+  :: pending == NOT_SENT || pending == NOT_SENT + 1 ->
+     phase[pending - NOT_SENT] = IDLE;
+     not_run_reported[pending - NOT_SENT] = true
+  :: pending == OUTCOME || pending == OUTCOME + 1 ->
+     phase[pending - OUTCOME] = IDLE;
+     record_outcome (pending - OUTCOME, DONE);
+     report (pending - OUTCOME);
      check_order ()
-  :: want == HANDOFF -> mode = HANDED
-  :: want >= SNAPSHOT -> settled = true
+  :: pending == HANDOFF -> mode = HANDED
+  :: pending >= SNAPSHOT -> settled = true
   fi;
-  want = 0;
+  pending = 0;
   next++
 }
 
@@ -202,24 +204,25 @@
   phase[c] = SENT
 }
 
-/* Steps of one call at its home. */
+/* Performs the next step of a call at its home. */
 inline serve (c)
 {
 #ifdef INTENT_AFTER_DISPATCH
   if
   :: phase[c] == IDLE -> send (c); n_intents++
-  :: phase[c] == SENT -> want = INTENT + c
-  :: phase[c] == JOURNALED -> want = OUTCOME + c
+  :: phase[c] == SENT -> pending = INTENT + c
+  :: phase[c] == JOURNALED -> pending = OUTCOME + c
   fi
 #else
   if
-  :: phase[c] == IDLE -> want = INTENT + c; n_intents++
-  :: phase[c] == JOURNALED && n_not_sent < MAX_NOT_SENT -> want = NOT_SENT + c; phase[c] = CLOSING; n_not_sent++
+  :: phase[c] == IDLE -> pending = INTENT + c; n_intents++
+  :: phase[c] == JOURNALED && n_not_sent < MAX_NOT_SENT ->
+     pending = NOT_SENT + c; phase[c] = CLOSING; n_not_sent++
   :: phase[c] == SENT ->
-     want = OUTCOME + c; phase[c] = CLOSING;
+     pending = OUTCOME + c; phase[c] = CLOSING;
 #ifdef ACKNOWLEDGE_BEFORE_APPEND
-     assert (told[c] == NONE || told[c] == DONE);
-     told[c] = DONE
+     assert (reported[c] == NONE || reported[c] == DONE);
+     reported[c] = DONE
 #endif
   fi
 #endif
@@ -227,53 +230,55 @@
 
 proctype Home (byte me)
 {
-  byte mode = AWAY, epoch = 0, next = 0, want = 0, first = 0;
+  /* pending: record to be appended to slot next, or 0 */
+  byte mode = AWAY, epoch = 0, next = 0, pending = 0, first = 0;
   byte phase[2], res[2];
   bool open[2], settled = false;
-  bool not_run_told[2]; /* of the home's latest attempt: another home's may run meanwhile */
+  bool not_run_reported[2]; /* of this home's last attempt; another home's may still run */
   byte former = 0, seen_epoch = 0, i = 0, n = 0, r = 0;
 
   do
-  /* Journal. */
-  :: atomic { want != 0 && SLOT (me, next) == EMPTY -> SLOT (me, next) = want }
-  :: atomic { want != 0 && late[me] == 0 && n_late < MAX_LATE ->
-              late[me] = want; late_slot[me] = next; n_late++ }
-  :: atomic { want != 0 && SLOT (me, next) != EMPTY && SLOT (me, next) != SEAL -> apply () }
-  :: atomic { want != 0 && SLOT (me, next) == SEAL ->
-              /* Not sent and never to be: this home may say so of its attempt. */
+  /* Appends to the journal. */
+  :: atomic { pending != 0 && SLOT (me, next) == EMPTY -> SLOT (me, next) = pending }
+  :: atomic { pending != 0 && late[me] == 0 && n_late < MAX_LATE ->
+              late[me] = pending; late_slot[me] = next; n_late++ }
+  :: atomic { pending != 0 && SLOT (me, next) != EMPTY && SLOT (me, next) != SEAL -> apply () }
+  :: atomic { pending != 0 && SLOT (me, next) == SEAL ->
+              /* This home's attempt was not sent and never will be: the home may report so. */
               if
-              :: want == INTENT || want == INTENT + 1 ->
+              :: pending == INTENT || pending == INTENT + 1 ->
 #ifdef INTENT_AFTER_DISPATCH
-                 assert (runs[want - INTENT] == 0)
+                 assert (runs[pending - INTENT] == 0)
 #else
                  skip
 #endif
               :: else
               fi;
-              want = 0; settled = false; res[0] = NONE; res[1] = NONE; first = 0;
+              pending = 0; settled = false; res[0] = NONE; res[1] = NONE; first = 0;
               if :: phase[0] != JOURNALED -> phase[0] = IDLE :: else fi;
               if :: phase[1] != JOURNALED -> phase[1] = IDLE :: else fi;
               mode = FENCED }
 
   /* Calls. */
-  :: atomic { mode == OWNED && want == 0 && next < N_SLOTS - 2 && res[0] == NONE &&
+  :: atomic { mode == OWNED && pending == 0 && next < N_SLOTS - 2 && res[0] == NONE &&
               (phase[0] != IDLE || n_intents < MAX_INTENTS) -> serve (0) }
-  :: atomic { N_CALLS == 2 && mode == OWNED && want == 0 && next < N_SLOTS - 2 && res[1] == NONE &&
-              (phase[1] != IDLE || n_intents < MAX_INTENTS) -> serve (1) }
+  :: atomic { N_CALLS == 2 && mode == OWNED && pending == 0 && next < N_SLOTS - 2 &&
+              res[1] == NONE && (phase[1] != IDLE || n_intents < MAX_INTENTS) -> serve (1) }
 #ifndef INTENT_AFTER_DISPATCH
-  /* Also when fenced since: a paused home does not know yet. */
-  :: atomic { phase[0] == JOURNALED -> assert (!not_run_told[0]); send (0) }
-  :: atomic { phase[1] == JOURNALED -> assert (!not_run_told[1]); send (1) }
+  /* Also sends when it has been fenced: a paused home has not noticed yet. */
+  :: atomic { phase[0] == JOURNALED -> assert (!not_run_reported[0]); send (0) }
+  :: atomic { phase[1] == JOURNALED -> assert (!not_run_reported[1]); send (1) }
 #endif
 
-  /* Take-over. */
+  /* Takeover. */
   :: atomic { mode == AWAY && map_home != me && n_claims < MAX_CLAIMS && next == 0 ->
               former = map_home; seen_epoch = map_epoch; n = 0; n_claims++;
 #ifdef READ_BEFORE_SEAL
               replay ();
 #endif
               mode = SEALING }
-  /* Going past records and meeting another's seal are one step with the put: slots never change. */
+  /* Skipping records and finding another's seal are one step with the put, since a slot that is
+     written does not change. */
   :: atomic { mode == SEALING ->
               do
               :: SLOT (former, n) != EMPTY && SLOT (former, n) != SEAL -> n++
@@ -307,15 +312,15 @@
 #else
               replay ();
 #endif
-              /* No acknowledged outcome is missing. */
-              assert (told[0] == NONE || told[0] == res[0]);
-              assert (told[1] == NONE || told[1] == res[1]);
-              if :: res[0] != NONE -> tell (0) :: else fi;
-              if :: res[1] != NONE -> tell (1) :: else fi;
+              /* No outcome that was reported is missing. */
+              assert (reported[0] == NONE || reported[0] == res[0]);
+              assert (reported[1] == NONE || reported[1] == res[1]);
+              if :: res[0] != NONE -> report (0) :: else fi;
+              if :: res[1] != NONE -> report (1) :: else fi;
               check_order ();
               former = 0; seen_epoch = 0;
               epoch = map_epoch; phase[0] = IDLE; phase[1] = IDLE; mode = OWNED;
-              want = SNAPSHOT + res[0] + 3 * res[1] + 9 * first;
+              pending = SNAPSHOT + res[0] + 3 * res[1] + 9 * first;
 #ifdef MAP_BEFORE_SNAPSHOT
               settled = true
 #endif
@@ -335,11 +340,11 @@
               phase[1] != JOURNALED && phase[1] != SENT ->
               mode = HANDED; n_handoffs++ }
 #else
-  :: atomic { mode == OWNED && want == 0 && n_handoffs < MAX_HANDOFFS &&
+  :: atomic { mode == OWNED && pending == 0 && n_handoffs < MAX_HANDOFFS &&
 #ifndef HANDOFF_WHILE_IN_FLIGHT
               phase[0] == IDLE && phase[1] == IDLE &&
 #endif
-              me + 1 < N_HOMES -> want = HANDOFF; mode = LEAVING; n_handoffs++ }
+              me + 1 < N_HOMES -> pending = HANDOFF; mode = LEAVING; n_handoffs++ }
 #endif
   :: atomic { mode == HANDED ->
               if
@@ -347,11 +352,11 @@
                  map_home = me + 1; map_epoch++; planned = true; chain[n_chain] = me + 2; n_chain++
               :: else
               fi;
-              mode = FENCED /* it takes nothing more in this model */ }
+              mode = FENCED /* it accepts no more calls in this model */ }
   od
 }
 
-/* Puts that were on their way take effect. */
+/* Late puts take effect. */
 proctype Network ()
 {
   byte h;
@@ -365,8 +370,9 @@
   od
 }
 
-/* Old slots of journals that no longer count are deleted, all but the seal: a writer paused since
- * before the seal would else create its slot again and think it durable. */
+/* Deletes the slots of journals that are not replayed any more, except for the seal: a writer that
+ * was paused before the seal could otherwise create its slot again and treat the record as durable.
+ */
 proctype Cleaner ()
 {
   byte j = 0, n = 0;
