--- a/adapters/disk_log.c
+++ b/adapters/disk_log.c
@@ -117,7 +117,7 @@
   return (*x > *y) - (*x < *y);
 }
 
-/* Returns the numbers of the log files in the folder, ascending; NULL when it can not be listed. */
+/* Returns the numbers of the log files in the folder, ascending; NULL when it cannot be listed. */
 static uint32_t *
 folder_list_numbers (struct DiskLog *log, size_t *n)
 {
--- a/core/config_apply.c
+++ b/core/config_apply.c
@@ -27,7 +27,7 @@
   uint8_t *value; /* packed change of the last put */
   size_t value_bytes;
   uint64_t n;                 /* change number of the last put */
-  bool uncertain;             /* a put under .n got no response and may still take effect */
+  bool uncertain;             /* a put under .n received no response and may still take effect */
   int64_t settle_deadline_ms; /* valid while .uncertain */
 };
 
--- a/core/config_fold.h
+++ b/core/config_fold.h
@@ -56,7 +56,7 @@
                       const struct ConfigChange *change,
                       struct Fault *fault);
 
-/* Applies change number fold->revision + 1. NULL stands for a change that this version can not
+/* Applies change number fold->revision + 1. NULL means a change that this version cannot
  * read: it has no effect but increases the revision. */
 void
 config_fold_take (struct ConfigFold *fold, const struct ConfigChange *change);
--- a/core/config_log_private.h
+++ b/core/config_log_private.h
@@ -9,7 +9,7 @@
 struct ConfigEntry
 {
   uint64_t n;
-  struct ConfigChange *change; /* NULL if this version can not read it */
+  struct ConfigChange *change; /* NULL if this version cannot read it */
   const uint8_t *value;
   size_t value_bytes;
 };
--- a/core/homes_handoff.c
+++ b/core/homes_handoff.c
@@ -71,7 +71,7 @@
 
 /* Returns true while partition waits to be handed off. A partition is handed off when it has no
  * calls in flight and is served normally until then, so that a joining member does not make callers
- * wait for the end of another caller's long answer. A home that is drained or stopped has to
+ * wait for the end of another caller's long response. A home that is drained or stopped has to
  * finish, so after IDLE_TIMEOUT_MS it accepts no new calls and waits for those in flight. */
 static bool
 leave_step (struct Homes *homes, uint32_t partition)
--- a/core/kv_follow.h
+++ b/core/kv_follow.h
@@ -1,8 +1,8 @@
 /* Follows the keys under a prefix: reads them, then watches for changes.
  *
  * A failed watch is replaced by jittered polls. A watch that ended without changes is followed by a
- * read, since it cannot be told from one whose connection broke silently. A change that such a
- * watch missed is therefore found after .watch_ms at the latest. */
+ * read, since it cannot be distinguished from one whose connection broke silently. A change that
+ * such a watch missed is therefore found after .watch_ms at the latest. */
 #pragma once
 
 #include <buckthornhead/kv.h>
--- a/core/ledger.c
+++ b/core/ledger.c
@@ -64,7 +64,7 @@
              (unsigned long long)key->sequence, key->branch);
 }
 
-/* Decides on a call whose sequence number was used before: its answer is stored, it is in flight,
+/* Decides on a call whose sequence number was used before: its response is stored, it is in flight,
  * or the number belongs to another request. Returns false for a new number. */
 static bool
 decide_repeated (const struct LedgerProgram *program,
@@ -89,7 +89,7 @@
       refuse_reused_sequence (decision, &call->key);
       return true;
     }
-  /* Older turns also get their stored answer: a refusal would report "not run". */
+  /* Older turns are also answered with their stored response: a refusal would report "not run". */
   decision->verdict = LEDGER_STORED;
   decision->stored = &turn->outcome;
   if (turn->outcome.error != ERROR_NONE)
--- a/core/partition.c
+++ b/core/partition.c
@@ -32,7 +32,7 @@
     {
       uint64_t score = rendezvous_score (key, names[i]);
 
-      /* A tie goes to the lesser name, so that the result does not depend on the order of names. */
+      /* Ties are resolved by name, so that the result does not depend on the order of names. */
       if (best < 0 || score > best_score
           || (score == best_score && strcmp (names[i], names[best]) < 0))
         {
--- a/core/policy_active.h
+++ b/core/policy_active.h
@@ -59,7 +59,7 @@
 active_set_find (const struct ActiveSet *set, const char *name);
 
 /* Adds a call that is about to wait. cached_tokens of its prompt are cached and it will add
- * new_tokens. Learns the pause since the program's last call. */
+ * new_tokens. Updates the service's average pause between calls. */
 void
 active_set_add_call (struct ActiveSet *set,
                      struct ActiveProgram *program,
@@ -103,8 +103,8 @@
 void
 active_set_remove (struct ActiveSet *set, struct ActiveProgram *program);
 
-/* Learns the budget from a call of an active program: the tokens expected to be cached, and those
- * that were. */
+/* Updates the budget estimate after a call of an active program, from the tokens expected to be
+ * cached and those that were. */
 void
 active_set_learn_budget (struct ActiveSet *set, uint32_t expected_tokens, uint32_t cached_tokens);
 void
--- a/core/registration.c
+++ b/core/registration.c
@@ -118,7 +118,7 @@
 
 /* Records the result of a grant or keepalive. When this instance is paused with a keepalive in
  * flight, that keepalive fails at the end of the pause as it does at the end of an outage; only the
- * time since the previous result tells them apart. */
+ * time since the previous result distinguishes the two cases. */
 static void
 registration_record_result (struct Registration *r, bool renewed)
 {
--- a/core/scheduling/slot_queue.c
+++ b/core/scheduling/slot_queue.c
@@ -145,11 +145,11 @@
   /* Programs that can still meet their deadlines go first. */
   if (a_late != b_late)
     return b_late;
-  /* Programs under way go before those that have not begun: if late, their finished turns would be
+  /* Programs under way precede those that have not begun: if late, their finished turns would be
    * lost. */
   if (a->continues != b->continues)
     return a->continues;
-  /* The customer's priority goes before the program's deadline and the route's priority. */
+  /* The customer's priority precedes the program's deadline and the route's priority. */
   if (a->customer_priority != b->customer_priority)
     return a->customer_priority < b->customer_priority;
   if (a->program_due_ms != b->program_due_ms)
--- a/core/settings.c
+++ b/core/settings.c
@@ -329,7 +329,7 @@
   if (ferror (stream) || !feof (stream) || strlen (text) != n)
     {
       config_faults_add (faults, file, 1, "", "use an INI file of at most 1 MB",
-                         "the file is not text, is too large or can not be read");
+                         "the file is not text, is too large or cannot be read");
       TALLOC_FREE (text);
     }
 out:
--- a/daemon/home.c
+++ b/daemon/home.c
@@ -26,8 +26,8 @@
   return (int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 
-/* Refuses a request for a program of another home. This attempt did not run; only the home knows
- * whether an earlier one did. */
+/* Refuses a request for a program of another home. This attempt did not run; only the home has a
+ * record of earlier ones. */
 static void
 home_refuse_not_owner (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -165,7 +165,8 @@
   return request->timeout != NULL;
 }
 
-/* Returns true for a turn: it has a budget enforced across all gateways, a kept answer, or both. */
+/* Returns whether the request is a turn: the archives store it, its program's budget is enforced
+ * across all gateways, or both. */
 static bool
 request_is_turn (const struct Request *request)
 {
--- a/gateway/front.h
+++ b/gateway/front.h
@@ -66,7 +66,7 @@
   int64_t deadline_ms;         /* the earlier of the caller's and the route's */
   struct Timer *timeout;
   struct Timer *defer_timer; /* while the gateway starts; NULL: not deferred */
-  struct Turn *turn;         /* a turn has a budget, a kept answer, or both; NULL: not a turn */
+  struct Turn *turn;         /* the turn has a budget, is stored, or both; NULL: not a turn */
   const uint8_t *body;
   size_t body_bytes;
   const char *object;    /* affinity key, on routes whose servers warm up; NULL: none */
--- a/include/buckthornhead/archive_order.h
+++ b/include/buckthornhead/archive_order.h
@@ -3,7 +3,7 @@
  * Turn texts are large and traffic between availability zones is billed, so texts are sent to no
  * more archives than the write quorum requires, those in the gateway's zone first. All gateways of
  * a zone use the same order for a program, so that the archive that is queried first for its
- * history stores it. Pure. */
+ * history stores it. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/archive_set.h>
--- a/include/buckthornhead/archive_set.h
+++ b/include/buckthornhead/archive_set.h
@@ -6,8 +6,9 @@
  * new archives copy from a read quorum of the former ones, each of which already rejects requests
  * of generations before the change. While it is ENDING, both reads and writes need a quorum of both
  * sets. After that the new set is used alone. Processes in two adjacent stages may run at the same
- * time: each reads what the other has written. Archives reject requests of older stages. Nothing
- * here depends on a clock. Pure. */
+ * time: each reads what the other has written. Archives reject requests of older stages.
+ *
+ * Does no I/O and depends on no clock. */
 #pragma once
 
 #include <buckthornhead/call.h>
--- a/include/buckthornhead/config_log.h
+++ b/include/buckthornhead/config_log.h
@@ -2,9 +2,9 @@
  *
  * Change n is stored under <prefix>config/<n as 12 digits>. The key is created only if absent and
  * never overwritten, so the log itself is the audit trail. The configuration is the result of
- * applying changes 1 to n in order; its revision is n, and an instance never goes from a higher
- * revision to a lower one. Checkpoints at <prefix>config-checkpoint limit the number of changes
- * that a starting instance reads. Peers also exchange entries, so that an instance that starts
+ * applying changes 1 to n in order; its revision is n, and an instance never reverts to a lower
+ * revision. Checkpoints at <prefix>config-checkpoint limit the number of changes that a starting
+ * instance reads. Peers also exchange entries, so that an instance that starts
  * while the key-value service is down reaches the highest revision of any peer. */
 #pragma once
 
--- a/include/buckthornhead/customers/customer_table.h
+++ b/include/buckthornhead/customers/customer_table.h
@@ -2,7 +2,7 @@
  *
  * One immutable table per version of the configuration, part of the route table of that version.
  * Keys are stored as configured and never leave this module: no error message or log line contains
- * one. Pure. */
+ * one. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/call.h>
--- a/include/buckthornhead/customers/quota.h
+++ b/include/buckthornhead/customers/quota.h
@@ -17,7 +17,8 @@
  * reserve as much for each gateway that they do not receive from, so that the two sides of a
  * network partition keep the limit together. A gateway that has just started reports this, and all
  * gateways count its share as spent at the full rate before its start: otherwise a restart of all
- * gateways would grant a second burst. Pure: times are in milliseconds of any steady clock. */
+ * gateways would grant a second burst. Does no I/O; times are in milliseconds of any monotonic
+ * clock. */
 #pragma once
 
 #include <buckthornhead/customers/customer_table.h>
--- a/include/buckthornhead/customers/use_board.h
+++ b/include/buckthornhead/customers/use_board.h
@@ -3,7 +3,7 @@
  * A gateway reports its own usage to the aggregators of its zone; these report the zone's sum to
  * the aggregators of other zones, and the fleet's sum to their members. Two aggregators of a zone
  * report nearly the same sum, so only the later report counts. Reports of senders that are silent
- * for too long expire. Pure. */
+ * for too long expire. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/customers/quota.h>
--- a/include/buckthornhead/customers/use_window.h
+++ b/include/buckthornhead/customers/use_window.h
@@ -1,5 +1,5 @@
 /* Sliding-window counter, divided into slices. The total never falls below the true count of the
- * span. Pure. */
+ * span. Does no I/O. */
 #pragma once
 
 #include <stdint.h>
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -69,6 +69,7 @@
   uint32_t running, waiting, slots;
 };
 
+/* Entry of the platform's store that reports how far an instance is emptied. */
 struct RetireNote
 {
   char key[200];
--- a/include/buckthornhead/disk_log.h
+++ b/include/buckthornhead/disk_log.h
@@ -63,7 +63,7 @@
                  DiskLogDone done,
                  void *data);
 
-/* Returns the record at place, belonging to ctx; NULL when it can not be read whole. */
+/* Returns the record at place, belonging to ctx; NULL when it cannot be read whole. */
 uint8_t *
 disk_log_read (struct DiskLog *log,
                TALLOC_CTX *ctx,
@@ -80,7 +80,7 @@
 
 /* Returns whole frames from cursor (0: the first) on, for copying to another archive: at most
  * max_bytes, more only when the first record alone is longer. *next is the cursor after them; *last
- * is set when there are no more at present. NULL when a file can not be read. */
+ * is set when there are no more at present. NULL when a file cannot be read. */
 uint8_t *
 disk_log_frames (struct DiskLog *log,
                  TALLOC_CTX *ctx,
--- a/include/buckthornhead/error.h
+++ b/include/buckthornhead/error.h
@@ -21,8 +21,8 @@
   ERROR_FENCED = -9,         /* this incarnation is sealed and owns nothing */
   ERROR_NOT_OWNER = -10,     /* another instance owns the partition or backend server */
   ERROR_OUT_OF_ORDER = -11,  /* a sequence number other than the expected one */
-  ERROR_BUDGET = -12,        /* the program's budget can not cover the call */
-  ERROR_DEADLINE = -13,      /* the call can not finish before its deadline */
+  ERROR_BUDGET = -12,        /* the program's budget cannot cover the call */
+  ERROR_DEADLINE = -13,      /* the call cannot finish before its deadline */
   ERROR_ENDED = -14,         /* the program has ended */
   ERROR_MAY_HAVE_RUN = -15,  /* a non-idempotent call of unknown outcome; never sent again */
   ERROR_QUARANTINED = -16,   /* every backend server that ran the request failed */
@@ -59,7 +59,7 @@
 const char *
 error_remedy (int32_t error);
 
-/* Fills in fault and returns error. A NULL remedy stands for error_remedy (error). */
+/* Fills in fault and returns error. If remedy is NULL, error_remedy (error) is used. */
 int32_t
 fault_set (struct Fault *fault, int32_t error, const char *remedy, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
--- a/include/buckthornhead/histogram.h
+++ b/include/buckthornhead/histogram.h
@@ -1,7 +1,7 @@
 /* Latency histograms, exposed at /metrics with the counters.
  *
  * They have fixed buckets and are written in the Prometheus text format. They are implemented here
- * because no C histogram library is packaged for the build machines. Recording is wait-free and
+ * because the supported distributions package no C histogram library. Recording is wait-free and
  * allocates no memory. */
 #pragma once
 
--- a/include/buckthornhead/ledger.h
+++ b/include/buckthornhead/ledger.h
@@ -1,5 +1,5 @@
-/* Program ledger: call order, history, budget and stored answers of the programs whose home is this
- * instance.
+/* Program ledger: call order, history, budget and stored responses of the programs whose home is
+ * this instance.
  *
  * Does no I/O and reads no clock. A change takes two steps: one of the functions below fills in the
  * record to journal, and ledger_apply applies it once it is durable or when it is replayed. No
@@ -33,8 +33,8 @@
   struct Fault fault;
 };
 
-/* Name that stands for every backend server: any of them may hold memory for an adopted program, as
- * any may have run the call that was in flight when its home failed. */
+/* Wildcard for all backend servers: any of them may hold memory for an adopted program, as any may
+ * have run the call that was in flight when its home failed. */
 #define LEDGER_ANY_BACKEND "*"
 
 /* Creates a program. want is the complete RECORD_PROGRAM with partition and epoch, which the caller
--- a/include/buckthornhead/log.h
+++ b/include/buckthornhead/log.h
@@ -19,7 +19,7 @@
   LOG_REQUESTS_PER_S = 300
 };
 
-/* Sends all further lines to fd, which becomes non-blocking: lines that it can not accept are lost.
+/* Sends all further lines to fd, which becomes non-blocking: lines that it cannot accept are lost.
  * The default is standard error. */
 void
 log_to (int fd);
--- a/include/buckthornhead/membership.h
+++ b/include/buckthornhead/membership.h
@@ -9,8 +9,8 @@
  * links are not handled here; the routing code uses them as a hint.
  *
  * Membership decides when an instance is suspected to have failed, not which instance owns a
- * partition: an instance that was paused past its lease goes on using its old incarnation until it
- * detects the lapse, and the seal in its journal fences it. */
+ * partition: an instance that was paused past its lease continues to use its old incarnation until
+ * it detects the lapse, and the seal in its journal fences it. */
 #pragma once
 
 #include <buckthornhead/kv.h>
--- a/include/buckthornhead/peer_message.h
+++ b/include/buckthornhead/peer_message.h
@@ -86,7 +86,8 @@
   uint64_t attained_tokens;
   uint32_t cached_tokens_hint;
   uint32_t timeout_ms;
-  bool suspect; /* was running on a server that failed; never runs beside another suspect */
+  bool suspect; /* was running on a server that failed; never runs at the same time as another
+                   suspect */
 };
 
 struct PeerChunk
--- a/include/buckthornhead/peer_table.h
+++ b/include/buckthornhead/peer_table.h
@@ -10,7 +10,7 @@
  *
  * A zone's list contains the members that report to the aggregator itself. A list of the fleet adds
  * the lists that aggregators of other zones sent, but no second-hand entries of its own zone, so
- * that two aggregators can't keep a failed process alive for each other. Pure. */
+ * that two aggregators can't keep a failed process alive for each other. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/gateway_message.h>
@@ -29,7 +29,7 @@
   PEER_TABLE_NEW_MS = 1200,
   /* A peer counts as down for this long after its instance refused a connection. */
   PEER_TABLE_REFUSED_MS = 1000,
-  /* A peer that leaves a request without a reply for this long is not chosen as an aggregator by
+  /* A peer that has not replied to a request for this long is not chosen as an aggregator by
    * this process. Well below PEER_TABLE_SOURCE_LIVE_MS, so that its successor has sent a list
    * before the list of the failed one expires. */
   PEER_TABLE_SILENT_MS = 1100,
@@ -69,7 +69,7 @@
   int64_t refused_ms;       /* last refused connection; 0: none since its last message */
   int64_t listed_ms;        /* when it was last dropped from an aggregator's list */
   int64_t link_received_ms; /* last message over the link that this process dialled */
-  /* When the oldest request was sent after which nothing has come over that link; 0: none. */
+  /* When the oldest request was sent after which nothing was received over that link; 0: none. */
   int64_t unanswered_since_ms;
   int64_t probed_ms;         /* last probe that it was sent */
   int64_t list_requested_ms; /* last request for a full list that it was sent */
--- a/include/buckthornhead/policy.h
+++ b/include/buckthornhead/policy.h
@@ -1,9 +1,10 @@
 /* Policy core: decides which call is sent next, to which server, how many run at once and when to
  * refuse.
  *
- * Pure: no I/O, no clock, no threads; (state, event, now) -> actions. It has two halves. Placement
- * runs at a program's home and picks a backend server from digests that the owners send. The queue
- * runs at the owner of one backend server and orders the calls waiting for it. */
+ * Does no I/O, reads no clock and uses no threads: its functions map a state, an event and the
+ * current time to actions. It has two halves. Placement runs at a program's home and picks a
+ * backend server from digests that the owners send. The queue runs at the owner of one backend
+ * server and orders the calls waiting for it. */
 #pragma once
 
 #include <buckthornhead/call.h>
--- a/include/buckthornhead/record.h
+++ b/include/buckthornhead/record.h
@@ -12,7 +12,7 @@
 {
   RECORD_PROGRAM = 1,  /* a program was created */
   RECORD_INTENT = 2,   /* a call is about to be sent; see grant_tokens */
-  RECORD_OUTCOME = 3,  /* a call has ended; its answer */
+  RECORD_OUTCOME = 3,  /* a call has ended; its outcome */
   RECORD_END = 4,      /* a program has ended */
   RECORD_RELEASED = 5, /* a backend server has freed its memory for an ended program */
   RECORD_SNAPSHOT = 6, /* the complete state of one program (adoption, checkpoint) */
--- a/include/buckthornhead/scheduling/address_choice.h
+++ b/include/buckthornhead/scheduling/address_choice.h
@@ -6,7 +6,7 @@
  * the gateways of a zone become ready within half a second of each other: the first lists named two
  * of 36 gateways, which received all callers for the next four seconds (17 to 31 calls rejected at
  * each, 40 programs late). And a gateway that is slow, or has more callers than it can serve,
- * delays all of them while others are idle. No I/O. */
+ * delays all of them while others are idle. Does no I/O. */
 #pragma once
 
 #include <stdbool.h>
@@ -21,7 +21,7 @@
    * that may fail at the same time. */
   ZONE_ADDRESSES_MIN = 2,
   /* A list with a smaller share of the zone's gateways is too short: half of a zone's gateways
-   * can carry the zone's load, fewer can not. */
+   * can carry the zone's load, fewer cannot. */
   THIN_PERCENT = 50
 };
 
--- a/include/buckthornhead/scheduling/failure_rate.h
+++ b/include/buckthornhead/scheduling/failure_rate.h
@@ -1,7 +1,7 @@
 /* Recent failure rate of a backend server.
  *
  * Guards against a server that fails requests quickly while its health check passes: it appears
- * idle, and attracts the requests that busy servers can't take. No I/O. */
+ * idle, and attracts the requests that busy servers can't take. Does no I/O. */
 #pragma once
 
 #include <stdbool.h>
--- a/include/buckthornhead/scheduling/replica_set.h
+++ b/include/buckthornhead/scheduling/replica_set.h
@@ -1,7 +1,7 @@
 /* The backend servers that a gateway uses: their tracked state, and the choice of a server for each
  * request.
  *
- * No I/O; the time is passed in. */
+ * Does no I/O; callers pass in the time. */
 #pragma once
 
 #include <buckthornhead/call.h>
--- a/include/buckthornhead/scheduling/server_subset.h
+++ b/include/buckthornhead/scheduling/server_subset.h
@@ -5,7 +5,7 @@
  * servers with the lowest hashes of their ids, most of them in the own zone and some in each other
  * zone, as a reserve for when the own ones have failed. The subset doubles with each level, and the
  * level follows the share of its slots that is in use, so that under enough load all servers are
- * used. A service with fewer servers than the subset's size is included whole. No I/O. */
+ * used. A service with fewer servers than the subset's size is included whole. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/gateway_message.h>
--- a/include/buckthornhead/scheduling/session_places.h
+++ b/include/buckthornhead/scheduling/session_places.h
@@ -2,9 +2,9 @@
  * its turns end.
  *
  * Saves prompt tokens from being read twice. A session's next turn may arrive at any gateway, and
- * where turns are not kept, nothing else records which server ran the previous one. In the smaller
- * deployment of the operators' questions 4,606 of 8,668 later turns went to another server than the
- * turn before, and 15 of 33 million prompt tokens read had been read before. No I/O. */
+ * where turns are not kept, nothing else records which server ran the previous one. Without this
+ * table, 4,606 of 8,668 later turns in one of the deployments were sent to another server than the
+ * turn before, and 15 of 33 million prompt tokens read had been read before. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/turn.h>
--- a/include/buckthornhead/scheduling/slot_queue.h
+++ b/include/buckthornhead/scheduling/slot_queue.h
@@ -6,7 +6,7 @@
  * owns the server. This matters when turns exceed the engines' capacity for some seconds: in order
  * of arrival all programs are late, even those that were nearly done; in this order as many as the
  * engines have capacity for end in time. While gateways disagree on a server's owner, it is briefly
- * sent more requests than it has slots. No I/O. */
+ * sent more requests than it has slots. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/call.h>
@@ -16,7 +16,7 @@
 
 struct SlotQueues;
 
-/* A request to send to a server, which asks for a slot there. */
+/* A request to send to a server, which requests a slot there. */
 struct SlotAsk
 {
   char asker[NAME_MAX_BYTES + 1]; /* gateway that sends the request */
@@ -50,7 +50,7 @@
 {
   bool granted;
   uint32_t total;   /* requests running or waiting at the server, including this one */
-  uint32_t ahead;   /* waiting requests that go before this one */
+  uint32_t ahead;   /* waiting requests that precede this one */
   uint32_t wait_ms; /* estimated wait */
 };
 
@@ -72,7 +72,7 @@
   uint64_t capacity_tokens; /* size of its prompt cache; 0: unknown */
 };
 
-/* Grants a new request if there is room, or else queues it. A repeated ask returns the current
+/* Grants a new request if there is room, or else queues it. A repeated SlotAsk returns the current
  * state of its request and takes no second slot. Returns ERROR_NO_MEMORY on failure. */
 int32_t
 slot_queue_ask (struct SlotQueues *queues,
@@ -127,7 +127,7 @@
 slot_queues_digest (
     struct SlotQueues *queues, TALLOC_CTX *ctx, bool busy_only, int64_t now_ms, size_t *n_digests);
 
-/* Returns whether a goes before b. */
+/* Returns whether a is granted before b. */
 bool
 slot_ask_before (const struct SlotAsk *a,
                  const struct SlotAsk *b,
--- a/include/buckthornhead/settings.h
+++ b/include/buckthornhead/settings.h
@@ -63,7 +63,7 @@
                 struct ConfigFaults *faults);
 
 /* Returns the contents of an INI file; belongs to ctx. Returns NULL and adds a fault if the file
- * can not be read, is too large or contains a NUL byte. */
+ * cannot be read, is too large or contains a NUL byte. */
 char *
 config_file_read (TALLOC_CTX *ctx, const char *file, struct ConfigFaults *faults);
 
--- a/include/buckthornhead/tsan.h
+++ b/include/buckthornhead/tsan.h
@@ -1,4 +1,4 @@
-/* ThreadSanitizer annotations: it can not see that liburcu orders memory with inline assembly.
+/* ThreadSanitizer annotations: it cannot see that liburcu orders memory with inline assembly.
  *
  * A release and a later acquire on the same address declare the ordering that the queue or flag
  * between them provides. Other builds generate no code. */
--- a/include/buckthornhead/turn_quorum.h
+++ b/include/buckthornhead/turn_quorum.h
@@ -2,8 +2,8 @@
  *
  * A turn or a reservation is acknowledged once it is durable on "write" archives. A query is
  * complete once "read" archives have responded that have every record they ever acknowledged. Any
- * write quorum intersects any read quorum, so that a query sees all acknowledged records without a
- * leader or an election. Does no I/O. */
+ * write quorum intersects any read quorum, so that a query returns all acknowledged records without
+ * a leader or an election. Does no I/O. */
 #pragma once
 
 #include <buckthornhead/turn.h>
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -176,7 +176,7 @@
 
       if (stream == NULL)
         {
-          CU_FAIL ("i.ini can not be written");
+          CU_FAIL ("i.ini cannot be written");
           break;
         }
       fputs (bad_files[i].text, stream);
