--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -15,7 +15,7 @@
 enum
 {
   GATHER_TIMEOUT_MS = 1000, /* time limit; instances that have not responded by then are left out */
-  /* Delay before the instances are queried again while a partition is being handed over. */
+  /* Delay before the instances are queried again while a partition is being handed off. */
   GATHER_RETRY_MS = 50,
   TEXT_MAX_BYTES = 256 * 1024
 };
--- a/gateway/store_internal.h
+++ b/gateway/store_internal.h
@@ -26,7 +26,7 @@
   int64_t read_started_ms; /* of the latest read or watch call */
   int64_t current_ms;      /* time at which the result of that read or call is current */
   bool reading;
-  int64_t whole_requested_ms; /* when a peer was last asked for the whole snapshot */
+  int64_t whole_requested_ms; /* when the whole snapshot was last requested from a peer */
   int64_t reading_noted_ms;   /* when peers were last notified that the list is being read */
   int64_t call_started_ms;    /* of the pending call, which reads one page */
   int64_t read_revision;      /* the read includes all changes up to this revision */
--- a/gateway/store_reader.c
+++ b/gateway/store_reader.c
@@ -29,7 +29,7 @@
   /* Wait for the aggregators' response to a process that starts. */
   FIRST_READ_WAIT_MS = 150,
   /* Wait after a seed's response: while a fleet starts its seeds receive one process after the
-   * other, so the first requesters learn only later which processes rank before them. */
+   * other, so the first requesters receive the processes that rank before them only later. */
   CONTACTS_SETTLE_MS = 150,
   /* Wait for an aggregator's report, without which a process does not have those that rank before
    * it. */
--- a/gateway/store_topics.c
+++ b/gateway/store_topics.c
@@ -24,8 +24,8 @@
   GAP_MS = 1000,
   /* Time after that read in which the state is still sent with the mark of a gap. */
   AFTER_GAP_MS = 2000,
-  /* Minimum time between two requests for a whole snapshot. A peer that sends changes must not be
-   * asked at each of them: 3,000 servers are 300 KB. */
+  /* Minimum time between two requests for a whole snapshot. Otherwise each change from a peer
+   * could trigger one: 3,000 servers are 300 KB. */
   WHOLE_REQUEST_PERIOD_MS = 800,
   SERVERS_RETENTION_MS = 10 * 1000
 };
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -18,7 +18,7 @@
   OPEN_TIMEOUT_MS = 800,
   /* About twenty times the usual duration. */
   OPEN_RETRY_MS = 150,
-  /* Time for one archive to send missing history, before the next one is asked. */
+  /* Time for one archive to send missing history, before the next one is queried. */
   READ_TIMEOUT_MS = 250,
   /* How long to wait for the history after enough other archives have responded: covers a disk sync
    * that just missed a batch, 5 ms on the slowest disks of the target deployments, and the transfer
@@ -396,9 +396,9 @@
     turn_assemble (request);
 }
 
-/* Returns true while enough archives have responded, but the one that was asked for the history is
- * still reading it from disk: asking another one at once would transfer the texts twice, the second
- * time from another zone. */
+/* Returns true while enough archives have responded, but the one that was queried for the history
+ * is still reading it from disk: querying another one at once would transfer the texts twice, the
+ * second time from another zone. */
 static bool
 turn_history_pending (const struct Request *request)
 {
--- a/gateway/turn_internal.h
+++ b/gateway/turn_internal.h
@@ -27,7 +27,7 @@
   size_t n_charges;
   struct TurnText *history; /* texts of earlier turns, in any order */
   size_t n_history;
-  char reader[NAME_MAX_BYTES + 1]; /* archive that was first asked for the history */
+  char reader[NAME_MAX_BYTES + 1]; /* archive that was first queried for the history */
   bool waits_for_reader;           /* enough other archives have responded before it */
   bool reader_late;                /* READER_LATE_MS have passed since then */
   size_t n_reads, next_reader;
--- a/tests/standins/main.c
+++ b/tests/standins/main.c
@@ -1,4 +1,4 @@
-/* buckthornhead-standin: test-only stand-ins for the systems that buckthornhead talks to. */
+/* buckthornhead-standin: test-only stand-ins for the systems that buckthornhead uses. */
 #include "standin.h"
 
 #include <stdio.h>
--- a/tests/test_dispatch_queue.c
+++ b/tests/test_dispatch_queue.c
@@ -259,7 +259,7 @@
   int64_t now = 0;
   uint64_t id = 0;
 
-  limit_after (queue, &now, 5, 20); /* learns that 50 tokens take a second */
+  limit_after (queue, &now, 5, 20); /* 50 tokens are now estimated to take a second */
   item.deadline_ms = now + 200;
   CU_ASSERT_EQUAL (push_item (queue, &fifo_rule, &item, now), ERROR_DEADLINE);
   item.deadline_ms = now + 5000;
@@ -384,7 +384,7 @@
   first.prompt_tokens = second.prompt_tokens = 9000;
   push (queue, &program_rule, 1, "p", 0, 0);
   CU_ASSERT_EQUAL (pop (queue, 0), 1);
-  dispatch_queue_first_token (queue, 1, 100); /* learns the time per prompt token */
+  dispatch_queue_first_token (queue, 1, 100); /* sets the estimated time per prompt token */
   finish (queue, 1, 0, 1000);
   push_item (queue, &program_rule, &first, 1000);
   push_item (queue, &program_rule, &second, 1001);
--- a/tests/test_homes.c
+++ b/tests/test_homes.c
@@ -325,7 +325,7 @@
 }
 
 /* The home is killed between two turns, with a call in flight. The new home must have the program's
- * history, answers and budget, and charge the call in flight in full. */
+ * history, responses and budget, and charge the call in flight in full. */
 static void
 test_takeover (void)
 {
@@ -347,7 +347,7 @@
 }
 
 /* A home is paused after it sent a call that may run only once, and another home takes over. When
- * the first one resumes and gets the answer, it must not be able to acknowledge it: the new home
+ * the first one resumes and gets the response, it must not be able to acknowledge it: the new home
  * has already reported "may have run". */
 static void
 test_paused_home_resumes (void)
@@ -553,8 +553,8 @@
   talloc_free (f->ctx);
 }
 
-/* The next home fails before it has read the journal of the former one, which goes on running and
- * writes checkpoints. The former home must keep the slots that a third home needs. */
+/* The next home fails before it has read the journal of the former one, which continues to run
+ * and writes checkpoints. The former home must keep the slots that a third home needs. */
 static void
 test_next_home_fails_before_reading (void)
 {
@@ -626,8 +626,8 @@
   talloc_free (f->ctx);
 }
 
-/* A member joins while a program receives a long answer. Other calls of the partition, such as
- * those of other branches or the end of the program, must not be deferred until the long answer
+/* A member joins while a program receives a long response. Other calls of the partition, such as
+ * those of other branches or the end of the program, must not be deferred until the long response
  * ends only to rebalance the partition. */
 static void
 test_busy_partition_stays_served (void)
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -99,7 +99,7 @@
 }
 
 /* A caller resends after a broken connection, and its calls arrive out of order. Each must get the
- * answer to its own request, or an error with the expected sequence number. */
+ * response to its own request, or an error with the expected sequence number. */
 static void
 test_resent_and_out_of_order_calls (void)
 {
@@ -134,7 +134,7 @@
   talloc_free (ctx);
 }
 
-/* Two programs send equal bodies concurrently. Their answers and histories must stay separate: a
+/* Two programs send equal bodies concurrently. Their responses and histories must stay separate: a
  * call is found by program, branch and sequence, never by its digest. */
 static void
 test_two_programs_with_equal_bodies (void)
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -241,8 +241,8 @@
   talloc_free (f->ctx);
 }
 
-/* A partition was handed off by an instance that goes on running. Reading its journal must not seal
- * it. */
+/* A partition was handed off by an instance that continues to run. Reading its journal must not
+ * seal it. */
 static void
 test_reading_does_not_seal (void)
 {
@@ -259,7 +259,7 @@
   talloc_free (f->ctx);
 }
 
-/* A slot is missing while the writer goes on. A slot appended meanwhile must not hide the gap by
+/* A slot is missing while the writer continues. A slot appended meanwhile must not hide the gap by
  * making up the expected number of slots. */
 static void
 test_later_slot_does_not_hide_a_gap (void)
--- a/tests/test_slot_queue.c
+++ b/tests/test_slot_queue.c
@@ -111,8 +111,8 @@
   talloc_free (queues);
 }
 
-/* A grant may be lost with its connection. The gateway then repeats the ask and receives the grant
- * again, without taking a second slot. */
+/* A grant may be lost with its connection. The gateway then repeats the request and receives the
+ * grant again, without taking a second slot. */
 static void
 test_asking_again_takes_no_second_slot (void)
 {
--- a/tests/test_slot_queue_load.c
+++ b/tests/test_slot_queue_load.c
@@ -30,7 +30,7 @@
 enum ProgramState
 {
   PROGRAM_NOT_STARTED,
-  PROGRAM_PAUSED, /* asks at next_ms */
+  PROGRAM_PAUSED, /* requests a slot at next_ms */
   PROGRAM_WAITING,
   PROGRAM_RUNNING,
   PROGRAM_ENDED
