--- a/core/customers/use_board.c
+++ b/core/customers/use_board.c
@@ -17,23 +17,23 @@
   UT_hash_handle hh;
 };
 
-struct UseBoard
+struct UsageTable
 {
   struct ReportRow *rows;
   int64_t received_ms;
 };
 
 static int
-table_free (struct UseBoard *table)
+table_free (struct UsageTable *table)
 {
   HASH_CLEAR (hh, table->rows);
   return 0;
 }
 
-struct UseBoard *
-use_board_new (TALLOC_CTX *ctx)
+struct UsageTable *
+usage_table_new (TALLOC_CTX *ctx)
 {
-  struct UseBoard *table = talloc_zero (ctx, struct UseBoard);
+  struct UsageTable *table = talloc_zero (ctx, struct UsageTable);
 
   if (table != NULL)
     talloc_set_destructor (table, table_free);
@@ -41,7 +41,7 @@
 }
 
 static void
-table_expire (struct UseBoard *table, int64_t now_ms)
+table_expire (struct UsageTable *table, int64_t now_ms)
 {
   struct ReportRow *row, *next;
 
@@ -55,10 +55,10 @@
 }
 
 void
-use_board_take (struct UseBoard *table,
-                const char *sender,
-                const struct UseReport *report,
-                int64_t now_ms)
+usage_table_take (struct UsageTable *table,
+                  const char *sender,
+                  const struct UseReport *report,
+                  int64_t now_ms)
 {
   char key[NAME_MAX_BYTES + 3];
   struct ReportRow *row = NULL;
@@ -133,7 +133,7 @@
 
 /* Returns whether another aggregator of the same zone has reported later. */
 static bool
-zone_reported_later (const struct UseBoard *table, const struct ReportRow *row)
+zone_reported_later (const struct UsageTable *table, const struct ReportRow *row)
 {
   for (const struct ReportRow *other = table->rows; other != NULL; other = other->hh.next)
     if (other != row && other->report.scope == USE_OF_ZONE
@@ -145,13 +145,13 @@
 }
 
 struct CustomerUse *
-use_board_sum (struct UseBoard *table,
-               TALLOC_CTX *ctx,
-               enum UseScope scope,
-               const struct CustomerUse *own,
-               size_t n_own,
-               int64_t now_ms,
-               size_t *n_usages)
+usage_table_sum (struct UsageTable *table,
+                 TALLOC_CTX *ctx,
+                 enum UseScope scope,
+                 const struct CustomerUse *own,
+                 size_t n_own,
+                 int64_t now_ms,
+                 size_t *n_usages)
 {
   struct UsageSum sum = { .ctx = talloc_new (ctx) };
 
@@ -174,7 +174,7 @@
 }
 
 const struct UseReport *
-use_board_fleet (struct UseBoard *table, int64_t now_ms)
+usage_table_fleet (struct UsageTable *table, int64_t now_ms)
 {
   const struct ReportRow *best = NULL;
 
@@ -186,7 +186,7 @@
 }
 
 int64_t
-use_board_received_ms (const struct UseBoard *table)
+usage_table_received_ms (const struct UsageTable *table)
 {
   return table->received_ms;
 }
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -30,9 +30,9 @@
 {
   struct Front *front;
   struct QuotaLedger *ledger;
-  struct UseBoard *usage_table; /* reports of the other gateways */
-  int64_t reported_ms;          /* last report of own usage */
-  int64_t fleet_reported_ms;    /* last report of sums, as an aggregator */
+  struct UsageTable *usage_table; /* reports of the other gateways */
+  int64_t reported_ms;            /* last report of own usage */
+  int64_t fleet_reported_ms;      /* last report of sums, as an aggregator */
   enum QuotaUrgency urgency;
   uint32_t n_checks;
 };
@@ -181,7 +181,7 @@
 
   if (since_ms < quotas_report_interval_ms (quotas, now_ms))
     return;
-  zone = use_board_sum (quotas->usage_table, fleet, USE_OF_ZONE, own, n_own, now_ms, &n_zone);
+  zone = usage_table_sum (quotas->usage_table, fleet, USE_OF_ZONE, own, n_own, now_ms, &n_zone);
   quotas_send (quotas, USE_OF_ZONE, zone, n_zone, PEERS_OTHER_ZONES);
   quotas->fleet_reported_ms = now_ms;
   quotas_send (quotas, USE_OF_FLEET, fleet, n_fleet, PEERS_SERVED);
@@ -193,7 +193,7 @@
 {
   size_t n_fleet;
   struct CustomerUse *fleet =
-      use_board_sum (quotas->usage_table, own, USE_OF_FLEET, own, n_own, now_ms, &n_fleet);
+      usage_table_sum (quotas->usage_table, own, USE_OF_FLEET, own, n_own, now_ms, &n_fleet);
 
   if (fleet == NULL)
     return;
@@ -207,7 +207,7 @@
 static void
 quotas_apply_report (struct Quotas *quotas, int64_t now_ms)
 {
-  const struct UseReport *report = use_board_fleet (quotas->usage_table, now_ms);
+  const struct UseReport *report = usage_table_fleet (quotas->usage_table, now_ms);
 
   if (report == NULL)
     {
@@ -226,7 +226,7 @@
   const struct Node *node = quotas->front->node;
   const struct PeerTable *table = node->peers;
   struct QuotaFleet fleet = { .n_known = 1, .n_received = 1 };
-  int64_t received_ms = use_board_received_ms (quotas->usage_table);
+  int64_t received_ms = usage_table_received_ms (quotas->usage_table);
 
   for (size_t i = 0; i < table->n_peers; i++)
     {
@@ -288,7 +288,7 @@
 void
 quotas_on_report (struct Quotas *quotas, const char *sender, const struct UseReport *report)
 {
-  use_board_take (quotas->usage_table, sender, report, quotas_now_ms (quotas));
+  usage_table_take (quotas->usage_table, sender, report, quotas_now_ms (quotas));
 }
 
 void
@@ -313,7 +313,7 @@
     return NULL;
   quotas->front = front;
   quotas->ledger = quota_ledger_new (quotas, &rules, settings->instance, front->started_ms);
-  quotas->usage_table = use_board_new (quotas);
+  quotas->usage_table = usage_table_new (quotas);
   if (quotas->ledger == NULL || quotas->usage_table == NULL)
     {
       talloc_free (quotas);
--- a/include/buckthornhead/customers/use_board.h
+++ b/include/buckthornhead/customers/use_board.h
@@ -24,34 +24,34 @@
   size_t n_uses;
 };
 
-struct UseBoard;
+struct UsageTable;
 
 /* Returns NULL when out of memory. */
-struct UseBoard *
-use_board_new (TALLOC_CTX *ctx);
+struct UsageTable *
+usage_table_new (TALLOC_CTX *ctx);
 
 /* Stores a report; it replaces the previous one of the same sender and scope. */
 void
-use_board_take (struct UseBoard *table,
-                const char *sender,
-                const struct UseReport *report,
-                int64_t now_ms);
+usage_table_take (struct UsageTable *table,
+                  const char *sender,
+                  const struct UseReport *report,
+                  int64_t now_ms);
 
 /* Returns the sum of own and of the usage that gateways reported to this one; for USE_OF_FLEET
  * other zones' sums are added. Allocated on ctx; NULL when out of memory. */
 struct CustomerUse *
-use_board_sum (struct UseBoard *table,
-               TALLOC_CTX *ctx,
-               enum UseScope scope,
-               const struct CustomerUse *own,
-               size_t n_own,
-               int64_t now_ms,
-               size_t *n_usages);
+usage_table_sum (struct UsageTable *table,
+                 TALLOC_CTX *ctx,
+                 enum UseScope scope,
+                 const struct CustomerUse *own,
+                 size_t n_own,
+                 int64_t now_ms,
+                 size_t *n_usages);
 
 /* Returns the last report of the fleet's usage, or NULL if there is none or it has expired. */
 const struct UseReport *
-use_board_fleet (struct UseBoard *table, int64_t now_ms);
+usage_table_fleet (struct UsageTable *table, int64_t now_ms);
 
 /* Returns when the last report of any gateway arrived; 0: never. */
 int64_t
-use_board_received_ms (const struct UseBoard *table);
+usage_table_received_ms (const struct UsageTable *table);
--- a/tests/test_use_board.c
+++ b/tests/test_use_board.c
@@ -14,7 +14,7 @@
 };
 
 static void
-take (struct UseBoard *table,
+take (struct UsageTable *table,
       const char *sender,
       const char *zone,
       enum UseScope scope,
@@ -25,15 +25,15 @@
   struct UseReport report = { .scope = scope, .uses = &usage, .n_uses = 1 };
 
   snprintf (report.zone, sizeof report.zone, "%s", zone);
-  use_board_take (table, sender, &report, now_ms);
+  usage_table_take (table, sender, &report, now_ms);
 }
 
 static uint32_t
-sum (struct UseBoard *table, enum UseScope scope, uint32_t own_taken, int64_t now_ms)
+sum (struct UsageTable *table, enum UseScope scope, uint32_t own_taken, int64_t now_ms)
 {
   const struct CustomerUse own = { .customer = "alma", .taken = own_taken };
   size_t n;
-  struct CustomerUse *usages = use_board_sum (table, table, scope, &own, 1, now_ms, &n);
+  struct CustomerUse *usages = usage_table_sum (table, table, scope, &own, 1, now_ms, &n);
   uint32_t taken = n > 0 ? usages[0].taken : 0;
 
   CU_ASSERT (n <= 1);
@@ -44,7 +44,7 @@
 static void
 test_members_and_zones_are_summed (void)
 {
-  struct UseBoard *table = use_board_new (NULL);
+  struct UsageTable *table = usage_table_new (NULL);
 
   take (table, "b", "z1", USE_OF_GATEWAY, 3, START_MS);
   take (table, "c", "z1", USE_OF_GATEWAY, 4, START_MS);
@@ -54,7 +54,7 @@
   /* A newer report replaces the older one. */
   take (table, "b", "z1", USE_OF_GATEWAY, 5, START_MS + 1);
   CU_ASSERT_EQUAL (sum (table, USE_OF_ZONE, 1, START_MS + 1), 10);
-  CU_ASSERT_EQUAL (use_board_received_ms (table), START_MS + 1);
+  CU_ASSERT_EQUAL (usage_table_received_ms (table), START_MS + 1);
   talloc_free (table);
 }
 
@@ -63,7 +63,7 @@
 static void
 test_a_zone_counts_once (void)
 {
-  struct UseBoard *table = use_board_new (NULL);
+  struct UsageTable *table = usage_table_new (NULL);
 
   take (table, "x", "z2", USE_OF_ZONE, 10, START_MS);
   take (table, "y", "z2", USE_OF_ZONE, 12, START_MS + 5);
@@ -79,15 +79,15 @@
 static void
 test_silent_senders_expire (void)
 {
-  struct UseBoard *table = use_board_new (NULL);
+  struct UsageTable *table = usage_table_new (NULL);
 
   take (table, "b", "z1", USE_OF_GATEWAY, 3, START_MS);
   take (table, "a", "z1", USE_OF_FLEET, 30, START_MS);
-  CU_ASSERT_PTR_NOT_NULL (use_board_fleet (table, START_MS));
+  CU_ASSERT_PTR_NOT_NULL (usage_table_fleet (table, START_MS));
   take (table, "d", "z1", USE_OF_FLEET, 31, START_MS + 10);
-  CU_ASSERT_EQUAL (use_board_fleet (table, START_MS + 10)->uses[0].taken, 31);
+  CU_ASSERT_EQUAL (usage_table_fleet (table, START_MS + 10)->uses[0].taken, 31);
   CU_ASSERT_EQUAL (sum (table, USE_OF_ZONE, 0, START_MS + SILENT_MS), 0);
-  CU_ASSERT_PTR_NULL (use_board_fleet (table, START_MS + SILENT_MS));
+  CU_ASSERT_PTR_NULL (usage_table_fleet (table, START_MS + SILENT_MS));
   talloc_free (table);
 }
 
