--- a/core/customers/quota.c
+++ b/core/customers/quota.c
@@ -106,11 +106,11 @@
   return entry->rate_per_s * quota_window_s (ledger) * ledger->prestart_fraction;
 }
 
-struct CustomerUse
+struct CustomerUsage
 quota_own_usage (const struct QuotaLedger *ledger, struct QuotaEntry *entry, int64_t now_ms)
 {
   uint32_t window_ms = ledger->rules.window_ms;
-  struct CustomerUse usage = {
+  struct CustomerUsage usage = {
     .taken = usage_window_total (&entry->taken, window_ms, now_ms),
     .begun = usage_window_total (&entry->begun, window_ms, now_ms),
     .wanted = usage_window_total (&entry->wanted, ledger->demand_span_ms, now_ms),
@@ -130,7 +130,7 @@
 bool
 quota_is_surge (const struct QuotaLedger *ledger,
                 const struct QuotaEntry *entry,
-                const struct CustomerUse *usage)
+                const struct CustomerUsage *usage)
 {
   return usage->wanted > quota_demand_limit (ledger, entry);
 }
@@ -206,7 +206,7 @@
   for (struct QuotaEntry *entry = ledger->entries; standings != NULL && entry != NULL;
        entry = entry->hh.next)
     {
-      struct CustomerUse own, fleet;
+      struct CustomerUsage own, fleet;
       struct QuotaStanding *standing = &standings[*n_standings];
 
       if (entry->rate_per_s <= 0)
--- a/core/customers/quota_internal.h
+++ b/core/customers/quota_internal.h
@@ -17,10 +17,10 @@
   struct UsageWindow taken, begun, wanted;
   double program_size_ratio; /* mean number of requests, relative to all customers */
   uint64_t n_refused;
-  int64_t last_refused_ms;     /* time of the last refusal; 0: none */
-  double credit;               /* accumulated fractions of requests that may pass */
-  struct CustomerUse reported; /* last reported by this gateway */
-  struct CustomerUse others;   /* reported by other gateways */
+  int64_t last_refused_ms;       /* time of the last refusal; 0: none */
+  double credit;                 /* accumulated fractions of requests that may pass */
+  struct CustomerUsage reported; /* last reported by this gateway */
+  struct CustomerUsage others;   /* reported by other gateways */
   UT_hash_handle hh;
 };
 
@@ -55,7 +55,7 @@
 quota_phase (const struct QuotaLedger *ledger, const char *customer);
 
 /* Returns this gateway's current usage. */
-struct CustomerUse
+struct CustomerUsage
 quota_own_usage (const struct QuotaLedger *ledger, struct QuotaEntry *entry, int64_t now_ms);
 
 /* Returns the time since this gateway's start in windows, at most 1. Below 1, a burst may have been
@@ -76,17 +76,17 @@
 bool
 quota_is_surge (const struct QuotaLedger *ledger,
                 const struct QuotaEntry *entry,
-                const struct CustomerUse *usage);
+                const struct CustomerUsage *usage);
 
 /* Returns the fraction of a customer's requests of the given kind that passes. own: this gateway's
  * current usage; the fleet's estimated usage is written to *fleet. */
 double
 quota_pass_fraction (const struct QuotaLedger *ledger,
                      const struct QuotaEntry *entry,
-                     const struct CustomerUse *own,
+                     const struct CustomerUsage *own,
                      enum QuotaAsk ask,
                      int64_t now_ms,
-                     struct CustomerUse *fleet);
+                     struct CustomerUsage *fleet);
 
 void
 quota_decide (const struct QuotaLedger *ledger,
--- a/core/customers/quota_part.c
+++ b/core/customers/quota_part.c
@@ -64,7 +64,7 @@
 static const struct QuotaMargins *
 entry_margins (const struct QuotaLedger *ledger,
                const struct QuotaEntry *entry,
-               const struct CustomerUse *fleet,
+               const struct CustomerUsage *fleet,
                int64_t now_ms)
 {
   return quota_is_surge (ledger, entry, fleet) || quota_uptime_windows (ledger, now_ms) < 1
@@ -76,7 +76,7 @@
 static double
 under_way_fraction (const struct QuotaLedger *ledger,
                     const struct QuotaEntry *entry,
-                    const struct CustomerUse *fleet,
+                    const struct CustomerUsage *fleet,
                     int64_t now_ms)
 {
   const struct QuotaMargins *margins = entry_margins (ledger, entry, fleet, now_ms);
@@ -99,7 +99,7 @@
 static double
 begin_fraction (const struct QuotaLedger *ledger,
                 const struct QuotaEntry *entry,
-                const struct CustomerUse *fleet,
+                const struct CustomerUsage *fleet,
                 int64_t now_ms)
 {
   double burst = entry->burst * quota_uptime_windows (ledger, now_ms),
@@ -127,18 +127,18 @@
 
 /* Estimates the fleet's current usage. Reports are old compared with a surge in small fleets, where
  * each gateway sees a large share of it: the others are assumed to grow as this one does. */
-static struct CustomerUse
+static struct CustomerUsage
 estimate_fleet_usage (const struct QuotaLedger *ledger,
                       const struct QuotaEntry *entry,
-                      const struct CustomerUse *own)
+                      const struct CustomerUsage *own)
 {
-  const struct CustomerUse *others = &entry->others, *reported = &entry->reported;
+  const struct CustomerUsage *others = &entry->others, *reported = &entry->reported;
   uint32_t n_others = ledger->fleet.n_received - 1;
   double prestart = quota_prestart_requests (ledger, entry);
 
   if (n_others > EXTRAPOLATED_GATEWAYS_MAX)
     n_others = 0;
-  return (struct CustomerUse){
+  return (struct CustomerUsage){
     .taken = own->taken + extrapolate (others->taken, own->taken, reported->taken, n_others)
              + (uint32_t)prestart,
     .begun = own->begun + extrapolate (others->begun, own->begun, reported->begun, n_others)
@@ -152,7 +152,7 @@
 static bool
 equal_share_allows (const struct QuotaLedger *ledger,
                     const struct QuotaEntry *entry,
-                    const struct CustomerUse *own,
+                    const struct CustomerUsage *own,
                     double fraction)
 {
   double share = fraction * quota_limit (ledger, entry) / ledger->fleet.n_known;
@@ -176,10 +176,10 @@
 double
 quota_pass_fraction (const struct QuotaLedger *ledger,
                      const struct QuotaEntry *entry,
-                     const struct CustomerUse *own,
+                     const struct CustomerUsage *own,
                      enum QuotaAsk ask,
                      int64_t now_ms,
-                     struct CustomerUse *fleet)
+                     struct CustomerUsage *fleet)
 {
   double fraction;
 
@@ -197,7 +197,7 @@
               int64_t now_ms,
               struct QuotaVerdict *verdict)
 {
-  struct CustomerUse own = quota_own_usage (ledger, entry, now_ms), fleet;
+  struct CustomerUsage own = quota_own_usage (ledger, entry, now_ms), fleet;
   double fraction = quota_pass_fraction (ledger, entry, &own, ask, now_ms, &fleet);
 
   verdict->limit = (uint32_t)quota_limit (ledger, entry);
--- a/core/customers/quota_reports.c
+++ b/core/customers/quota_reports.c
@@ -31,7 +31,7 @@
 /* Returns the demand of the reported customers that are in a surge. */
 static uint32_t
 ledger_surge_demand (const struct QuotaLedger *ledger,
-                     const struct CustomerUse *usages,
+                     const struct CustomerUsage *usages,
                      size_t n_usages)
 {
   uint32_t wanted = 0;
@@ -51,11 +51,11 @@
  * will. */
 static void
 ledger_apply_totals (struct QuotaLedger *ledger,
-                     const struct CustomerUse *usages,
+                     const struct CustomerUsage *usages,
                      size_t n_usages,
                      double elapsed_s)
 {
-  const struct CustomerUse *all = NULL;
+  const struct CustomerUsage *all = NULL;
   double size;
 
   for (size_t i = 0; i < n_usages; i++)
@@ -76,7 +76,7 @@
  * will. */
 static void
 entry_learn_program_size (struct QuotaEntry *entry,
-                          const struct CustomerUse *fleet,
+                          const struct CustomerUsage *fleet,
                           double elapsed_s)
 {
   double ratio;
@@ -90,11 +90,11 @@
 
 void
 quota_ledger_take_report (struct QuotaLedger *ledger,
-                          const struct CustomerUse *usages,
+                          const struct CustomerUsage *usages,
                           size_t n_usages,
                           int64_t now_ms)
 {
-  static const struct CustomerUse none;
+  static const struct CustomerUsage none;
   double elapsed_s =
       ledger->last_report_ms > 0 ? (double)(now_ms - ledger->last_report_ms) / 1000 : 0;
 
@@ -115,15 +115,15 @@
     }
 }
 
-struct CustomerUse *
+struct CustomerUsage *
 quota_ledger_uses (struct QuotaLedger *ledger, TALLOC_CTX *ctx, int64_t now_ms, size_t *n_usages)
 {
-  struct CustomerUse *usages;
+  struct CustomerUsage *usages;
 
   *n_usages = 0;
   if (ledger->rules.sharing != QUOTA_BY_COUNTS || ledger->entries == NULL)
     return NULL;
-  usages = talloc_zero_array (ctx, struct CustomerUse, HASH_COUNT (ledger->entries) + 1);
+  usages = talloc_zero_array (ctx, struct CustomerUsage, HASH_COUNT (ledger->entries) + 1);
   if (usages == NULL)
     return NULL;
   usages[0].taken = usage_window_total (&ledger->program_requests, ledger->rules.window_ms, now_ms);
@@ -142,7 +142,7 @@
 static bool
 is_near_limit (const struct QuotaLedger *ledger,
                const struct QuotaEntry *entry,
-               const struct CustomerUse *fleet)
+               const struct CustomerUsage *fleet)
 {
   double limit =
       NEAR_LIMIT_FRACTION * quota_limit (ledger, entry) - quota_prestart_requests (ledger, entry);
@@ -154,7 +154,7 @@
 
 enum QuotaUrgency
 quota_ledger_urgency (const struct QuotaLedger *ledger,
-                      const struct CustomerUse *usages,
+                      const struct CustomerUsage *usages,
                       size_t n_usages)
 {
   enum QuotaUrgency urgency = QUOTA_CALM;
@@ -175,7 +175,7 @@
 
 size_t
 quota_ledger_near_limit (const struct QuotaLedger *ledger,
-                         struct CustomerUse *usages,
+                         struct CustomerUsage *usages,
                          size_t n_usages)
 {
   size_t n = 0;
--- a/core/customers/use_board.c
+++ b/core/customers/use_board.c
@@ -13,7 +13,7 @@
 {
   char key[NAME_MAX_BYTES + 3]; /* scope and sender */
   int64_t reported_ms;
-  struct UseReport report;
+  struct UsageReport report;
   UT_hash_handle hh;
 };
 
@@ -57,7 +57,7 @@
 void
 usage_table_take (struct UsageTable *table,
                   const char *sender,
-                  const struct UseReport *report,
+                  const struct UsageReport *report,
                   int64_t now_ms)
 {
   char key[NAME_MAX_BYTES + 3];
@@ -75,18 +75,19 @@
     }
   table->received_ms = now_ms;
   row->reported_ms = now_ms;
-  talloc_free (row->report.uses);
+  talloc_free (row->report.usages);
   row->report = *report;
-  row->report.uses = talloc_memdup (row, report->uses, report->n_uses * sizeof *report->uses);
-  if (row->report.uses == NULL)
-    row->report.n_uses = 0;
+  row->report.usages =
+      talloc_memdup (row, report->usages, report->n_usages * sizeof *report->usages);
+  if (row->report.usages == NULL)
+    row->report.n_usages = 0;
 }
 
 /* Sums */
 
 struct UsageSumRow
 {
-  struct CustomerUse usage;
+  struct CustomerUsage usage;
   UT_hash_handle hh;
 };
 
@@ -97,7 +98,7 @@
 };
 
 static void
-sum_add (struct UsageSum *sum, const struct CustomerUse *usages, size_t n_usages)
+sum_add (struct UsageSum *sum, const struct CustomerUsage *usages, size_t n_usages)
 {
   for (size_t i = 0; i < n_usages; i++)
     {
@@ -118,10 +119,10 @@
     }
 }
 
-static struct CustomerUse *
+static struct CustomerUsage *
 sum_finish (struct UsageSum *sum, TALLOC_CTX *ctx, size_t *n_usages)
 {
-  struct CustomerUse *usages = talloc_array (ctx, struct CustomerUse, HASH_COUNT (sum->rows));
+  struct CustomerUsage *usages = talloc_array (ctx, struct CustomerUsage, HASH_COUNT (sum->rows));
 
   *n_usages = 0;
   for (struct UsageSumRow *row = sum->rows; usages != NULL && row != NULL; row = row->hh.next)
@@ -136,7 +137,7 @@
 zone_reported_later (const struct UsageTable *table, const struct ReportRow *row)
 {
   for (const struct ReportRow *other = table->rows; other != NULL; other = other->hh.next)
-    if (other != row && other->report.scope == USE_OF_ZONE
+    if (other != row && other->report.scope == USAGE_OF_ZONE
         && strcmp (other->report.zone, row->report.zone) == 0
         && (other->reported_ms > row->reported_ms
             || (other->reported_ms == row->reported_ms && strcmp (other->key, row->key) < 0)))
@@ -144,11 +145,11 @@
   return false;
 }
 
-struct CustomerUse *
+struct CustomerUsage *
 usage_table_sum (struct UsageTable *table,
                  TALLOC_CTX *ctx,
-                 enum UseScope scope,
-                 const struct CustomerUse *own,
+                 enum UsageScope scope,
+                 const struct CustomerUsage *own,
                  size_t n_own,
                  int64_t now_ms,
                  size_t *n_usages)
@@ -160,27 +161,28 @@
   for (const struct ReportRow *row = table->rows; row != NULL; row = row->hh.next)
     switch (row->report.scope)
       {
-      case USE_OF_GATEWAY:
-        sum_add (&sum, row->report.uses, row->report.n_uses);
+      case USAGE_OF_GATEWAY:
+        sum_add (&sum, row->report.usages, row->report.n_usages);
         break;
-      case USE_OF_ZONE:
-        if (scope == USE_OF_FLEET && !zone_reported_later (table, row))
-          sum_add (&sum, row->report.uses, row->report.n_uses);
+      case USAGE_OF_ZONE:
+        if (scope == USAGE_OF_FLEET && !zone_reported_later (table, row))
+          sum_add (&sum, row->report.usages, row->report.n_usages);
         break;
-      case USE_OF_FLEET:
+      case USAGE_OF_FLEET:
         break;
       }
   return sum_finish (&sum, ctx, n_usages);
 }
 
-const struct UseReport *
+const struct UsageReport *
 usage_table_fleet (struct UsageTable *table, int64_t now_ms)
 {
   const struct ReportRow *best = NULL;
 
   table_expire (table, now_ms);
   for (const struct ReportRow *row = table->rows; row != NULL; row = row->hh.next)
-    if (row->report.scope == USE_OF_FLEET && (best == NULL || row->reported_ms > best->reported_ms))
+    if (row->report.scope == USAGE_OF_FLEET
+        && (best == NULL || row->reported_ms > best->reported_ms))
       best = row;
   return best != NULL ? &best->report : NULL;
 }
--- a/core/gateway/gateway_message.c
+++ b/core/gateway/gateway_message.c
@@ -272,39 +272,39 @@
 }
 
 static void
-uses_pack (struct PackWriter *p, const struct UseReport *report)
+uses_pack (struct PackWriter *p, const struct UsageReport *report)
 {
   pack_u64 (p, report->scope);
   pack_string (p, report->zone);
-  pack_array (p, 4 * report->n_uses);
-  for (size_t i = 0; i < report->n_uses; i++)
+  pack_array (p, 4 * report->n_usages);
+  for (size_t i = 0; i < report->n_usages; i++)
     {
-      pack_string (p, report->uses[i].customer);
-      pack_u64 (p, report->uses[i].taken);
-      pack_u64 (p, report->uses[i].begun);
-      pack_u64 (p, report->uses[i].wanted);
+      pack_string (p, report->usages[i].customer);
+      pack_u64 (p, report->usages[i].taken);
+      pack_u64 (p, report->usages[i].begun);
+      pack_u64 (p, report->usages[i].wanted);
     }
 }
 
 static void
-uses_unpack (struct PackReader *r, TALLOC_CTX *ctx, struct UseReport *report)
+uses_unpack (struct PackReader *r, TALLOC_CTX *ctx, struct UsageReport *report)
 {
   struct PackReader list;
 
-  report->scope = (enum UseScope)read_u64 (r, USE_OF_FLEET);
+  report->scope = (enum UsageScope)read_u64 (r, USAGE_OF_FLEET);
   read_string (r, report->zone, sizeof report->zone);
-  report->n_uses = message_list_enter (r, &list, 4);
-  report->uses = talloc_zero_array (ctx, struct CustomerUse, report->n_uses);
-  for (size_t i = 0; report->uses != NULL && i < report->n_uses; i++)
+  report->n_usages = message_list_enter (r, &list, 4);
+  report->usages = talloc_zero_array (ctx, struct CustomerUsage, report->n_usages);
+  for (size_t i = 0; report->usages != NULL && i < report->n_usages; i++)
     {
-      struct CustomerUse *use = &report->uses[i];
+      struct CustomerUsage *usage = &report->usages[i];
 
-      read_string (&list, use->customer, sizeof use->customer);
-      use->taken = (uint32_t)read_u64 (&list, UINT32_MAX);
-      use->begun = (uint32_t)read_u64 (&list, UINT32_MAX);
-      use->wanted = (uint32_t)read_u64 (&list, UINT32_MAX);
+      read_string (&list, usage->customer, sizeof usage->customer);
+      usage->taken = (uint32_t)read_u64 (&list, UINT32_MAX);
+      usage->begun = (uint32_t)read_u64 (&list, UINT32_MAX);
+      usage->wanted = (uint32_t)read_u64 (&list, UINT32_MAX);
     }
-  r->failed = r->failed || list.failed || report->uses == NULL;
+  r->failed = r->failed || list.failed || report->usages == NULL;
 }
 
 /* Returns the number of packed items of a message, its kind included. */
@@ -330,7 +330,7 @@
     case GATEWAY_HEARTBEAT:
       return 7;
     case GATEWAY_RELAY:
-    case GATEWAY_USES:
+    case GATEWAY_USAGES:
       return 4;
     case GATEWAY_SNAPSHOT:
       return 10;
@@ -418,8 +418,8 @@
     case GATEWAY_DIGESTS:
       digests_pack (p, message->digests.items, message->digests.n_items);
       break;
-    case GATEWAY_USES:
-      uses_pack (p, &message->uses);
+    case GATEWAY_USAGES:
+      uses_pack (p, &message->usages);
       break;
     }
   return pack_finish (p, ctx, bytes, n_bytes);
@@ -486,8 +486,8 @@
     case GATEWAY_DIGESTS:
       m->digests.items = digests_unpack (r, ctx, &m->digests.n_items);
       break;
-    case GATEWAY_USES:
-      uses_unpack (r, ctx, &m->uses);
+    case GATEWAY_USAGES:
+      uses_unpack (r, ctx, &m->usages);
       break;
     default:
       r->failed = true;
@@ -507,7 +507,7 @@
   *message = NULL;
   if (opened == NULL)
     goto fail;
-  m->kind = (enum GatewayKind)read_u64 (&reader, GATEWAY_USES);
+  m->kind = (enum GatewayKind)read_u64 (&reader, GATEWAY_USAGES);
   if (reader.failed || reader.n_items != message_n_items (m->kind))
     goto fail;
   message_unpack_body (&reader, m, m);
--- a/core/gateway/message_count.c
+++ b/core/gateway/message_count.c
@@ -5,7 +5,7 @@
 
 enum
 {
-  N_KINDS = GATEWAY_USES + 1
+  N_KINDS = GATEWAY_USAGES + 1
 };
 
 struct MessageCounter
@@ -59,7 +59,7 @@
       return "digests";
     case GATEWAY_PROBE:
       return "probe";
-    case GATEWAY_USES:
+    case GATEWAY_USAGES:
       return "uses";
     }
   return "unknown";
--- a/gateway/archive.c
+++ b/gateway/archive.c
@@ -426,7 +426,7 @@
     case GATEWAY_SNAPSHOT_WANT:
     case GATEWAY_DIGESTS:
     case GATEWAY_PROBE:
-    case GATEWAY_USES:
+    case GATEWAY_USAGES:
       break;
     }
 }
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -456,8 +456,8 @@
     case GATEWAY_DIGESTS:
       front_apply_digests (front, message->digests.items, message->digests.n_items);
       break;
-    case GATEWAY_USES:
-      quotas_on_report (front->quotas, sender, &message->uses);
+    case GATEWAY_USAGES:
+      quotas_on_report (front->quotas, sender, &message->usages);
       break;
     case GATEWAY_TURN_OPEN:
     case GATEWAY_TURN_READ:
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -240,7 +240,7 @@
     case GATEWAY_SLOT_STATE:
     case GATEWAY_SLOT_DONE:
     case GATEWAY_DIGESTS:
-    case GATEWAY_USES:
+    case GATEWAY_USAGES:
       node->handler.message (node->handler.data, link, sender, message);
       break;
     case GATEWAY_RELAY:
--- a/gateway/node_send.c
+++ b/gateway/node_send.c
@@ -50,7 +50,7 @@
     case GATEWAY_SLOT_DONE:
     case GATEWAY_ALIVE:
     case GATEWAY_DIGESTS:
-    case GATEWAY_USES:
+    case GATEWAY_USAGES:
       return false;
     }
   return false;
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -150,18 +150,18 @@
 
 static void
 quotas_send (struct Quotas *quotas,
-             enum UseScope scope,
-             struct CustomerUse *uses,
-             size_t n_uses,
+             enum UsageScope scope,
+             struct CustomerUsage *usages,
+             size_t n_usages,
              enum PeerChoice to)
 {
   struct Node *node = quotas->front->node;
-  struct GatewayMessage message = { .kind = GATEWAY_USES };
+  struct GatewayMessage message = { .kind = GATEWAY_USAGES };
 
-  message.uses.scope = scope;
-  message.uses.uses = uses;
-  message.uses.n_uses = n_uses;
-  snprintf (message.uses.zone, sizeof message.uses.zone, "%s", node->settings->zone);
+  message.usages.scope = scope;
+  message.usages.usages = usages;
+  message.usages.n_usages = n_usages;
+  snprintf (message.usages.zone, sizeof message.usages.zone, "%s", node->settings->zone);
   node_send_some (node, &message, to);
 }
 
@@ -169,31 +169,31 @@
  * the zone; without delay when a surge begins. */
 static void
 quotas_send_sums (struct Quotas *quotas,
-                  struct CustomerUse *own,
+                  struct CustomerUsage *own,
                   size_t n_own,
-                  struct CustomerUse *fleet,
+                  struct CustomerUsage *fleet,
                   size_t n_fleet,
                   int64_t now_ms)
 {
   int64_t since_ms = now_ms - quotas->fleet_reported_ms;
-  struct CustomerUse *zone;
+  struct CustomerUsage *zone;
   size_t n_zone;
 
   if (since_ms < quotas_report_interval_ms (quotas, now_ms))
     return;
-  zone = usage_table_sum (quotas->usage_table, fleet, USE_OF_ZONE, own, n_own, now_ms, &n_zone);
-  quotas_send (quotas, USE_OF_ZONE, zone, n_zone, PEERS_OTHER_ZONES);
+  zone = usage_table_sum (quotas->usage_table, fleet, USAGE_OF_ZONE, own, n_own, now_ms, &n_zone);
+  quotas_send (quotas, USAGE_OF_ZONE, zone, n_zone, PEERS_OTHER_ZONES);
   quotas->fleet_reported_ms = now_ms;
-  quotas_send (quotas, USE_OF_FLEET, fleet, n_fleet, PEERS_SERVED);
+  quotas_send (quotas, USAGE_OF_FLEET, fleet, n_fleet, PEERS_SERVED);
 }
 
 /* As an aggregator, sums the usage of the fleet from the reports received. */
 static void
-quotas_sum_usage (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
+quotas_sum_usage (struct Quotas *quotas, struct CustomerUsage *own, size_t n_own, int64_t now_ms)
 {
   size_t n_fleet;
-  struct CustomerUse *fleet =
-      usage_table_sum (quotas->usage_table, own, USE_OF_FLEET, own, n_own, now_ms, &n_fleet);
+  struct CustomerUsage *fleet =
+      usage_table_sum (quotas->usage_table, own, USAGE_OF_FLEET, own, n_own, now_ms, &n_fleet);
 
   if (fleet == NULL)
     return;
@@ -207,15 +207,15 @@
 static void
 quotas_apply_report (struct Quotas *quotas, int64_t now_ms)
 {
-  const struct UseReport *report = usage_table_fleet (quotas->usage_table, now_ms);
+  const struct UsageReport *report = usage_table_fleet (quotas->usage_table, now_ms);
 
   if (report == NULL)
     {
       quotas->urgency = QUOTA_CALM;
       return;
     }
-  quota_ledger_take_report (quotas->ledger, report->uses, report->n_uses, now_ms);
-  quotas->urgency = quota_ledger_urgency (quotas->ledger, report->uses, report->n_uses);
+  quota_ledger_take_report (quotas->ledger, report->usages, report->n_usages, now_ms);
+  quotas->urgency = quota_ledger_urgency (quotas->ledger, report->usages, report->n_usages);
 }
 
 /* Updates the numbers of known and live gateways. Gateways that are leaving accept no callers and
@@ -244,10 +244,13 @@
 }
 
 static void
-quotas_send_own_usage (struct Quotas *quotas, struct CustomerUse *own, size_t n_own, int64_t now_ms)
+quotas_send_own_usage (struct Quotas *quotas,
+                       struct CustomerUsage *own,
+                       size_t n_own,
+                       int64_t now_ms)
 {
   quotas->reported_ms = now_ms;
-  quotas_send (quotas, USE_OF_GATEWAY, own, n_own, PEERS_OWN_AGGREGATORS);
+  quotas_send (quotas, USAGE_OF_GATEWAY, own, n_own, PEERS_OWN_AGGREGATORS);
 }
 
 static void
@@ -255,7 +258,7 @@
 {
   bool aggregates = peer_table_is_aggregator (quotas->front->node->peers, now_ms);
   bool reports = now_ms - quotas->reported_ms >= quotas_report_interval_ms (quotas, now_ms);
-  struct CustomerUse *own = NULL;
+  struct CustomerUsage *own = NULL;
   size_t n_own;
 
   if (aggregates || reports)
@@ -286,7 +289,7 @@
 }
 
 void
-quotas_on_report (struct Quotas *quotas, const char *sender, const struct UseReport *report)
+quotas_on_report (struct Quotas *quotas, const char *sender, const struct UsageReport *report)
 {
   usage_table_take (quotas->usage_table, sender, report, quotas_now_ms (quotas));
 }
--- a/gateway/quotas.h
+++ b/gateway/quotas.h
@@ -32,4 +32,4 @@
 
 /* Handles a usage report from sender: its own usage, or the sum of several gateways. */
 void
-quotas_on_report (struct Quotas *quotas, const char *sender, const struct UseReport *report);
+quotas_on_report (struct Quotas *quotas, const char *sender, const struct UsageReport *report);
--- a/include/buckthornhead/customers/quota.h
+++ b/include/buckthornhead/customers/quota.h
@@ -50,7 +50,7 @@
  * total over all customers: taken is the number of requests of programs that were let through,
  * begun the number of programs that began, and wanted the part of the window, in thousandths, that
  * lies before the gateway's start. */
-struct CustomerUse
+struct CustomerUsage
 {
   char customer[NAME_MAX_BYTES + 1];
   uint32_t taken;  /* requests let through in the last window */
@@ -100,7 +100,7 @@
  * usage as last reported; all other customers are not near theirs. */
 void
 quota_ledger_take_report (struct QuotaLedger *ledger,
-                          const struct CustomerUse *usages,
+                          const struct CustomerUsage *usages,
                           size_t n_usages,
                           int64_t now_ms);
 
@@ -134,7 +134,7 @@
 
 /* Returns the usage that this gateway reports, allocated on ctx; NULL when out of memory, if no
  * customer has a limit, or if the limits are shared in equal parts. */
-struct CustomerUse *
+struct CustomerUsage *
 quota_ledger_uses (struct QuotaLedger *ledger, TALLOC_CTX *ctx, int64_t now_ms, size_t *n_usages);
 
 /* How soon other gateways need the usage. */
@@ -148,13 +148,13 @@
 /* Derives the urgency from the sums of the customers near their limit. */
 enum QuotaUrgency
 quota_ledger_urgency (const struct QuotaLedger *ledger,
-                      const struct CustomerUse *usages,
+                      const struct CustomerUsage *usages,
                       size_t n_usages);
 
 /* Moves the sums of the customers near their limit to the front. Returns their number. */
 size_t
 quota_ledger_near_limit (const struct QuotaLedger *ledger,
-                         struct CustomerUse *usages,
+                         struct CustomerUsage *usages,
                          size_t n_usages);
 
 /* A customer's usage and limit as seen by this gateway. */
--- a/include/buckthornhead/customers/use_board.h
+++ b/include/buckthornhead/customers/use_board.h
@@ -9,19 +9,19 @@
 #include <buckthornhead/customers/quota.h>
 
 /* What a report sums. */
-enum UseScope
+enum UsageScope
 {
-  USE_OF_GATEWAY = 0, /* the sender's own usage */
-  USE_OF_ZONE = 1,    /* usage of all gateways of the sender's zone */
-  USE_OF_FLEET = 2    /* usage of all gateways, sent to those of the sender's zone */
+  USAGE_OF_GATEWAY = 0, /* the sender's own usage */
+  USAGE_OF_ZONE = 1,    /* usage of all gateways of the sender's zone */
+  USAGE_OF_FLEET = 2    /* usage of all gateways, sent to those of the sender's zone */
 };
 
-struct UseReport
+struct UsageReport
 {
-  enum UseScope scope;
+  enum UsageScope scope;
   char zone[NAME_MAX_BYTES + 1]; /* of the sender */
-  struct CustomerUse *uses;
-  size_t n_uses;
+  struct CustomerUsage *usages;
+  size_t n_usages;
 };
 
 struct UsageTable;
@@ -34,22 +34,22 @@
 void
 usage_table_take (struct UsageTable *table,
                   const char *sender,
-                  const struct UseReport *report,
+                  const struct UsageReport *report,
                   int64_t now_ms);
 
-/* Returns the sum of own and of the usage that gateways reported to this one; for USE_OF_FLEET
+/* Returns the sum of own and of the usage that gateways reported to this one; for USAGE_OF_FLEET
  * other zones' sums are added. Allocated on ctx; NULL when out of memory. */
-struct CustomerUse *
+struct CustomerUsage *
 usage_table_sum (struct UsageTable *table,
                  TALLOC_CTX *ctx,
-                 enum UseScope scope,
-                 const struct CustomerUse *own,
+                 enum UsageScope scope,
+                 const struct CustomerUsage *own,
                  size_t n_own,
                  int64_t now_ms,
                  size_t *n_usages);
 
 /* Returns the last report of the fleet's usage, or NULL if there is none or it has expired. */
-const struct UseReport *
+const struct UsageReport *
 usage_table_fleet (struct UsageTable *table, int64_t now_ms);
 
 /* Returns when the last report of any gateway arrived; 0: never. */
--- a/include/buckthornhead/gateway_message.h
+++ b/include/buckthornhead/gateway_message.h
@@ -27,7 +27,7 @@
   GATEWAY_SNAPSHOT_WANT = 15, /* requests a full snapshot, as when changes do not apply */
   GATEWAY_DIGESTS = 16,       /* load and cache contents of the servers that the sender owns */
   GATEWAY_PROBE = 17,         /* requests GATEWAY_ALIVE; no fields */
-  GATEWAY_USES = 18           /* customers' usage of their limits */
+  GATEWAY_USAGES = 18         /* customers' usage of their limits */
 };
 
 /* Number of requests in flight to one backend server, as counted by the sender. */
@@ -196,7 +196,7 @@
     struct SlotStateMessage slot_state;
     struct SlotDoneMessage slot_done;
     struct Digests digests;
-    struct UseReport uses;
+    struct UsageReport usages;
   };
 };
 
--- a/tests/test_gateway_message.c
+++ b/tests/test_gateway_message.c
@@ -321,30 +321,31 @@
     N = 45
   };
   TALLOC_CTX *ctx = talloc_new (NULL);
-  struct CustomerUse uses[N] = { 0 };
-  struct GatewayMessage message = { .kind = GATEWAY_USES };
+  struct CustomerUsage usages[N] = { 0 };
+  struct GatewayMessage message = { .kind = GATEWAY_USAGES };
   struct GatewayMessage *unpacked;
   uint8_t *bytes;
   size_t n_bytes;
 
   for (uint32_t i = 0; i < N; i++)
     {
-      snprintf (uses[i].customer, sizeof uses[i].customer, "name%u", 1000 + i);
-      uses[i].taken = i % 4;
-      uses[i].begun = 11 * (i % 2);
-      uses[i].wanted = 200 * i;
+      snprintf (usages[i].customer, sizeof usages[i].customer, "name%u", 1000 + i);
+      usages[i].taken = i % 4;
+      usages[i].begun = 11 * (i % 2);
+      usages[i].wanted = 200 * i;
     }
-  message.uses = (struct UseReport){ .scope = USE_OF_ZONE, .zone = "z", .uses = uses, .n_uses = N };
+  message.usages =
+      (struct UsageReport){ .scope = USAGE_OF_ZONE, .zone = "z", .usages = usages, .n_usages = N };
   unpacked = round_trip (ctx, &message);
-  CU_ASSERT_EQUAL (unpacked->uses.scope, USE_OF_ZONE);
-  CU_ASSERT_STRING_EQUAL (unpacked->uses.zone, "z");
-  CU_ASSERT_EQUAL_FATAL (unpacked->uses.n_uses, N);
+  CU_ASSERT_EQUAL (unpacked->usages.scope, USAGE_OF_ZONE);
+  CU_ASSERT_STRING_EQUAL (unpacked->usages.zone, "z");
+  CU_ASSERT_EQUAL_FATAL (unpacked->usages.n_usages, N);
   for (uint32_t i = 0; i < N; i++)
     {
-      CU_ASSERT_STRING_EQUAL (unpacked->uses.uses[i].customer, uses[i].customer);
-      CU_ASSERT_EQUAL (unpacked->uses.uses[i].taken, uses[i].taken);
-      CU_ASSERT_EQUAL (unpacked->uses.uses[i].begun, uses[i].begun);
-      CU_ASSERT_EQUAL (unpacked->uses.uses[i].wanted, uses[i].wanted);
+      CU_ASSERT_STRING_EQUAL (unpacked->usages.usages[i].customer, usages[i].customer);
+      CU_ASSERT_EQUAL (unpacked->usages.usages[i].taken, usages[i].taken);
+      CU_ASSERT_EQUAL (unpacked->usages.usages[i].begun, usages[i].begun);
+      CU_ASSERT_EQUAL (unpacked->usages.usages[i].wanted, usages[i].wanted);
     }
   CU_ASSERT_EQUAL (gateway_message_pack (ctx, &message, &bytes, &n_bytes), ERROR_NONE);
   printf ("%d customers in %zu bytes ", N, n_bytes);
--- a/tests/test_quota_fleet.c
+++ b/tests/test_quota_fleet.c
@@ -41,7 +41,7 @@
 {
   struct QuotaLedger *ledger;
   bool is_up, is_cut;
-  struct CustomerUse reported[ROWS]; /* to its zone's aggregator */
+  struct CustomerUsage reported[ROWS]; /* to its zone's aggregator */
   int64_t started_ms, beat_ms, poll_ms, down_until_ms;
 };
 
@@ -76,9 +76,9 @@
   double rates[CUSTOMERS];       /* limits, per second */
   double bound_rates[CUSTOMERS]; /* used by the check */
   int64_t bound_from_ms[CUSTOMERS];
-  struct CustomerUse zone_reports[ZONES][ROWS]; /* to other zones */
+  struct CustomerUsage zone_reports[ZONES][ROWS]; /* to other zones */
   int64_t zone_beat_ms[ZONES];
-  struct CustomerUse fleet_reports[ZONES][ROWS]; /* to members */
+  struct CustomerUsage fleet_reports[ZONES][ROWS]; /* to members */
   size_t n_fleet_reports[ZONES];
   bool zone_has_reported[ZONES];
   enum QuotaUrgency zone_urgency[ZONES];
@@ -179,7 +179,7 @@
 /* Control */
 
 static void
-usage_add (struct CustomerUse *sum, const struct CustomerUse *usage)
+usage_add (struct CustomerUsage *sum, const struct CustomerUsage *usage)
 {
   memcpy (sum->customer, usage->customer, sizeof sum->customer);
   sum->taken += usage->taken;
@@ -191,7 +191,7 @@
 sim_gateway_report (struct Sim *sim, struct SimGateway *gateway)
 {
   size_t n;
-  struct CustomerUse *usages = quota_ledger_uses (gateway->ledger, sim, sim->now_ms, &n);
+  struct CustomerUsage *usages = quota_ledger_uses (gateway->ledger, sim, sim->now_ms, &n);
 
   memset (gateway->reported, 0, sizeof gateway->reported);
   for (size_t i = 0; i < n; i++)
@@ -229,7 +229,7 @@
 static void
 sim_zone_poll (struct Sim *sim, uint32_t z, bool heartbeat)
 {
-  struct CustomerUse sum[ROWS] = { 0 }, own[ROWS], near[ROWS];
+  struct CustomerUsage sum[ROWS] = { 0 }, own[ROWS], near[ROWS];
   size_t n = 0;
 
   for (uint32_t g = z; g < sim->n_gateways; g += ZONES)
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -201,7 +201,7 @@
     .n_parts = 2 },
   { .server = "server-8", .total = 524, .failed_permille = 525 },
 };
-static struct CustomerUse uses[] = { { "alma", 531, 532, 533 }, { "bela", 534, 535, 536 } };
+static struct CustomerUsage usages[] = { { "alma", 531, 532, 533 }, { "bela", 534, 535, 536 } };
 
 static void
 fill_open (struct GatewayMessage *m, uint32_t variant)
@@ -379,10 +379,11 @@
 static void
 fill_uses (struct GatewayMessage *m, uint32_t variant)
 {
-  static const enum UseScope scopes[] = { USE_OF_GATEWAY, USE_OF_ZONE, USE_OF_FLEET };
+  static const enum UsageScope scopes[] = { USAGE_OF_GATEWAY, USAGE_OF_ZONE, USAGE_OF_FLEET };
 
-  m->uses =
-      (struct UseReport){ .scope = scopes[variant], .zone = "zone-a", .uses = uses, .n_uses = 2 };
+  m->usages = (struct UsageReport){
+    .scope = scopes[variant], .zone = "zone-a", .usages = usages, .n_usages = 2
+  };
 }
 
 static const struct
@@ -409,7 +410,7 @@
   { "snapshot_want", GATEWAY_SNAPSHOT_WANT, N_SNAPSHOT_KINDS, fill_snapshot_want },
   { "digests", GATEWAY_DIGESTS, 1, fill_digests },
   { "probe", GATEWAY_PROBE, 1, fill_nothing },
-  { "uses", GATEWAY_USES, 3, fill_uses },
+  { "uses", GATEWAY_USAGES, 3, fill_uses },
 };
 
 static int32_t
--- a/tests/test_use_board.c
+++ b/tests/test_use_board.c
@@ -17,23 +17,23 @@
 take (struct UsageTable *table,
       const char *sender,
       const char *zone,
-      enum UseScope scope,
+      enum UsageScope scope,
       uint32_t taken,
       int64_t now_ms)
 {
-  struct CustomerUse usage = { .customer = "alma", .taken = taken, .wanted = 2 * taken };
-  struct UseReport report = { .scope = scope, .uses = &usage, .n_uses = 1 };
+  struct CustomerUsage usage = { .customer = "alma", .taken = taken, .wanted = 2 * taken };
+  struct UsageReport report = { .scope = scope, .usages = &usage, .n_usages = 1 };
 
   snprintf (report.zone, sizeof report.zone, "%s", zone);
   usage_table_take (table, sender, &report, now_ms);
 }
 
 static uint32_t
-sum (struct UsageTable *table, enum UseScope scope, uint32_t own_taken, int64_t now_ms)
+sum (struct UsageTable *table, enum UsageScope scope, uint32_t own_taken, int64_t now_ms)
 {
-  const struct CustomerUse own = { .customer = "alma", .taken = own_taken };
+  const struct CustomerUsage own = { .customer = "alma", .taken = own_taken };
   size_t n;
-  struct CustomerUse *usages = usage_table_sum (table, table, scope, &own, 1, now_ms, &n);
+  struct CustomerUsage *usages = usage_table_sum (table, table, scope, &own, 1, now_ms, &n);
   uint32_t taken = n > 0 ? usages[0].taken : 0;
 
   CU_ASSERT (n <= 1);
@@ -46,14 +46,14 @@
 {
   struct UsageTable *table = usage_table_new (NULL);
 
-  take (table, "b", "z1", USE_OF_GATEWAY, 3, START_MS);
-  take (table, "c", "z1", USE_OF_GATEWAY, 4, START_MS);
-  take (table, "x", "z2", USE_OF_ZONE, 10, START_MS);
-  CU_ASSERT_EQUAL (sum (table, USE_OF_ZONE, 1, START_MS), 8);
-  CU_ASSERT_EQUAL (sum (table, USE_OF_FLEET, 1, START_MS), 18);
+  take (table, "b", "z1", USAGE_OF_GATEWAY, 3, START_MS);
+  take (table, "c", "z1", USAGE_OF_GATEWAY, 4, START_MS);
+  take (table, "x", "z2", USAGE_OF_ZONE, 10, START_MS);
+  CU_ASSERT_EQUAL (sum (table, USAGE_OF_ZONE, 1, START_MS), 8);
+  CU_ASSERT_EQUAL (sum (table, USAGE_OF_FLEET, 1, START_MS), 18);
   /* A newer report replaces the older one. */
-  take (table, "b", "z1", USE_OF_GATEWAY, 5, START_MS + 1);
-  CU_ASSERT_EQUAL (sum (table, USE_OF_ZONE, 1, START_MS + 1), 10);
+  take (table, "b", "z1", USAGE_OF_GATEWAY, 5, START_MS + 1);
+  CU_ASSERT_EQUAL (sum (table, USAGE_OF_ZONE, 1, START_MS + 1), 10);
   CU_ASSERT_EQUAL (usage_table_received_ms (table), START_MS + 1);
   talloc_free (table);
 }
@@ -65,14 +65,14 @@
 {
   struct UsageTable *table = usage_table_new (NULL);
 
-  take (table, "x", "z2", USE_OF_ZONE, 10, START_MS);
-  take (table, "y", "z2", USE_OF_ZONE, 12, START_MS + 5);
-  CU_ASSERT_EQUAL (sum (table, USE_OF_FLEET, 0, START_MS + 5), 12);
-  take (table, "x", "z2", USE_OF_ZONE, 11, START_MS + 9);
-  CU_ASSERT_EQUAL (sum (table, USE_OF_FLEET, 0, START_MS + 9), 11);
+  take (table, "x", "z2", USAGE_OF_ZONE, 10, START_MS);
+  take (table, "y", "z2", USAGE_OF_ZONE, 12, START_MS + 5);
+  CU_ASSERT_EQUAL (sum (table, USAGE_OF_FLEET, 0, START_MS + 5), 12);
+  take (table, "x", "z2", USAGE_OF_ZONE, 11, START_MS + 9);
+  CU_ASSERT_EQUAL (sum (table, USAGE_OF_FLEET, 0, START_MS + 9), 11);
   /* Received at the same time: only one of them counts. */
-  take (table, "y", "z2", USE_OF_ZONE, 11, START_MS + 9);
-  CU_ASSERT_EQUAL (sum (table, USE_OF_FLEET, 0, START_MS + 9), 11);
+  take (table, "y", "z2", USAGE_OF_ZONE, 11, START_MS + 9);
+  CU_ASSERT_EQUAL (sum (table, USAGE_OF_FLEET, 0, START_MS + 9), 11);
   talloc_free (table);
 }
 
@@ -81,12 +81,12 @@
 {
   struct UsageTable *table = usage_table_new (NULL);
 
-  take (table, "b", "z1", USE_OF_GATEWAY, 3, START_MS);
-  take (table, "a", "z1", USE_OF_FLEET, 30, START_MS);
+  take (table, "b", "z1", USAGE_OF_GATEWAY, 3, START_MS);
+  take (table, "a", "z1", USAGE_OF_FLEET, 30, START_MS);
   CU_ASSERT_PTR_NOT_NULL (usage_table_fleet (table, START_MS));
-  take (table, "d", "z1", USE_OF_FLEET, 31, START_MS + 10);
-  CU_ASSERT_EQUAL (usage_table_fleet (table, START_MS + 10)->uses[0].taken, 31);
-  CU_ASSERT_EQUAL (sum (table, USE_OF_ZONE, 0, START_MS + SILENT_MS), 0);
+  take (table, "d", "z1", USAGE_OF_FLEET, 31, START_MS + 10);
+  CU_ASSERT_EQUAL (usage_table_fleet (table, START_MS + 10)->usages[0].taken, 31);
+  CU_ASSERT_EQUAL (sum (table, USAGE_OF_ZONE, 0, START_MS + SILENT_MS), 0);
   CU_ASSERT_PTR_NULL (usage_table_fleet (table, START_MS + SILENT_MS));
   talloc_free (table);
 }
