--- a/core/customers/quota.c
+++ b/core/customers/quota.c
@@ -220,10 +220,11 @@
       standing->refused_here = entry->n_refused;
       standing->begin_permille =
           (uint32_t)(1000
-                     * quota_pass_fraction (ledger, entry, &own, QUOTA_ASK_BEGIN, now_ms, &fleet));
+                     * quota_pass_fraction (ledger, entry, &own, QUOTA_REQUEST_BEGIN, now_ms,
+                                            &fleet));
       standing->under_way_permille =
           (uint32_t)(1000
-                     * quota_pass_fraction (ledger, entry, &own, QUOTA_ASK_UNDER_WAY, now_ms,
+                     * quota_pass_fraction (ledger, entry, &own, QUOTA_REQUEST_UNDER_WAY, now_ms,
                                             &fleet));
       standing->taken_by_fleet = fleet.taken;
     }
@@ -231,15 +232,15 @@
 }
 
 static uint32_t
-expected_requests (const struct QuotaLedger *ledger, enum QuotaAsk ask)
+expected_requests (const struct QuotaLedger *ledger, enum QuotaRequestKind kind)
 {
-  switch (ask)
+  switch (kind)
     {
-    case QUOTA_ASK_SINGLE:
+    case QUOTA_REQUEST_SINGLE:
       return 1;
-    case QUOTA_ASK_BEGIN:
+    case QUOTA_REQUEST_BEGIN:
       return (uint32_t)lround (quota_ledger_need (ledger));
-    case QUOTA_ASK_UNDER_WAY:
+    case QUOTA_REQUEST_UNDER_WAY:
       break;
     }
   return 0;
@@ -254,27 +255,27 @@
 static void
 entry_count_taken (struct QuotaLedger *ledger,
                    struct QuotaEntry *entry,
-                   enum QuotaAsk ask,
+                   enum QuotaRequestKind kind,
                    int64_t now_ms)
 {
   usage_window_add (&entry->taken, ledger->rules.window_ms, now_ms, 1);
   usage_window_add (&entry->begun, ledger->rules.window_ms, now_ms,
-                    expected_requests (ledger, ask));
-  if (ask == QUOTA_ASK_SINGLE)
+                    expected_requests (ledger, kind));
+  if (kind == QUOTA_REQUEST_SINGLE)
     return;
   usage_window_add (&ledger->program_requests, ledger->rules.window_ms, now_ms, 1);
-  if (ask == QUOTA_ASK_BEGIN)
+  if (kind == QUOTA_REQUEST_BEGIN)
     usage_window_add (&ledger->programs_begun, ledger->rules.window_ms, now_ms, 1);
 }
 
 static void
 entry_count_refused (const struct QuotaLedger *ledger,
                      struct QuotaEntry *entry,
-                     enum QuotaAsk ask,
+                     enum QuotaRequestKind kind,
                      int64_t now_ms,
                      struct QuotaVerdict *verdict)
 {
-  verdict->retry_after_ms = ask == QUOTA_ASK_UNDER_WAY ? RETRY_UNDER_WAY_MS : RETRY_BEGIN_MS;
+  verdict->retry_after_ms = kind == QUOTA_REQUEST_UNDER_WAY ? RETRY_UNDER_WAY_MS : RETRY_BEGIN_MS;
   verdict->first =
       entry->last_refused_ms == 0 || now_ms - entry->last_refused_ms > ledger->rules.window_ms;
   entry->last_refused_ms = now_ms;
@@ -282,61 +283,67 @@
 }
 
 /* Treats all requests as single ones if programs under way are not preferred. */
-static enum QuotaAsk
-ledger_request_kind (const struct QuotaLedger *ledger, enum QuotaAsk ask)
+static enum QuotaRequestKind
+ledger_request_kind (const struct QuotaLedger *ledger, enum QuotaRequestKind kind)
 {
-  return ledger->rules.programs_first ? ask : QUOTA_ASK_SINGLE;
+  return ledger->rules.programs_first ? kind : QUOTA_REQUEST_SINGLE;
 }
 
 void
-quota_want (struct QuotaLedger *ledger, const char *customer, enum QuotaAsk ask, int64_t now_ms)
+quota_want (struct QuotaLedger *ledger,
+            const char *customer,
+            enum QuotaRequestKind kind,
+            int64_t now_ms)
 {
   struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
 
   if (entry != NULL)
     usage_window_add (&entry->wanted, ledger->demand_span_ms, now_ms,
-                      expected_requests (ledger, ledger_request_kind (ledger, ask)));
+                      expected_requests (ledger, ledger_request_kind (ledger, kind)));
 }
 
 bool
 quota_must_wait (const struct QuotaLedger *ledger,
                  const char *customer,
-                 enum QuotaAsk ask,
+                 enum QuotaRequestKind kind,
                  int64_t now_ms)
 {
   const struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
 
-  return ledger->rules.sharing == QUOTA_BY_COUNTS && ask != QUOTA_ASK_UNDER_WAY && entry != NULL
-         && entry->rate_per_s > 0 && entry->begun.total > 0 && ledger->last_report_ms == 0
-         && now_ms - ledger->started_ms < STARTUP_DEFER_MS;
+  return ledger->rules.sharing == QUOTA_BY_COUNTS && kind != QUOTA_REQUEST_UNDER_WAY
+         && entry != NULL && entry->rate_per_s > 0 && entry->begun.total > 0
+         && ledger->last_report_ms == 0 && now_ms - ledger->started_ms < STARTUP_DEFER_MS;
 }
 
 struct QuotaVerdict
-quota_ask (struct QuotaLedger *ledger, const char *customer, enum QuotaAsk ask, int64_t now_ms)
+quota_ask (struct QuotaLedger *ledger,
+           const char *customer,
+           enum QuotaRequestKind kind,
+           int64_t now_ms)
 {
   struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
   struct QuotaVerdict verdict = { .taken = true, .permille = 1000, .report_age_ms = -1 };
 
   if (entry == NULL || entry->rate_per_s <= 0)
     return verdict;
-  ask = ledger_request_kind (ledger, ask);
+  kind = ledger_request_kind (ledger, kind);
   if (ledger->last_report_ms > 0)
     verdict.report_age_ms = now_ms - ledger->last_report_ms;
   if (ledger->rules.sharing == QUOTA_BY_COUNTS && !ledger_has_fresh_report (ledger, now_ms)
       && !ledger->fleet.is_cut_off)
     memset (&entry->others, 0, sizeof entry->others);
-  quota_decide (ledger, entry, ask, now_ms, &verdict);
+  quota_decide (ledger, entry, kind, now_ms, &verdict);
   if (verdict.taken)
-    entry_count_taken (ledger, entry, ask, now_ms);
+    entry_count_taken (ledger, entry, kind, now_ms);
   else
-    entry_count_refused (ledger, entry, ask, now_ms, &verdict);
+    entry_count_refused (ledger, entry, kind, now_ms, &verdict);
   return verdict;
 }
 
 void
 quota_give_back (struct QuotaLedger *ledger,
                  const char *customer,
-                 enum QuotaAsk ask,
+                 enum QuotaRequestKind kind,
                  int64_t taken_ms,
                  int64_t now_ms)
 {
@@ -345,8 +352,8 @@
 
   if (entry == NULL)
     return;
-  ask = ledger_request_kind (ledger, ask);
-  expected = expected_requests (ledger, ask);
+  kind = ledger_request_kind (ledger, kind);
+  expected = expected_requests (ledger, kind);
   usage_window_subtract (&entry->taken, ledger->rules.window_ms, taken_ms, now_ms, 1);
   usage_window_subtract (&entry->begun, ledger->rules.window_ms, taken_ms, now_ms, expected);
 }
--- a/core/customers/quota_internal.h
+++ b/core/customers/quota_internal.h
@@ -84,13 +84,13 @@
 quota_pass_fraction (const struct QuotaLedger *ledger,
                      const struct QuotaEntry *entry,
                      const struct CustomerUsage *own,
-                     enum QuotaAsk ask,
+                     enum QuotaRequestKind kind,
                      int64_t now_ms,
                      struct CustomerUsage *fleet);
 
 void
 quota_decide (const struct QuotaLedger *ledger,
               struct QuotaEntry *entry,
-              enum QuotaAsk ask,
+              enum QuotaRequestKind kind,
               int64_t now_ms,
               struct QuotaVerdict *verdict);
--- a/core/customers/quota_part.c
+++ b/core/customers/quota_part.c
@@ -177,7 +177,7 @@
 quota_pass_fraction (const struct QuotaLedger *ledger,
                      const struct QuotaEntry *entry,
                      const struct CustomerUsage *own,
-                     enum QuotaAsk ask,
+                     enum QuotaRequestKind kind,
                      int64_t now_ms,
                      struct CustomerUsage *fleet)
 {
@@ -185,7 +185,7 @@
 
   *fleet = estimate_fleet_usage (ledger, entry, own);
   fraction = under_way_fraction (ledger, entry, fleet, now_ms);
-  return ask == QUOTA_ASK_UNDER_WAY
+  return kind == QUOTA_REQUEST_UNDER_WAY
              ? fraction
              : fmin (fraction, begin_fraction (ledger, entry, fleet, now_ms));
 }
@@ -193,12 +193,12 @@
 void
 quota_decide (const struct QuotaLedger *ledger,
               struct QuotaEntry *entry,
-              enum QuotaAsk ask,
+              enum QuotaRequestKind kind,
               int64_t now_ms,
               struct QuotaVerdict *verdict)
 {
   struct CustomerUsage own = quota_own_usage (ledger, entry, now_ms), fleet;
-  double fraction = quota_pass_fraction (ledger, entry, &own, ask, now_ms, &fleet);
+  double fraction = quota_pass_fraction (ledger, entry, &own, kind, now_ms, &fleet);
 
   verdict->limit = (uint32_t)quota_limit (ledger, entry);
   verdict->fleet_taken = fleet.taken;
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -51,30 +51,30 @@
 
 /* Admission. */
 
-static enum QuotaAsk
+static enum QuotaRequestKind
 quota_ask_kind (const struct Request *request)
 {
   if (request->route.keeps_turns)
-    return request->caller.previous[0] == '\0' ? QUOTA_ASK_BEGIN : QUOTA_ASK_UNDER_WAY;
+    return request->caller.previous[0] == '\0' ? QUOTA_REQUEST_BEGIN : QUOTA_REQUEST_UNDER_WAY;
   /* Without kept turns, a program's first turn cannot be distinguished from later ones. */
   if (request->caller.program[0] == '\0' || request->route.kind == ROUTE_STREAM)
-    return QUOTA_ASK_SINGLE;
-  return QUOTA_ASK_UNDER_WAY;
+    return QUOTA_REQUEST_SINGLE;
+  return QUOTA_REQUEST_UNDER_WAY;
 }
 
 bool
 quotas_must_wait (struct Request *request)
 {
   struct Quotas *quotas = request->front->quotas;
-  enum QuotaAsk ask = quota_ask_kind (request);
+  enum QuotaRequestKind kind = quota_ask_kind (request);
   int64_t now_ms = quotas_now_ms (quotas);
 
   if (request->customer.name[0] == '\0')
     return false;
   if (!request->demand_counted)
-    quota_want (quotas->ledger, request->customer.name, ask, now_ms);
+    quota_want (quotas->ledger, request->customer.name, kind, now_ms);
   request->demand_counted = true;
-  return quota_must_wait (quotas->ledger, request->customer.name, ask, now_ms);
+  return quota_must_wait (quotas->ledger, request->customer.name, kind, now_ms);
 }
 
 bool
--- a/include/buckthornhead/customers/quota.h
+++ b/include/buckthornhead/customers/quota.h
@@ -39,11 +39,11 @@
 };
 
 /* How a request counts against its customer's limit. */
-enum QuotaAsk
+enum QuotaRequestKind
 {
-  QUOTA_ASK_SINGLE,   /* belongs to no program */
-  QUOTA_ASK_BEGIN,    /* first of a program, which will need more */
-  QUOTA_ASK_UNDER_WAY /* of a program that has begun */
+  QUOTA_REQUEST_SINGLE,   /* belongs to no program */
+  QUOTA_REQUEST_BEGIN,    /* first of a program, which will need more */
+  QUOTA_REQUEST_UNDER_WAY /* of a program that has begun */
 };
 
 /* One customer's usage, at one gateway or summed over several. An entry with an empty name is the
@@ -106,7 +106,10 @@
 
 /* Counts a request of the customer as demand; called once per request. */
 void
-quota_want (struct QuotaLedger *ledger, const char *customer, enum QuotaAsk ask, int64_t now_ms);
+quota_want (struct QuotaLedger *ledger,
+            const char *customer,
+            enum QuotaRequestKind kind,
+            int64_t now_ms);
 
 /* Returns whether the request has to be deferred for a moment: this gateway has just started and
  * received no report yet, and the request begins a program that is not the customer's first here.
@@ -116,19 +119,22 @@
 bool
 quota_must_wait (const struct QuotaLedger *ledger,
                  const char *customer,
-                 enum QuotaAsk ask,
+                 enum QuotaRequestKind kind,
                  int64_t now_ms);
 
 /* Decides whether a request of the customer may pass now, and counts it if so. */
 struct QuotaVerdict
-quota_ask (struct QuotaLedger *ledger, const char *customer, enum QuotaAsk ask, int64_t now_ms);
+quota_ask (struct QuotaLedger *ledger,
+           const char *customer,
+           enum QuotaRequestKind kind,
+           int64_t now_ms);
 
 /* Removes a request that ran on no server from the customer's counts; taken_ms: when it was taken.
  */
 void
 quota_give_back (struct QuotaLedger *ledger,
                  const char *customer,
-                 enum QuotaAsk ask,
+                 enum QuotaRequestKind kind,
                  int64_t taken_ms,
                  int64_t now_ms);
 
--- a/tests/test_quota_fleet.c
+++ b/tests/test_quota_fleet.c
@@ -330,7 +330,7 @@
 {
   uint32_t number = program->is_deferred ? program->gateway : draw (sim, sim->n_gateways);
   struct SimGateway *gateway = &sim->gateways[number];
-  enum QuotaAsk ask = program->has_begun ? QUOTA_ASK_UNDER_WAY : QUOTA_ASK_BEGIN;
+  enum QuotaRequestKind kind = program->has_begun ? QUOTA_REQUEST_UNDER_WAY : QUOTA_REQUEST_BEGIN;
   char name[NAME_MAX_BYTES + 1];
   struct QuotaVerdict verdict;
 
@@ -341,15 +341,15 @@
     }
   customer_name (program->customer, name);
   if (!program->is_deferred)
-    quota_want (gateway->ledger, name, ask, sim->now_ms);
-  program->is_deferred = quota_must_wait (gateway->ledger, name, ask, sim->now_ms);
+    quota_want (gateway->ledger, name, kind, sim->now_ms);
+  program->is_deferred = quota_must_wait (gateway->ledger, name, kind, sim->now_ms);
   if (program->is_deferred)
     {
       program->gateway = number;
       program->next_ms = sim->now_ms + 2 * STEP_MS;
       return;
     }
-  verdict = quota_ask (gateway->ledger, name, ask, sim->now_ms);
+  verdict = quota_ask (gateway->ledger, name, kind, sim->now_ms);
   if (verdict.taken)
     {
       if (sim->n_runs < RUNS_MAX)
