--- a/bench/decide_bench.c
+++ b/bench/decide_bench.c
@@ -117,8 +117,8 @@
       const struct Customer *customer = customer_table_at (table, i * 7919 % n_customers);
       int64_t now_ms = 10000 + i / 9 * 1000 / 9;
 
-      quota_want (ledger, customer->name, QUOTA_REQUEST_UNDER_WAY, now_ms);
-      quota_ask (ledger, customer->name, QUOTA_REQUEST_UNDER_WAY, now_ms);
+      quota_count_demand (ledger, customer->name, QUOTA_REQUEST_UNDER_WAY, now_ms);
+      quota_admit (ledger, customer->name, QUOTA_REQUEST_UNDER_WAY, now_ms);
     }
   report ("limit", n_customers, now_ns () - begin_ns, rounds, talloc_total_size (ledger));
   talloc_free (ledger);
--- a/core/customers/quota.c
+++ b/core/customers/quota.c
@@ -239,7 +239,7 @@
     case QUOTA_REQUEST_SINGLE:
       return 1;
     case QUOTA_REQUEST_BEGIN:
-      return (uint32_t)lround (quota_ledger_need (ledger));
+      return (uint32_t)lround (quota_ledger_program_size (ledger));
     case QUOTA_REQUEST_UNDER_WAY:
       break;
     }
@@ -290,10 +290,10 @@
 }
 
 void
-quota_want (struct QuotaLedger *ledger,
-            const char *customer,
-            enum QuotaRequestKind kind,
-            int64_t now_ms)
+quota_count_demand (struct QuotaLedger *ledger,
+                    const char *customer,
+                    enum QuotaRequestKind kind,
+                    int64_t now_ms)
 {
   struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
 
@@ -303,10 +303,10 @@
 }
 
 bool
-quota_must_wait (const struct QuotaLedger *ledger,
-                 const char *customer,
-                 enum QuotaRequestKind kind,
-                 int64_t now_ms)
+quota_must_defer (const struct QuotaLedger *ledger,
+                  const char *customer,
+                  enum QuotaRequestKind kind,
+                  int64_t now_ms)
 {
   const struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
 
@@ -316,10 +316,10 @@
 }
 
 struct QuotaVerdict
-quota_ask (struct QuotaLedger *ledger,
-           const char *customer,
-           enum QuotaRequestKind kind,
-           int64_t now_ms)
+quota_admit (struct QuotaLedger *ledger,
+             const char *customer,
+             enum QuotaRequestKind kind,
+             int64_t now_ms)
 {
   struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
   struct QuotaVerdict verdict = { .taken = true, .permille = 1000, .report_age_ms = -1 };
@@ -341,11 +341,11 @@
 }
 
 void
-quota_give_back (struct QuotaLedger *ledger,
-                 const char *customer,
-                 enum QuotaRequestKind kind,
-                 int64_t taken_ms,
-                 int64_t now_ms)
+quota_release (struct QuotaLedger *ledger,
+               const char *customer,
+               enum QuotaRequestKind kind,
+               int64_t taken_ms,
+               int64_t now_ms)
 {
   struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
   uint32_t expected;
--- a/core/customers/quota_part.c
+++ b/core/customers/quota_part.c
@@ -108,7 +108,8 @@
   double headroom = margins->begin_headroom * (burst + ledger->rules.slack);
   double limit = (entry->rate_per_s * quota_window_s (ledger) + headroom) * connected;
   /* Half of the next program counts too: one program is a large part of a small limit. */
-  double begun = (fleet->begun + quota_ledger_need (ledger) / 2) * entry->program_size_ratio;
+  double begun =
+      (fleet->begun + quota_ledger_program_size (ledger) / 2) * entry->program_size_ratio;
   double fraction = linear_falloff (begun, BEGUN_THROTTLE_FROM * limit, limit);
   double demand_limit = quota_demand_limit (ledger, entry) * connected;
 
--- a/core/customers/quota_reports.c
+++ b/core/customers/quota_reports.c
@@ -116,7 +116,7 @@
 }
 
 struct CustomerUsage *
-quota_ledger_uses (struct QuotaLedger *ledger, TALLOC_CTX *ctx, int64_t now_ms, size_t *n_usages)
+quota_ledger_report (struct QuotaLedger *ledger, TALLOC_CTX *ctx, int64_t now_ms, size_t *n_usages)
 {
   struct CustomerUsage *usages;
 
@@ -192,7 +192,7 @@
 }
 
 double
-quota_ledger_need (const struct QuotaLedger *ledger)
+quota_ledger_program_size (const struct QuotaLedger *ledger)
 {
   return ledger->program_size;
 }
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -72,9 +72,9 @@
   if (request->customer.name[0] == '\0')
     return false;
   if (!request->demand_counted)
-    quota_want (quotas->ledger, request->customer.name, kind, now_ms);
+    quota_count_demand (quotas->ledger, request->customer.name, kind, now_ms);
   request->demand_counted = true;
-  return quota_must_wait (quotas->ledger, request->customer.name, kind, now_ms);
+  return quota_must_defer (quotas->ledger, request->customer.name, kind, now_ms);
 }
 
 bool
@@ -87,7 +87,7 @@
 
   if (request->admitted_ms != 0 || request->customer.name[0] == '\0')
     return true;
-  verdict = quota_ask (quotas->ledger, request->customer.name, quota_ask_kind (request), now_ms);
+  verdict = quota_admit (quotas->ledger, request->customer.name, quota_ask_kind (request), now_ms);
   if (verdict.taken)
     {
       request->admitted_ms = now_ms;
@@ -99,7 +99,7 @@
                "raise the customer's limit, or inform the customer",
                "%s: limit %u per window, %u taken as told %lld ms ago, %.1f requests per program",
                request->customer.name, verdict.limit, verdict.fleet_taken,
-               (long long)verdict.report_age_ms, quota_ledger_need (quotas->ledger));
+               (long long)verdict.report_age_ms, quota_ledger_program_size (quotas->ledger));
   snprintf (detail, sizeof detail,
             "customer %s: limit %u per window, %u taken as told %lld ms ago, %u of 1000 pass",
             request->customer.name, verdict.limit, verdict.fleet_taken,
@@ -115,8 +115,8 @@
 
   if (request->admitted_ms == 0)
     return;
-  quota_give_back (quotas->ledger, request->customer.name, quota_ask_kind (request),
-                   request->admitted_ms, quotas_now_ms (quotas));
+  quota_release (quotas->ledger, request->customer.name, quota_ask_kind (request),
+                 request->admitted_ms, quotas_now_ms (quotas));
   request->admitted_ms = 0;
 }
 
@@ -262,7 +262,7 @@
   size_t n_own;
 
   if (aggregates || reports)
-    own = quota_ledger_uses (quotas->ledger, quotas, now_ms, &n_own);
+    own = quota_ledger_report (quotas->ledger, quotas, now_ms, &n_own);
   if (own != NULL && reports)
     quotas_send_own_usage (quotas, own, n_own, now_ms);
   if (!aggregates)
@@ -346,7 +346,7 @@
       quota_ledger_standings (quotas->ledger, ctx, quotas_now_ms (quotas), &n);
   json_t *list = json_array ();
   json_t *body = json_pack ("{s:f, s:o}", "program_needs_requests",
-                            quota_ledger_need (quotas->ledger), "customers", list);
+                            quota_ledger_program_size (quotas->ledger), "customers", list);
   char *text, *copy;
 
   for (size_t i = 0; i < n; i++)
--- a/include/buckthornhead/customers/quota.h
+++ b/include/buckthornhead/customers/quota.h
@@ -106,10 +106,10 @@
 
 /* Counts a request of the customer as demand; called once per request. */
 void
-quota_want (struct QuotaLedger *ledger,
-            const char *customer,
-            enum QuotaRequestKind kind,
-            int64_t now_ms);
+quota_count_demand (struct QuotaLedger *ledger,
+                    const char *customer,
+                    enum QuotaRequestKind kind,
+                    int64_t now_ms);
 
 /* Returns whether the request has to be deferred for a moment: this gateway has just started and
  * received no report yet, and the request begins a program that is not the customer's first here.
@@ -117,31 +117,31 @@
  * requests that were refused before are sent again at once, and each gateway would admit its
  * share. */
 bool
-quota_must_wait (const struct QuotaLedger *ledger,
-                 const char *customer,
-                 enum QuotaRequestKind kind,
-                 int64_t now_ms);
+quota_must_defer (const struct QuotaLedger *ledger,
+                  const char *customer,
+                  enum QuotaRequestKind kind,
+                  int64_t now_ms);
 
 /* Decides whether a request of the customer may pass now, and counts it if so. */
 struct QuotaVerdict
-quota_ask (struct QuotaLedger *ledger,
-           const char *customer,
-           enum QuotaRequestKind kind,
-           int64_t now_ms);
+quota_admit (struct QuotaLedger *ledger,
+             const char *customer,
+             enum QuotaRequestKind kind,
+             int64_t now_ms);
 
 /* Removes a request that ran on no server from the customer's counts; taken_ms: when it was taken.
  */
 void
-quota_give_back (struct QuotaLedger *ledger,
-                 const char *customer,
-                 enum QuotaRequestKind kind,
-                 int64_t taken_ms,
-                 int64_t now_ms);
+quota_release (struct QuotaLedger *ledger,
+               const char *customer,
+               enum QuotaRequestKind kind,
+               int64_t taken_ms,
+               int64_t now_ms);
 
 /* Returns the usage that this gateway reports, allocated on ctx; NULL when out of memory, if no
  * customer has a limit, or if the limits are shared in equal parts. */
 struct CustomerUsage *
-quota_ledger_uses (struct QuotaLedger *ledger, TALLOC_CTX *ctx, int64_t now_ms, size_t *n_usages);
+quota_ledger_report (struct QuotaLedger *ledger, TALLOC_CTX *ctx, int64_t now_ms, size_t *n_usages);
 
 /* How soon other gateways need the usage. */
 enum QuotaUrgency
@@ -183,4 +183,4 @@
 
 /* Returns the number of requests that a program needs, as observed over the fleet; at least 1. */
 double
-quota_ledger_need (const struct QuotaLedger *ledger);
+quota_ledger_program_size (const struct QuotaLedger *ledger);
--- a/tests/test_quota_fleet.c
+++ b/tests/test_quota_fleet.c
@@ -191,7 +191,7 @@
 sim_gateway_report (struct Sim *sim, struct SimGateway *gateway)
 {
   size_t n;
-  struct CustomerUsage *usages = quota_ledger_uses (gateway->ledger, sim, sim->now_ms, &n);
+  struct CustomerUsage *usages = quota_ledger_report (gateway->ledger, sim, sim->now_ms, &n);
 
   memset (gateway->reported, 0, sizeof gateway->reported);
   for (size_t i = 0; i < n; i++)
@@ -341,15 +341,15 @@
     }
   customer_name (program->customer, name);
   if (!program->is_deferred)
-    quota_want (gateway->ledger, name, kind, sim->now_ms);
-  program->is_deferred = quota_must_wait (gateway->ledger, name, kind, sim->now_ms);
+    quota_count_demand (gateway->ledger, name, kind, sim->now_ms);
+  program->is_deferred = quota_must_defer (gateway->ledger, name, kind, sim->now_ms);
   if (program->is_deferred)
     {
       program->gateway = number;
       program->next_ms = sim->now_ms + 2 * STEP_MS;
       return;
     }
-  verdict = quota_ask (gateway->ledger, name, kind, sim->now_ms);
+  verdict = quota_admit (gateway->ledger, name, kind, sim->now_ms);
   if (verdict.taken)
     {
       if (sim->n_runs < RUNS_MAX)
