--- a/core/customers/quota.c
+++ b/core/customers/quota.c
@@ -276,7 +276,7 @@
                      struct QuotaVerdict *verdict)
 {
   verdict->retry_after_ms = kind == QUOTA_REQUEST_UNDER_WAY ? RETRY_UNDER_WAY_MS : RETRY_BEGIN_MS;
-  verdict->first =
+  verdict->is_first_rejection =
       entry->last_refused_ms == 0 || now_ms - entry->last_refused_ms > ledger->rules.window_ms;
   entry->last_refused_ms = now_ms;
   entry->n_refused++;
@@ -322,7 +322,7 @@
              int64_t now_ms)
 {
   struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
-  struct QuotaVerdict verdict = { .taken = true, .permille = 1000, .report_age_ms = -1 };
+  struct QuotaVerdict verdict = { .admitted = true, .permille = 1000, .report_age_ms = -1 };
 
   if (entry == NULL || entry->rate_per_s <= 0)
     return verdict;
@@ -333,7 +333,7 @@
       && !ledger->fleet.is_cut_off)
     memset (&entry->others, 0, sizeof entry->others);
   quota_decide (ledger, entry, kind, now_ms, &verdict);
-  if (verdict.taken)
+  if (verdict.admitted)
     entry_count_taken (ledger, entry, kind, now_ms);
   else
     entry_count_refused (ledger, entry, kind, now_ms, &verdict);
--- a/core/customers/quota_part.c
+++ b/core/customers/quota_part.c
@@ -206,10 +206,10 @@
   if (ledger->rules.sharing == QUOTA_BY_EQUAL_PARTS || ledger->fleet.is_cut_off)
     {
       fraction = ledger->fleet.is_cut_off ? CUT_OFF_SHARE : 1;
-      verdict->taken = equal_share_allows (ledger, entry, &own, fraction);
-      verdict->permille = verdict->taken ? 1000 : 0;
+      verdict->admitted = equal_share_allows (ledger, entry, &own, fraction);
+      verdict->permille = verdict->admitted ? 1000 : 0;
       return;
     }
   verdict->permille = (uint32_t)(1000 * fraction);
-  verdict->taken = entry_spend_credit (entry, fraction);
+  verdict->admitted = entry_spend_credit (entry, fraction);
 }
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -88,13 +88,13 @@
   if (request->admitted_ms != 0 || request->customer.name[0] == '\0')
     return true;
   verdict = quota_admit (quotas->ledger, request->customer.name, quota_ask_kind (request), now_ms);
-  if (verdict.taken)
+  if (verdict.admitted)
     {
       request->admitted_ms = now_ms;
       return true;
     }
   counter_add (COUNTER_REQUESTS_OVER_LIMIT, 1);
-  if (verdict.first)
+  if (verdict.is_first_rejection)
     log_event (LOG_LEVEL_NOTICE, "customer_over_limit", NULL,
                "raise the customer's limit, or inform the customer",
                "%s: limit %u per window, %u taken as told %lld ms ago, %.1f requests per program",
--- a/include/buckthornhead/customers/quota.h
+++ b/include/buckthornhead/customers/quota.h
@@ -61,12 +61,12 @@
 
 struct QuotaVerdict
 {
-  bool taken;
-  uint32_t retry_after_ms; /* if not taken */
+  bool admitted;
+  uint32_t retry_after_ms; /* if not admitted */
   uint32_t permille;       /* fraction of requests that passes now */
   uint32_t limit;          /* requests per window */
   uint32_t fleet_taken;    /* in the last window, as far as reported */
-  bool first;              /* first refusal of this customer for at least one window */
+  bool is_first_rejection; /* first refusal of this customer for at least one window */
   int64_t report_age_ms;   /* age of the last report of others' usage; -1: none received */
 };
 
--- a/tests/test_quota_fleet.c
+++ b/tests/test_quota_fleet.c
@@ -350,7 +350,7 @@
       return;
     }
   verdict = quota_admit (gateway->ledger, name, kind, sim->now_ms);
-  if (verdict.taken)
+  if (verdict.admitted)
     {
       if (sim->n_runs < RUNS_MAX)
         sim->runs[sim->n_runs++] = (struct SimRun){ sim->now_ms, program->customer };
