--- a/bench/decide_bench.c
+++ b/bench/decide_bench.c
@@ -106,7 +106,7 @@
 static void
 bench_limits (const struct CustomerTable *table, uint32_t n_customers, uint32_t rounds)
 {
-  const struct QuotaRules rules = { QUOTA_BY_COUNTS, 5000, 20, true };
+  const struct QuotaRules rules = { QUOTA_BY_REPORTS, 5000, 20, true };
   struct QuotaLedger *ledger = quota_ledger_new (NULL, &rules, "front-1", 0);
   int64_t begin_ns;
 
--- a/core/customers/quota.c
+++ b/core/customers/quota.c
@@ -310,7 +310,7 @@
 {
   const struct QuotaEntry *entry = quota_ledger_find (ledger, customer);
 
-  return ledger->rules.sharing == QUOTA_BY_COUNTS && kind != QUOTA_REQUEST_UNDER_WAY
+  return ledger->rules.sharing == QUOTA_BY_REPORTS && kind != QUOTA_REQUEST_UNDER_WAY
          && entry != NULL && entry->rate_per_s > 0 && entry->begun.total > 0
          && ledger->last_report_ms == 0 && now_ms - ledger->started_ms < STARTUP_DEFER_MS;
 }
@@ -329,7 +329,7 @@
   kind = ledger_request_kind (ledger, kind);
   if (ledger->last_report_ms > 0)
     verdict.report_age_ms = now_ms - ledger->last_report_ms;
-  if (ledger->rules.sharing == QUOTA_BY_COUNTS && !ledger_has_fresh_report (ledger, now_ms)
+  if (ledger->rules.sharing == QUOTA_BY_REPORTS && !ledger_has_fresh_report (ledger, now_ms)
       && !ledger->fleet.is_cut_off)
     memset (&entry->others, 0, sizeof entry->others);
   quota_decide (ledger, entry, kind, now_ms, &verdict);
--- a/core/customers/quota_part.c
+++ b/core/customers/quota_part.c
@@ -203,7 +203,7 @@
 
   verdict->limit = (uint32_t)quota_limit (ledger, entry);
   verdict->fleet_taken = fleet.taken;
-  if (ledger->rules.sharing == QUOTA_BY_EQUAL_PARTS || ledger->fleet.is_cut_off)
+  if (ledger->rules.sharing == QUOTA_BY_EQUAL_SHARES || ledger->fleet.is_cut_off)
     {
       fraction = ledger->fleet.is_cut_off ? CUT_OFF_SHARE : 1;
       verdict->admitted = equal_share_allows (ledger, entry, &own, fraction);
--- a/core/customers/quota_reports.c
+++ b/core/customers/quota_reports.c
@@ -121,7 +121,7 @@
   struct CustomerUsage *usages;
 
   *n_usages = 0;
-  if (ledger->rules.sharing != QUOTA_BY_COUNTS || ledger->entries == NULL)
+  if (ledger->rules.sharing != QUOTA_BY_REPORTS || ledger->entries == NULL)
     return NULL;
   usages = talloc_zero_array (ctx, struct CustomerUsage, HASH_COUNT (ledger->entries) + 1);
   if (usages == NULL)
--- a/core/gateway/gateway_settings.c
+++ b/core/gateway/gateway_settings.c
@@ -74,8 +74,8 @@
 };
 
 static const struct ConfigChoice quota_sharings[] = {
-  { "counts", QUOTA_BY_COUNTS },
-  { "equal_parts", QUOTA_BY_EQUAL_PARTS },
+  { "counts", QUOTA_BY_REPORTS },
+  { "equal_parts", QUOTA_BY_EQUAL_SHARES },
   { NULL, 0 },
 };
 
--- a/include/buckthornhead/customers/quota.h
+++ b/include/buckthornhead/customers/quota.h
@@ -26,8 +26,8 @@
 /* How a limit is divided among gateways. */
 enum QuotaSharing
 {
-  QUOTA_BY_COUNTS,     /* by the usage that all gateways report */
-  QUOTA_BY_EQUAL_PARTS /* one equal share each, without communication */
+  QUOTA_BY_REPORTS,     /* by the usage that all gateways report */
+  QUOTA_BY_EQUAL_SHARES /* one equal share each, without communication */
 };
 
 struct QuotaRules
--- a/tests/test_quota_fleet.c
+++ b/tests/test_quota_fleet.c
@@ -454,7 +454,7 @@
 {
   for (uint64_t seed = 1; seed <= 3; seed++)
     {
-      struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
+      struct Sim *sim = sim_new (66, QUOTA_BY_REPORTS, true, seed);
 
       sim_run (sim, 30000);
       sim_expect_bound (sim, "usual load");
@@ -475,7 +475,7 @@
   for (uint64_t seed = 1; seed <= 8; seed++)
     for (uint32_t hot = 0; hot < CUSTOMERS; hot++)
       {
-        struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
+        struct Sim *sim = sim_new (66, QUOTA_BY_REPORTS, true, seed);
         struct SimResult *r = &sim->results[hot];
         double n_covered;
 
@@ -503,7 +503,7 @@
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
-      struct Sim *sim = sim_new (74, QUOTA_BY_COUNTS, true, seed);
+      struct Sim *sim = sim_new (74, QUOTA_BY_REPORTS, true, seed);
 
       sim->n_at_once = 4;
       sim_run (sim, 4000);
@@ -547,7 +547,7 @@
   for (uint64_t seed = 1; seed <= 8; seed++)
     for (uint32_t hot = 0; hot < 3; hot++)
       {
-        struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
+        struct Sim *sim = sim_new (66, QUOTA_BY_REPORTS, true, seed);
         struct SimResult *r = &sim->results[hot];
 
         memcpy (sim->n_requests, requests, sizeof requests);
@@ -569,7 +569,7 @@
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
-      struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
+      struct Sim *sim = sim_new (66, QUOTA_BY_REPORTS, true, seed);
 
       sim_run (sim, 6000);
       sim->load[0] = sim->load[1] = 5;
@@ -588,7 +588,7 @@
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
-      struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
+      struct Sim *sim = sim_new (66, QUOTA_BY_REPORTS, true, seed);
 
       sim_run (sim, 8000);
       sim_stop_all (sim);
@@ -607,7 +607,7 @@
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
-      struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
+      struct Sim *sim = sim_new (66, QUOTA_BY_REPORTS, true, seed);
 
       sim_run (sim, 6000);
       for (uint32_t g = 10; g < 26; g++)
@@ -631,7 +631,7 @@
 {
   for (uint64_t seed = 1; seed <= 3; seed++)
     {
-      struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
+      struct Sim *sim = sim_new (66, QUOTA_BY_REPORTS, true, seed);
       uint32_t first_after, n_refused = 0;
 
       sim_run (sim, 8000);
@@ -668,7 +668,7 @@
   for (uint64_t seed = 1; seed <= 8; seed++)
     for (size_t i = 0; i < sizeof loads / sizeof loads[0]; i++)
       {
-        struct Sim *sim = sim_new (66, QUOTA_BY_COUNTS, true, seed);
+        struct Sim *sim = sim_new (66, QUOTA_BY_REPORTS, true, seed);
 
         sim_run (sim, 6000);
         for (uint32_t c = 0; c < CUSTOMERS; c++)
@@ -688,7 +688,7 @@
 
   for (size_t i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
     {
-      struct Sim *sim = sim_new (sizes[i], QUOTA_BY_COUNTS, true, 1);
+      struct Sim *sim = sim_new (sizes[i], QUOTA_BY_REPORTS, true, 1);
 
       sim_run (sim, 8000);
       sim->load[0] = sim->load[1] = sim->load[2] = 4.3;
@@ -707,7 +707,7 @@
 {
   for (uint64_t seed = 1; seed <= 8; seed++)
     {
-      struct Sim *sim = sim_new (3, QUOTA_BY_COUNTS, true, seed);
+      struct Sim *sim = sim_new (3, QUOTA_BY_REPORTS, true, seed);
 
       sim_run (sim, 6000);
       for (uint32_t c = 0; c < CUSTOMERS; c++)
@@ -728,9 +728,9 @@
     enum QuotaSharing sharing;
     bool programs_first;
   } ways[] = {
-    { "counts, under way first", QUOTA_BY_COUNTS, true },
-    { "counts, in order of arrival", QUOTA_BY_COUNTS, false },
-    { "equal parts", QUOTA_BY_EQUAL_PARTS, true },
+    { "counts, under way first", QUOTA_BY_REPORTS, true },
+    { "counts, in order of arrival", QUOTA_BY_REPORTS, false },
+    { "equal parts", QUOTA_BY_EQUAL_SHARES, true },
   };
 
   for (size_t i = 0; i < sizeof ways / sizeof ways[0]; i++)
