--- a/core/scheduling/slot_queue.c
+++ b/core/scheduling/slot_queue.c
@@ -34,7 +34,7 @@
 
 struct SlotEntry
 {
-  struct SlotAsk ask;
+  struct SlotRequest request;
   bool granted; /* false: waiting */
   int64_t granted_ms;
 };
@@ -110,7 +110,7 @@
 entry_find (const struct SlotQueue *queue, const char *asker, uint64_t id)
 {
   for (size_t i = 0; i < queue->n_entries; i++)
-    if (queue->entries[i].ask.id == id && strcmp (queue->entries[i].ask.asker, asker) == 0)
+    if (queue->entries[i].request.id == id && strcmp (queue->entries[i].request.asker, asker) == 0)
       return &queue->entries[i];
   return NULL;
 }
@@ -128,16 +128,16 @@
 
 /* Returns whether the program misses its deadline even if its turn starts now. */
 static bool
-ask_misses_deadline (const struct SlotAsk *ask, int64_t now_ms, uint32_t service_ms)
+ask_misses_deadline (const struct SlotRequest *request, int64_t now_ms, uint32_t service_ms)
 {
-  return ask->program_due_ms - now_ms < (int64_t)service_ms;
+  return request->program_due_ms - now_ms < (int64_t)service_ms;
 }
 
 bool
-slot_ask_before (const struct SlotAsk *a,
-                 const struct SlotAsk *b,
-                 int64_t now_ms,
-                 uint32_t service_ms)
+slot_request_before (const struct SlotRequest *a,
+                     const struct SlotRequest *b,
+                     int64_t now_ms,
+                     uint32_t service_ms)
 {
   bool a_late = ask_misses_deadline (a, now_ms, service_ms);
   bool b_late = ask_misses_deadline (b, now_ms, service_ms);
@@ -215,7 +215,8 @@
     return;
   for (size_t i = 0; i < queue->n_entries; i++)
     if (!queue->entries[i].granted
-        && slot_ask_before (&queue->entries[i].ask, &entry->ask, now_ms, queue->service_ms))
+        && slot_request_before (&queue->entries[i].request, &entry->request, now_ms,
+                                queue->service_ms))
       state->ahead++;
   state->wait_ms = (state->ahead + 1) * queue->service_ms / (queue->slots > 0 ? queue->slots : 1);
 }
@@ -225,17 +226,17 @@
 {
   entry->granted = true;
   entry->granted_ms = now_ms;
-  queue_add_part (queue, entry->ask.part, entry->ask.part_tokens);
+  queue_add_part (queue, entry->request.part, entry->request.part_tokens);
   queue_evict_parts (queue);
   queue->n_granted++;
 }
 
 int32_t
-slot_queue_ask (struct SlotQueues *queues,
-                const struct SlotServer *server,
-                const struct SlotAsk *ask,
-                int64_t now_ms,
-                struct SlotState *state)
+slot_queue_request (struct SlotQueues *queues,
+                    const struct SlotServer *server,
+                    const struct SlotRequest *request,
+                    int64_t now_ms,
+                    struct SlotState *state)
 {
   struct SlotQueue *queue = queue_get_or_add (queues, server->id);
   struct SlotEntry *entry, *grown;
@@ -245,7 +246,7 @@
   queue->slots = server->slots;
   queue->capacity_tokens = server->capacity_tokens;
   queue->last_ask_ms = now_ms;
-  entry = entry_find (queue, ask->asker, ask->id);
+  entry = entry_find (queue, request->asker, request->id);
   if (entry == NULL)
     {
       grown = talloc_realloc (queue, queue->entries, struct SlotEntry, queue->n_entries + 1);
@@ -253,7 +254,7 @@
         return ERROR_NO_MEMORY;
       queue->entries = grown;
       entry = &grown[queue->n_entries++];
-      entry->ask = *ask;
+      entry->request = *request;
       entry->granted = false;
       /* While there is room no other request waits: freed slots are granted at once. */
       if (queue_has_room (queue))
@@ -317,7 +318,7 @@
 slot_queue_next (struct SlotQueues *queues,
                  const char *server,
                  int64_t now_ms,
-                 struct SlotAsk *ask,
+                 struct SlotRequest *request,
                  struct SlotState *state)
 {
   struct SlotQueue *queue = queue_find (queues, server);
@@ -330,13 +331,14 @@
       struct SlotEntry *entry = &queue->entries[i];
 
       if (!entry->granted
-          && (best == NULL || slot_ask_before (&entry->ask, &best->ask, now_ms, queue->service_ms)))
+          && (best == NULL
+              || slot_request_before (&entry->request, &best->request, now_ms, queue->service_ms)))
         best = entry;
     }
   if (best == NULL)
     return false;
   entry_grant (queue, best, now_ms);
-  *ask = best->ask;
+  *request = best->request;
   queue_get_state (queue, best, now_ms, state);
   return true;
 }
@@ -355,8 +357,8 @@
     size_t i = 0;
 
     while (i < queue->n_entries)
-      if (queue->entries[i].ask.due_ms + EXPIRE_GRACE_MS < now_ms
-          || !is_live (data, queue->entries[i].ask.asker))
+      if (queue->entries[i].request.due_ms + EXPIRE_GRACE_MS < now_ms
+          || !is_live (data, queue->entries[i].request.asker))
         entry_remove (queue, &queue->entries[i]);
       else
         i++;
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -351,7 +351,7 @@
   struct Slots *slots = data;
   struct Node *node = slots->front->node;
   struct GatewayMessage message = { .kind = GATEWAY_SLOT_STATE };
-  struct SlotAsk ask;
+  struct SlotRequest ask;
 
   while (slot_queue_next (slots->queues, server, timer_now_ms (node->timers), &ask,
                           &message.slot_state.state))
@@ -371,7 +371,7 @@
   struct Node *node = slots->front->node;
   int64_t now_ms = timer_now_ms (node->timers);
   struct GatewayMessage answer = { .kind = GATEWAY_SLOT_STATE };
-  struct SlotAsk ask = {
+  struct SlotRequest ask = {
     .id = message->id,
     .customer_priority = message->customer_priority,
     .priority = message->priority,
@@ -385,7 +385,8 @@
 
   snprintf (ask.asker, sizeof ask.asker, "%s", sender);
   answer.slot_state.id = message->id;
-  if (slot_queue_ask (slots->queues, &server, &ask, now_ms, &answer.slot_state.state) == ERROR_NONE)
+  if (slot_queue_request (slots->queues, &server, &ask, now_ms, &answer.slot_state.state)
+      == ERROR_NONE)
     node_answer (node, link, &answer);
 }
 
--- a/include/buckthornhead/scheduling/slot_queue.h
+++ b/include/buckthornhead/scheduling/slot_queue.h
@@ -17,7 +17,7 @@
 struct SlotQueues;
 
 /* A request to send to a server, which requests a slot there. */
-struct SlotAsk
+struct SlotRequest
 {
   char asker[NAME_MAX_BYTES + 1]; /* gateway that sends the request */
   uint64_t id;                    /* unique per gateway */
@@ -45,7 +45,7 @@
   uint32_t n_parts;
 };
 
-/* The response to a SlotAsk. */
+/* The response to a SlotRequest. */
 struct SlotState
 {
   bool granted;
@@ -72,14 +72,14 @@
   uint64_t capacity_tokens; /* size of its prompt cache; 0: unknown */
 };
 
-/* Grants a new request if there is room, or else queues it. A repeated SlotAsk returns the current
- * state of its request and takes no second slot. Returns ERROR_NO_MEMORY on failure. */
+/* Grants a new request if there is room, or else queues it. A repeated SlotRequest returns the
+ * current state of its request and takes no second slot. Returns ERROR_NO_MEMORY on failure. */
 int32_t
-slot_queue_ask (struct SlotQueues *queues,
-                const struct SlotServer *server,
-                const struct SlotAsk *ask,
-                int64_t now_ms,
-                struct SlotState *state);
+slot_queue_request (struct SlotQueues *queues,
+                    const struct SlotServer *server,
+                    const struct SlotRequest *request,
+                    int64_t now_ms,
+                    struct SlotState *state);
 
 enum SlotOutcome
 {
@@ -102,13 +102,13 @@
 void
 slot_queue_restarted (struct SlotQueues *queues, const char *server);
 
-/* Grants the next waiting request if there is room; false if there is none. *ask receives the
+/* Grants the next waiting request if there is room; false if there is none. *request receives the
  * request, *state the response for its gateway. */
 bool
 slot_queue_next (struct SlotQueues *queues,
                  const char *server,
                  int64_t now_ms,
-                 struct SlotAsk *ask,
+                 struct SlotRequest *request,
                  struct SlotState *state);
 
 /* Drops requests whose deadline has passed, and all requests of gateways for which is_live returns
@@ -129,7 +129,7 @@
 
 /* Returns whether a is granted before b. */
 bool
-slot_ask_before (const struct SlotAsk *a,
-                 const struct SlotAsk *b,
-                 int64_t now_ms,
-                 uint32_t service_ms);
+slot_request_before (const struct SlotRequest *a,
+                     const struct SlotRequest *b,
+                     int64_t now_ms,
+                     uint32_t service_ms);
--- a/tests/test_slot_queue.c
+++ b/tests/test_slot_queue.c
@@ -12,24 +12,24 @@
   GRANTED = SLOTS + 1 /* and one in transit */
 };
 
-static struct SlotAsk
-make_ask (const char *asker, uint64_t id, bool continues, int64_t program_due_ms)
+static struct SlotRequest
+make_request (const char *asker, uint64_t id, bool continues, int64_t program_due_ms)
 {
-  struct SlotAsk ask = {
+  struct SlotRequest request = {
     .id = id, .continues = continues, .program_due_ms = program_due_ms, .due_ms = 3000
   };
 
-  snprintf (ask.asker, sizeof ask.asker, "%s", asker);
-  return ask;
+  snprintf (request.asker, sizeof request.asker, "%s", asker);
+  return request;
 }
 
 static struct SlotState
-ask (struct SlotQueues *queues, const struct SlotAsk *a)
+request (struct SlotQueues *queues, const struct SlotRequest *a)
 {
   const struct SlotServer server = { "e", SLOTS, 3000 };
   struct SlotState state;
 
-  CU_ASSERT_EQUAL (slot_queue_ask (queues, &server, a, 0, &state), ERROR_NONE);
+  CU_ASSERT_EQUAL (slot_queue_request (queues, &server, a, 0, &state), ERROR_NONE);
   return state;
 }
 
@@ -41,9 +41,9 @@
 
   for (uint64_t id = 1; id <= GRANTED; id++)
     {
-      struct SlotAsk a = make_ask ("g", id, true, 2000);
+      struct SlotRequest a = make_request ("g", id, true, 2000);
 
-      CU_ASSERT_TRUE (ask (queues, &a).granted);
+      CU_ASSERT_TRUE (request (queues, &a).granted);
     }
   return queues;
 }
@@ -51,7 +51,7 @@
 static uint64_t
 next_id (struct SlotQueues *queues, int64_t now_ms)
 {
-  struct SlotAsk granted;
+  struct SlotRequest granted;
   struct SlotState state;
 
   return slot_queue_next (queues, "e", now_ms, &granted, &state) ? granted.id : 0;
@@ -64,16 +64,16 @@
 test_programs_that_can_end_in_time_go_first (void)
 {
   struct SlotQueues *queues = full_server ();
-  const struct SlotAsk late = make_ask ("g", 10, true, 100);
-  const struct SlotAsk fresh = make_ask ("g", 11, false, 1200);
-  const struct SlotAsk slack = make_ask ("h", 12, true, 2500);
-  const struct SlotAsk urgent = make_ask ("h", 13, true, 900);
-
-  CU_ASSERT_FALSE (ask (queues, &late).granted);
-  CU_ASSERT_EQUAL (ask (queues, &fresh).ahead, 0);
-  CU_ASSERT_EQUAL (ask (queues, &slack).ahead, 0);
-  CU_ASSERT_EQUAL (ask (queues, &urgent).ahead, 0);
-  CU_ASSERT_EQUAL (ask (queues, &late).ahead, 3);
+  const struct SlotRequest late = make_request ("g", 10, true, 100);
+  const struct SlotRequest fresh = make_request ("g", 11, false, 1200);
+  const struct SlotRequest slack = make_request ("h", 12, true, 2500);
+  const struct SlotRequest urgent = make_request ("h", 13, true, 900);
+
+  CU_ASSERT_FALSE (request (queues, &late).granted);
+  CU_ASSERT_EQUAL (request (queues, &fresh).ahead, 0);
+  CU_ASSERT_EQUAL (request (queues, &slack).ahead, 0);
+  CU_ASSERT_EQUAL (request (queues, &urgent).ahead, 0);
+  CU_ASSERT_EQUAL (request (queues, &late).ahead, 3);
   CU_ASSERT_EQUAL (next_id (queues, 0), 0);
   for (uint64_t id = 1; id <= GRANTED; id++)
     slot_queue_done (queues, "e", "g", id, SLOT_SERVED, 350);
@@ -93,16 +93,18 @@
 test_a_customers_priority_goes_before_a_programs_deadline (void)
 {
   struct SlotQueues *queues = full_server ();
-  struct SlotAsk low = make_ask ("h", 20, false, 1500), high = make_ask ("h", 21, false, 2500);
-  struct SlotAsk under_way = make_ask ("h", 22, true, 2800), late = make_ask ("h", 23, false, 10);
+  struct SlotRequest low = make_request ("h", 20, false, 1500),
+                     high = make_request ("h", 21, false, 2500);
+  struct SlotRequest under_way = make_request ("h", 22, true, 2800),
+                     late = make_request ("h", 23, false, 10);
 
   low.customer_priority = 2;
   under_way.customer_priority = 2;
   high.priority = 9;
-  ask (queues, &low);
-  ask (queues, &high);
-  ask (queues, &under_way);
-  ask (queues, &late);
+  request (queues, &low);
+  request (queues, &high);
+  request (queues, &under_way);
+  request (queues, &late);
   for (uint64_t id = 1; id <= GRANTED; id++)
     slot_queue_done (queues, "e", "g", id, SLOT_SERVED, 0);
   CU_ASSERT_EQUAL (next_id (queues, 0), 22);
@@ -117,18 +119,18 @@
 test_asking_again_takes_no_second_slot (void)
 {
   struct SlotQueues *queues = full_server ();
-  const struct SlotAsk waiting = make_ask ("h", 10, true, 2000);
-  const struct SlotAsk first = make_ask ("g", 1, true, 2000);
+  const struct SlotRequest waiting = make_request ("h", 10, true, 2000);
+  const struct SlotRequest first = make_request ("g", 1, true, 2000);
 
-  CU_ASSERT_FALSE (ask (queues, &waiting).granted);
+  CU_ASSERT_FALSE (request (queues, &waiting).granted);
   slot_queue_done (queues, "e", "g", 2, SLOT_SERVED, 300);
   CU_ASSERT_EQUAL (next_id (queues, 300), 10);
-  CU_ASSERT_TRUE (ask (queues, &waiting).granted);
-  CU_ASSERT_TRUE (ask (queues, &first).granted);
-  CU_ASSERT_EQUAL (ask (queues, &first).total, GRANTED);
+  CU_ASSERT_TRUE (request (queues, &waiting).granted);
+  CU_ASSERT_TRUE (request (queues, &first).granted);
+  CU_ASSERT_EQUAL (request (queues, &first).total, GRANTED);
   /* Ids are per gateway: the same id of another gateway is a different request. */
   slot_queue_done (queues, "e", "h", 1, SLOT_SERVED, 300);
-  CU_ASSERT_EQUAL (ask (queues, &first).total, GRANTED);
+  CU_ASSERT_EQUAL (request (queues, &first).total, GRANTED);
   talloc_free (queues);
 }
 
@@ -162,16 +164,16 @@
 {
   struct SlotQueues *queues = full_server ();
   struct LiveGateway live = { "h", 0 };
-  const struct SlotAsk waiting = make_ask ("h", 10, true, 2000);
+  const struct SlotRequest waiting = make_request ("h", 10, true, 2000);
 
-  CU_ASSERT_FALSE (ask (queues, &waiting).granted);
+  CU_ASSERT_FALSE (request (queues, &waiting).granted);
   slot_queues_expire (queues, 100, is_live, on_each, &live);
   CU_ASSERT_EQUAL (live.n_each, 1);
   CU_ASSERT_EQUAL (next_id (queues, 100), 10);
   /* A request of a live gateway that never reports its end expires after its caller's deadline. */
   slot_queues_expire (queues, 4001, is_live, on_each, &live);
   CU_ASSERT_EQUAL (live.n_each, 1);
-  CU_ASSERT_EQUAL (ask (queues, &waiting).total, 1);
+  CU_ASSERT_EQUAL (request (queues, &waiting).total, 1);
   talloc_free (queues);
 }
 
@@ -181,17 +183,17 @@
 test_the_wait_follows_the_service_time (void)
 {
   struct SlotQueues *queues = full_server ();
-  struct SlotAsk waiting = make_ask ("h", 10, true, 2000);
+  struct SlotRequest waiting = make_request ("h", 10, true, 2000);
 
-  CU_ASSERT_EQUAL (ask (queues, &waiting).wait_ms, SLOT_FIRST_SERVICE_MS / SLOTS);
+  CU_ASSERT_EQUAL (request (queues, &waiting).wait_ms, SLOT_FIRST_SERVICE_MS / SLOTS);
   for (uint64_t id = 20; id < 200; id++)
     {
-      struct SlotAsk other = make_ask ("g", id, true, 1000);
+      struct SlotRequest other = make_request ("g", id, true, 1000);
 
       slot_queue_done (queues, "e", "g", id < 23 ? id - 19 : id - 3, SLOT_SERVED, 1000);
-      ask (queues, &other);
+      request (queues, &other);
     }
-  CU_ASSERT (ask (queues, &waiting).wait_ms > SLOT_FIRST_SERVICE_MS / SLOTS);
+  CU_ASSERT (request (queues, &waiting).wait_ms > SLOT_FIRST_SERVICE_MS / SLOTS);
   talloc_free (queues);
 }
 
@@ -207,11 +209,11 @@
 
   for (uint64_t id = 1; id <= 5; id++)
     {
-      struct SlotAsk a = make_ask ("g", id, true, 2000);
+      struct SlotRequest a = make_request ("g", id, true, 2000);
 
       a.part = id <= 4 ? id : 3;
       a.part_tokens = 500;
-      ask (queues, &a);
+      request (queues, &a);
       slot_queue_done (queues, "e", "g", id, SLOT_SERVED, 0);
     }
   digests = slot_queues_digest (queues, NULL, true, 0, &n);
@@ -258,13 +260,13 @@
 test_a_restarted_server_is_reset (void)
 {
   struct SlotQueues *queues = slot_queues_new (NULL);
-  struct SlotAsk a = make_ask ("g", 1, true, 2000);
+  struct SlotRequest a = make_request ("g", 1, true, 2000);
   struct SlotDigest *digests;
   size_t n;
 
   a.part = 7;
   a.part_tokens = 100;
-  ask (queues, &a);
+  request (queues, &a);
   slot_queue_done (queues, "e", "g", 1, SLOT_FAILED, 10);
   digests = slot_queues_digest (queues, queues, false, 10, &n);
   CU_ASSERT_EQUAL (digests[0].n_parts, 1);
--- a/tests/test_slot_queue_load.c
+++ b/tests/test_slot_queue_load.c
@@ -73,14 +73,14 @@
 {
   struct Program *program = &sim->programs[i];
   const struct SlotServer server = { "e", SLOTS, 0 };
-  struct SlotAsk ask = { .asker = "g",
-                         .id = i + 1,
-                         .continues = program->n_turns > 0,
-                         .program_due_ms = program->began_ms + sim->deadline_ms,
-                         .due_ms = now_ms + 4000 };
+  struct SlotRequest request = { .asker = "g",
+                                 .id = i + 1,
+                                 .continues = program->n_turns > 0,
+                                 .program_due_ms = program->began_ms + sim->deadline_ms,
+                                 .due_ms = now_ms + 4000 };
   struct SlotState state;
 
-  CU_ASSERT_EQUAL (slot_queue_ask (sim->queues, &server, &ask, now_ms, &state), ERROR_NONE);
+  CU_ASSERT_EQUAL (slot_queue_request (sim->queues, &server, &request, now_ms, &state), ERROR_NONE);
   if (state.granted)
     program_start_turn (sim, program);
   else
@@ -91,7 +91,7 @@
 turn_end (struct Simulation *sim, uint32_t i, int64_t now_ms)
 {
   struct Program *program = &sim->programs[i];
-  struct SlotAsk granted;
+  struct SlotRequest granted;
   struct SlotState state;
 
   slot_queue_done (sim->queues, "e", "g", i + 1, SLOT_SERVED, now_ms);
