--- a/core/scheduling/slot_queue.c
+++ b/core/scheduling/slot_queue.c
@@ -107,10 +107,11 @@
 }
 
 static struct SlotEntry *
-entry_find (const struct SlotQueue *queue, const char *asker, uint64_t id)
+entry_find (const struct SlotQueue *queue, const char *requester, uint64_t id)
 {
   for (size_t i = 0; i < queue->n_entries; i++)
-    if (queue->entries[i].request.id == id && strcmp (queue->entries[i].request.asker, asker) == 0)
+    if (queue->entries[i].request.id == id
+        && strcmp (queue->entries[i].request.requester, requester) == 0)
       return &queue->entries[i];
   return NULL;
 }
@@ -130,7 +131,7 @@
 static bool
 ask_misses_deadline (const struct SlotRequest *request, int64_t now_ms, uint32_t service_ms)
 {
-  return request->program_due_ms - now_ms < (int64_t)service_ms;
+  return request->program_deadline_ms - now_ms < (int64_t)service_ms;
 }
 
 bool
@@ -147,13 +148,13 @@
     return b_late;
   /* Programs under way precede those that have not begun: if late, their finished turns would be
    * lost. */
-  if (a->continues != b->continues)
-    return a->continues;
+  if (a->under_way != b->under_way)
+    return a->under_way;
   /* The customer's priority precedes the program's deadline and the route's priority. */
   if (a->customer_priority != b->customer_priority)
     return a->customer_priority < b->customer_priority;
-  if (a->program_due_ms != b->program_due_ms)
-    return a->program_due_ms < b->program_due_ms;
+  if (a->program_deadline_ms != b->program_deadline_ms)
+    return a->program_deadline_ms < b->program_deadline_ms;
   if (a->priority != b->priority)
     return a->priority < b->priority;
   return a->id < b->id;
@@ -246,7 +247,7 @@
   queue->slots = server->slots;
   queue->capacity_tokens = server->capacity_tokens;
   queue->last_ask_ms = now_ms;
-  entry = entry_find (queue, request->asker, request->id);
+  entry = entry_find (queue, request->requester, request->id);
   if (entry == NULL)
     {
       grown = talloc_realloc (queue, queue->entries, struct SlotEntry, queue->n_entries + 1);
@@ -276,13 +277,13 @@
 void
 slot_queue_done (struct SlotQueues *queues,
                  const char *server,
-                 const char *asker,
+                 const char *requester,
                  uint64_t id,
                  enum SlotOutcome outcome,
                  int64_t now_ms)
 {
   struct SlotQueue *queue = queue_find (queues, server);
-  struct SlotEntry *entry = queue != NULL ? entry_find (queue, asker, id) : NULL;
+  struct SlotEntry *entry = queue != NULL ? entry_find (queue, requester, id) : NULL;
 
   if (entry == NULL)
     return;
@@ -346,7 +347,7 @@
 void
 slot_queues_expire (struct SlotQueues *queues,
                     int64_t now_ms,
-                    bool (*is_live) (void *data, const char *asker),
+                    bool (*is_live) (void *data, const char *requester),
                     void (*each) (void *data, const char *server),
                     void *data)
 {
@@ -357,8 +358,8 @@
     size_t i = 0;
 
     while (i < queue->n_entries)
-      if (queue->entries[i].request.due_ms + EXPIRE_GRACE_MS < now_ms
-          || !is_live (data, queue->entries[i].request.asker))
+      if (queue->entries[i].request.deadline_ms + EXPIRE_GRACE_MS < now_ms
+          || !is_live (data, queue->entries[i].request.requester))
         entry_remove (queue, &queue->entries[i]);
       else
         i++;
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -358,7 +358,7 @@
     {
       message.slot_state.id = ask.id;
       /* A requester that misses this message queries again and receives the grant then. */
-      node_send (node, ask.asker, &message);
+      node_send (node, ask.requester, &message);
     }
 }
 
@@ -375,15 +375,15 @@
     .id = message->id,
     .customer_priority = message->customer_priority,
     .priority = message->priority,
-    .continues = message->continues,
-    .program_due_ms = message->has_program_due ? now_ms + message->program_left_ms : INT64_MAX,
-    .due_ms = now_ms + message->left_ms,
+    .under_way = message->continues,
+    .program_deadline_ms = message->has_program_due ? now_ms + message->program_left_ms : INT64_MAX,
+    .deadline_ms = now_ms + message->left_ms,
     .part = message->part,
     .part_tokens = message->part_tokens,
   };
   struct SlotServer server = { message->server, message->slots, message->capacity_tokens };
 
-  snprintf (ask.asker, sizeof ask.asker, "%s", sender);
+  snprintf (ask.requester, sizeof ask.requester, "%s", sender);
   answer.slot_state.id = message->id;
   if (slot_queue_request (slots->queues, &server, &ask, now_ms, &answer.slot_state.state)
       == ERROR_NONE)
@@ -412,13 +412,13 @@
 }
 
 static bool
-slots_requester_is_live (void *data, const char *asker)
+slots_requester_is_live (void *data, const char *requester)
 {
   const struct Slots *slots = data;
   const struct Node *node = slots->front->node;
-  const struct Peer *peer = node_peer (node, asker);
+  const struct Peer *peer = node_peer (node, requester);
 
-  return strcmp (asker, node->settings->instance) == 0
+  return strcmp (requester, node->settings->instance) == 0
          || (peer != NULL && node_peer_is_live (node, peer));
 }
 
--- a/include/buckthornhead/scheduling/slot_queue.h
+++ b/include/buckthornhead/scheduling/slot_queue.h
@@ -19,14 +19,14 @@
 /* A request to send to a server, which requests a slot there. */
 struct SlotRequest
 {
-  char asker[NAME_MAX_BYTES + 1]; /* gateway that sends the request */
-  uint64_t id;                    /* unique per gateway */
-  uint32_t customer_priority;     /* 0: highest, and for customers without one */
-  uint32_t priority;              /* of the route; 0: highest */
-  bool continues;                 /* the program is under way */
-  int64_t program_due_ms;         /* deadline of the program; INT64_MAX: none known */
-  int64_t due_ms;                 /* deadline of the request's caller */
-  uint64_t part;                  /* id of the prompt's largest shared part; 0: none */
+  char requester[NAME_MAX_BYTES + 1]; /* gateway that sends the request */
+  uint64_t id;                        /* unique per gateway */
+  uint32_t customer_priority;         /* 0: highest, and for customers without one */
+  uint32_t priority;                  /* of the route; 0: highest */
+  bool under_way;                     /* the program is under way */
+  int64_t program_deadline_ms;        /* deadline of the program; INT64_MAX: none known */
+  int64_t deadline_ms;                /* deadline of the request's caller */
+  uint64_t part;                      /* id of the prompt's largest shared part; 0: none */
   uint32_t part_tokens;
 };
 
@@ -92,7 +92,7 @@
 void
 slot_queue_done (struct SlotQueues *queues,
                  const char *server,
-                 const char *asker,
+                 const char *requester,
                  uint64_t id,
                  enum SlotOutcome outcome,
                  int64_t now_ms);
@@ -117,7 +117,7 @@
 void
 slot_queues_expire (struct SlotQueues *queues,
                     int64_t now_ms,
-                    bool (*is_live) (void *data, const char *asker),
+                    bool (*is_live) (void *data, const char *requester),
                     void (*each) (void *data, const char *server),
                     void *data);
 
--- a/tests/test_slot_queue.c
+++ b/tests/test_slot_queue.c
@@ -13,13 +13,14 @@
 };
 
 static struct SlotRequest
-make_request (const char *asker, uint64_t id, bool continues, int64_t program_due_ms)
+make_request (const char *requester, uint64_t id, bool continues, int64_t program_deadline_ms)
 {
-  struct SlotRequest request = {
-    .id = id, .continues = continues, .program_due_ms = program_due_ms, .due_ms = 3000
-  };
+  struct SlotRequest request = { .id = id,
+                                 .under_way = continues,
+                                 .program_deadline_ms = program_deadline_ms,
+                                 .deadline_ms = 3000 };
 
-  snprintf (request.asker, sizeof request.asker, "%s", asker);
+  snprintf (request.requester, sizeof request.requester, "%s", requester);
   return request;
 }
 
@@ -141,11 +142,11 @@
 };
 
 static bool
-is_live (void *data, const char *asker)
+is_live (void *data, const char *requester)
 {
   struct LiveGateway *live = data;
 
-  return strcmp (asker, live->name) == 0;
+  return strcmp (requester, live->name) == 0;
 }
 
 static void
--- a/tests/test_slot_queue_load.c
+++ b/tests/test_slot_queue_load.c
@@ -73,11 +73,11 @@
 {
   struct Program *program = &sim->programs[i];
   const struct SlotServer server = { "e", SLOTS, 0 };
-  struct SlotRequest request = { .asker = "g",
+  struct SlotRequest request = { .requester = "g",
                                  .id = i + 1,
-                                 .continues = program->n_turns > 0,
-                                 .program_due_ms = program->began_ms + sim->deadline_ms,
-                                 .due_ms = now_ms + 4000 };
+                                 .under_way = program->n_turns > 0,
+                                 .program_deadline_ms = program->began_ms + sim->deadline_ms,
+                                 .deadline_ms = now_ms + 4000 };
   struct SlotState state;
 
   CU_ASSERT_EQUAL (slot_queue_request (sim->queues, &server, &request, now_ms, &state), ERROR_NONE);
