--- a/core/gateway/gateway_message.c
+++ b/core/gateway/gateway_message.c
@@ -218,37 +218,37 @@
 }
 
 static void
-slot_ask_pack (struct PackWriter *p, const struct SlotAskMessage *ask)
+slot_request_pack (struct PackWriter *p, const struct SlotRequestMessage *slot_request)
 {
-  pack_u64 (p, ask->id);
-  pack_string (p, ask->server);
-  pack_u64 (p, ask->slots);
-  pack_u64 (p, ask->customer_priority);
-  pack_u64 (p, ask->priority);
-  pack_bool (p, ask->continues);
-  pack_bool (p, ask->has_program_due);
-  pack_i64 (p, ask->program_left_ms);
-  pack_i64 (p, ask->left_ms);
-  pack_u64 (p, ask->capacity_tokens);
-  pack_u64 (p, ask->part);
-  pack_u64 (p, ask->part_tokens);
+  pack_u64 (p, slot_request->id);
+  pack_string (p, slot_request->server);
+  pack_u64 (p, slot_request->slots);
+  pack_u64 (p, slot_request->customer_priority);
+  pack_u64 (p, slot_request->priority);
+  pack_bool (p, slot_request->under_way);
+  pack_bool (p, slot_request->has_program_deadline);
+  pack_i64 (p, slot_request->program_left_ms);
+  pack_i64 (p, slot_request->left_ms);
+  pack_u64 (p, slot_request->capacity_tokens);
+  pack_u64 (p, slot_request->part);
+  pack_u64 (p, slot_request->part_tokens);
 }
 
 static void
-slot_ask_unpack (struct PackReader *r, struct SlotAskMessage *ask)
+slot_request_unpack (struct PackReader *r, struct SlotRequestMessage *slot_request)
 {
-  ask->id = read_u64 (r, UINT64_MAX);
-  read_string (r, ask->server, sizeof ask->server);
-  ask->slots = (uint32_t)read_u64 (r, UINT32_MAX);
-  ask->customer_priority = (uint32_t)read_u64 (r, UINT32_MAX);
-  ask->priority = (uint32_t)read_u64 (r, UINT32_MAX);
-  ask->continues = read_bool (r);
-  ask->has_program_due = read_bool (r);
-  ask->program_left_ms = read_i64 (r);
-  ask->left_ms = read_i64 (r);
-  ask->capacity_tokens = read_u64 (r, UINT64_MAX);
-  ask->part = read_u64 (r, UINT64_MAX);
-  ask->part_tokens = (uint32_t)read_u64 (r, UINT32_MAX);
+  slot_request->id = read_u64 (r, UINT64_MAX);
+  read_string (r, slot_request->server, sizeof slot_request->server);
+  slot_request->slots = (uint32_t)read_u64 (r, UINT32_MAX);
+  slot_request->customer_priority = (uint32_t)read_u64 (r, UINT32_MAX);
+  slot_request->priority = (uint32_t)read_u64 (r, UINT32_MAX);
+  slot_request->under_way = read_bool (r);
+  slot_request->has_program_deadline = read_bool (r);
+  slot_request->program_left_ms = read_i64 (r);
+  slot_request->left_ms = read_i64 (r);
+  slot_request->capacity_tokens = read_u64 (r, UINT64_MAX);
+  slot_request->part = read_u64 (r, UINT64_MAX);
+  slot_request->part_tokens = (uint32_t)read_u64 (r, UINT32_MAX);
 }
 
 static void
@@ -340,7 +340,7 @@
     case GATEWAY_COPY_PART:
     case GATEWAY_SLOT_STATE:
       return 6;
-    case GATEWAY_SLOT_ASK:
+    case GATEWAY_SLOT_REQUEST:
       return 13;
     case GATEWAY_SLOT_DONE:
       return 4;
@@ -398,8 +398,8 @@
       pack_string (p, message->relay.from);
       pack_bytes (p, message->relay.message, message->relay.message_bytes);
       break;
-    case GATEWAY_SLOT_ASK:
-      slot_ask_pack (p, &message->slot_ask);
+    case GATEWAY_SLOT_REQUEST:
+      slot_request_pack (p, &message->slot_request);
       break;
     case GATEWAY_SLOT_STATE:
       slot_state_pack (p, &message->slot_state);
@@ -466,8 +466,8 @@
       read_string (r, m->relay.from, sizeof m->relay.from);
       m->relay.message = read_bytes (r, ctx, &m->relay.message_bytes);
       break;
-    case GATEWAY_SLOT_ASK:
-      slot_ask_unpack (r, &m->slot_ask);
+    case GATEWAY_SLOT_REQUEST:
+      slot_request_unpack (r, &m->slot_request);
       break;
     case GATEWAY_SLOT_STATE:
       slot_state_unpack (r, &m->slot_state);
--- a/core/gateway/message_count.c
+++ b/core/gateway/message_count.c
@@ -45,7 +45,7 @@
       return "copy_part";
     case GATEWAY_RELAY:
       return "relay";
-    case GATEWAY_SLOT_ASK:
+    case GATEWAY_SLOT_REQUEST:
       return "slot_ask";
     case GATEWAY_SLOT_STATE:
       return "slot_state";
--- a/gateway/archive.c
+++ b/gateway/archive.c
@@ -419,7 +419,7 @@
     case GATEWAY_HEARTBEAT:
     case GATEWAY_SNAPSHOT:
     case GATEWAY_RELAY:
-    case GATEWAY_SLOT_ASK:
+    case GATEWAY_SLOT_REQUEST:
     case GATEWAY_SLOT_STATE:
     case GATEWAY_SLOT_DONE:
     case GATEWAY_ALIVE:
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -444,8 +444,8 @@
     case GATEWAY_TURN_CLOSED:
       turn_on_closed (front, sender, &message->closed);
       break;
-    case GATEWAY_SLOT_ASK:
-      slots_on_ask (front->slots, link, sender, &message->slot_ask);
+    case GATEWAY_SLOT_REQUEST:
+      slots_on_request (front->slots, link, sender, &message->slot_request);
       break;
     case GATEWAY_SLOT_STATE:
       slots_on_state (front, &message->slot_state);
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -236,7 +236,7 @@
     case GATEWAY_TURN_CLOSED:
     case GATEWAY_COPY_WANT:
     case GATEWAY_COPY_PART:
-    case GATEWAY_SLOT_ASK:
+    case GATEWAY_SLOT_REQUEST:
     case GATEWAY_SLOT_STATE:
     case GATEWAY_SLOT_DONE:
     case GATEWAY_DIGESTS:
--- a/gateway/node_send.c
+++ b/gateway/node_send.c
@@ -37,7 +37,7 @@
     case GATEWAY_TURN_OPEN:
     case GATEWAY_TURN_READ:
     case GATEWAY_TURN_CLOSE:
-    case GATEWAY_SLOT_ASK:
+    case GATEWAY_SLOT_REQUEST:
     case GATEWAY_COPY_WANT:
       return true;
     case GATEWAY_TURN_OPENED:
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -109,37 +109,38 @@
 /* Requesting slots. */
 
 static int32_t
-slots_send_ask (struct Request *request)
+slots_send_slot_request (struct Request *request)
 {
   struct Node *node = request->front->node;
   struct SlotWait *wait = request->slot_wait;
-  struct GatewayMessage message = { .kind = GATEWAY_SLOT_ASK };
-  struct SlotAskMessage *ask = &message.slot_ask;
+  struct GatewayMessage message = { .kind = GATEWAY_SLOT_REQUEST };
+  struct SlotRequestMessage *slot_request = &message.slot_request;
   const struct PrefixPart *shared =
       prefix_shared_part (request->caller.parts, request->caller.n_parts);
   int64_t now_ms = timer_now_ms (node->timers);
 
-  ask->id = wait->id;
-  snprintf (ask->server, sizeof ask->server, "%s", wait->server);
-  ask->slots = request->replica->entry.slots;
-  ask->customer_priority = request->customer.priority;
-  ask->priority = request->route.priority;
-  ask->continues = request->continues_program;
-  ask->has_program_due = request->program_deadline_ms != INT64_MAX;
-  ask->program_left_ms = ask->has_program_due ? request->program_deadline_ms - now_ms : 0;
-  ask->left_ms = request->deadline_ms - now_ms;
-  ask->capacity_tokens = request->capacity_tokens;
+  slot_request->id = wait->id;
+  snprintf (slot_request->server, sizeof slot_request->server, "%s", wait->server);
+  slot_request->slots = request->replica->entry.slots;
+  slot_request->customer_priority = request->customer.priority;
+  slot_request->priority = request->route.priority;
+  slot_request->under_way = request->continues_program;
+  slot_request->has_program_deadline = request->program_deadline_ms != INT64_MAX;
+  slot_request->program_left_ms =
+      slot_request->has_program_deadline ? request->program_deadline_ms - now_ms : 0;
+  slot_request->left_ms = request->deadline_ms - now_ms;
+  slot_request->capacity_tokens = request->capacity_tokens;
   if (!request->front->node->settings->decisions.order)
     {
-      ask->customer_priority = 0;
-      ask->priority = 0;
-      ask->continues = false;
-      ask->has_program_due = false;
+      slot_request->customer_priority = 0;
+      slot_request->priority = 0;
+      slot_request->under_way = false;
+      slot_request->has_program_deadline = false;
     }
   if (shared != NULL)
     {
-      ask->part = shared->id;
-      ask->part_tokens = shared->tokens;
+      slot_request->part = shared->id;
+      slot_request->part_tokens = shared->tokens;
     }
   wait->answered = false;
   return node_send (node, wait->owner, &message);
@@ -195,7 +196,7 @@
         slots_send_done (request);
       snprintf (wait->owner, sizeof wait->owner, "%s", owner);
     }
-  if (owner == NULL || slots_send_ask (request) != ERROR_NONE)
+  if (owner == NULL || slots_send_slot_request (request) != ERROR_NONE)
     slots_send_request (request);
   else
     slots_wait (request, OWNER_TIMEOUT_MS);
@@ -351,41 +352,42 @@
   struct Slots *slots = data;
   struct Node *node = slots->front->node;
   struct GatewayMessage message = { .kind = GATEWAY_SLOT_STATE };
-  struct SlotRequest ask;
+  struct SlotRequest slot_request;
 
-  while (slot_queue_next (slots->queues, server, timer_now_ms (node->timers), &ask,
+  while (slot_queue_next (slots->queues, server, timer_now_ms (node->timers), &slot_request,
                           &message.slot_state.state))
     {
-      message.slot_state.id = ask.id;
+      message.slot_state.id = slot_request.id;
       /* A requester that misses this message queries again and receives the grant then. */
-      node_send (node, ask.requester, &message);
+      node_send (node, slot_request.requester, &message);
     }
 }
 
 void
-slots_on_ask (struct Slots *slots,
-              uint64_t link,
-              const char *sender,
-              const struct SlotAskMessage *message)
+slots_on_request (struct Slots *slots,
+                  uint64_t link,
+                  const char *sender,
+                  const struct SlotRequestMessage *message)
 {
   struct Node *node = slots->front->node;
   int64_t now_ms = timer_now_ms (node->timers);
   struct GatewayMessage answer = { .kind = GATEWAY_SLOT_STATE };
-  struct SlotRequest ask = {
+  struct SlotRequest slot_request = {
     .id = message->id,
     .customer_priority = message->customer_priority,
     .priority = message->priority,
-    .under_way = message->continues,
-    .program_deadline_ms = message->has_program_due ? now_ms + message->program_left_ms : INT64_MAX,
+    .under_way = message->under_way,
+    .program_deadline_ms =
+        message->has_program_deadline ? now_ms + message->program_left_ms : INT64_MAX,
     .deadline_ms = now_ms + message->left_ms,
     .part = message->part,
     .part_tokens = message->part_tokens,
   };
   struct SlotServer server = { message->server, message->slots, message->capacity_tokens };
 
-  snprintf (ask.requester, sizeof ask.requester, "%s", sender);
+  snprintf (slot_request.requester, sizeof slot_request.requester, "%s", sender);
   answer.slot_state.id = message->id;
-  if (slot_queue_request (slots->queues, &server, &ask, now_ms, &answer.slot_state.state)
+  if (slot_queue_request (slots->queues, &server, &slot_request, now_ms, &answer.slot_state.state)
       == ERROR_NONE)
     node_answer (node, link, &answer);
 }
--- a/gateway/slots.h
+++ b/gateway/slots.h
@@ -24,10 +24,10 @@
 
 /* Messages. */
 void
-slots_on_ask (struct Slots *slots,
-              uint64_t link,
-              const char *sender,
-              const struct SlotAskMessage *ask);
+slots_on_request (struct Slots *slots,
+                  uint64_t link,
+                  const char *sender,
+                  const struct SlotRequestMessage *slot_request);
 void
 slots_on_state (struct Front *front, const struct SlotStateMessage *message);
 void
--- a/include/buckthornhead/gateway_message.h
+++ b/include/buckthornhead/gateway_message.h
@@ -19,11 +19,11 @@
   GATEWAY_SNAPSHOT = 7,  /* state read from the platform's store, or a list of processes */
   GATEWAY_COPY_WANT = 8, /* an archive with a new disk requests the records of another archive */
   GATEWAY_COPY_PART = 9,
-  GATEWAY_RELAY = 10,      /* a message to be forwarded to a process that the sender cannot reach */
-  GATEWAY_SLOT_ASK = 11,   /* requests a slot on a backend server that the receiver owns */
-  GATEWAY_SLOT_STATE = 12, /* response to GATEWAY_SLOT_ASK, sent again on each change */
-  GATEWAY_SLOT_DONE = 13,  /* the request has ended or will not be sent */
-  GATEWAY_ALIVE = 14,      /* response to GATEWAY_PROBE; no fields */
+  GATEWAY_RELAY = 10, /* a message to be forwarded to a process that the sender cannot reach */
+  GATEWAY_SLOT_REQUEST = 11,  /* requests a slot on a backend server that the receiver owns */
+  GATEWAY_SLOT_STATE = 12,    /* response to GATEWAY_SLOT_REQUEST, sent again on each change */
+  GATEWAY_SLOT_DONE = 13,     /* the request has ended or will not be sent */
+  GATEWAY_ALIVE = 14,         /* response to GATEWAY_PROBE; no fields */
   GATEWAY_SNAPSHOT_WANT = 15, /* requests a full snapshot, as when changes do not apply */
   GATEWAY_DIGESTS = 16,       /* load and cache contents of the servers that the sender owns */
   GATEWAY_PROBE = 17,         /* requests GATEWAY_ALIVE; no fields */
@@ -141,7 +141,7 @@
 };
 
 /* Times are relative to the sending of the message, since clocks of two instances differ. */
-struct SlotAskMessage
+struct SlotRequestMessage
 {
   uint64_t id; /* of the request, unique per sender */
   char server[NAME_MAX_BYTES + 1];
@@ -149,8 +149,8 @@
   uint64_t capacity_tokens;
   uint32_t customer_priority;
   uint32_t priority;
-  bool continues;
-  bool has_program_due;
+  bool under_way;
+  bool has_program_deadline;
   int64_t program_left_ms; /* until the program's deadline; negative: already missed */
   int64_t left_ms;
   uint64_t part; /* id of the largest part of the prompt shared with other requests; 0: none */
@@ -192,7 +192,7 @@
     struct CopyWant copy_want;
     struct CopyPart copy_part;
     struct Relay relay;
-    struct SlotAskMessage slot_ask;
+    struct SlotRequestMessage slot_request;
     struct SlotStateMessage slot_state;
     struct SlotDoneMessage slot_done;
     struct Digests digests;
--- a/tests/test_gateway_message.c
+++ b/tests/test_gateway_message.c
@@ -64,28 +64,28 @@
   struct SlotDigest digest = {
     .server = "i-3", .total = 4, .failed_permille = 20, .parts = { 7, 8 }, .n_parts = 2
   };
-  struct GatewayMessage message = { .kind = GATEWAY_SLOT_ASK };
+  struct GatewayMessage message = { .kind = GATEWAY_SLOT_REQUEST };
   struct GatewayMessage *unpacked;
 
-  message.slot_ask = (struct SlotAskMessage){ .id = 5,
-                                              .server = "i-1",
-                                              .slots = 12,
-                                              .customer_priority = 2,
-                                              .priority = 1,
-                                              .continues = true,
-                                              .has_program_due = true,
-                                              .program_left_ms = -40,
-                                              .left_ms = 2900 };
+  message.slot_request = (struct SlotRequestMessage){ .id = 5,
+                                                      .server = "i-1",
+                                                      .slots = 12,
+                                                      .customer_priority = 2,
+                                                      .priority = 1,
+                                                      .under_way = true,
+                                                      .has_program_deadline = true,
+                                                      .program_left_ms = -40,
+                                                      .left_ms = 2900 };
   unpacked = round_trip (ctx, &message);
-  CU_ASSERT_EQUAL (unpacked->slot_ask.id, 5);
-  CU_ASSERT_STRING_EQUAL (unpacked->slot_ask.server, "i-1");
-  CU_ASSERT_EQUAL (unpacked->slot_ask.slots, 12);
-  CU_ASSERT_EQUAL (unpacked->slot_ask.customer_priority, 2);
-  CU_ASSERT_EQUAL (unpacked->slot_ask.priority, 1);
-  CU_ASSERT_TRUE (unpacked->slot_ask.continues);
-  CU_ASSERT_TRUE (unpacked->slot_ask.has_program_due);
-  CU_ASSERT_EQUAL (unpacked->slot_ask.program_left_ms, -40);
-  CU_ASSERT_EQUAL (unpacked->slot_ask.left_ms, 2900);
+  CU_ASSERT_EQUAL (unpacked->slot_request.id, 5);
+  CU_ASSERT_STRING_EQUAL (unpacked->slot_request.server, "i-1");
+  CU_ASSERT_EQUAL (unpacked->slot_request.slots, 12);
+  CU_ASSERT_EQUAL (unpacked->slot_request.customer_priority, 2);
+  CU_ASSERT_EQUAL (unpacked->slot_request.priority, 1);
+  CU_ASSERT_TRUE (unpacked->slot_request.under_way);
+  CU_ASSERT_TRUE (unpacked->slot_request.has_program_deadline);
+  CU_ASSERT_EQUAL (unpacked->slot_request.program_left_ms, -40);
+  CU_ASSERT_EQUAL (unpacked->slot_request.left_ms, 2900);
   message.kind = GATEWAY_SLOT_STATE;
   message.slot_state = (struct SlotStateMessage){
     .id = 6, .state = { .granted = true, .total = 14, .ahead = 2, .wait_ms = 90 }
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -322,20 +322,20 @@
 }
 
 static void
-fill_slot_ask (struct GatewayMessage *m, uint32_t variant)
-{
-  m->slot_ask = (struct SlotAskMessage){ .id = 161,
-                                         .server = "server-4",
-                                         .slots = 162,
-                                         .capacity_tokens = 1ULL << 35,
-                                         .customer_priority = 163,
-                                         .priority = 164,
-                                         .continues = flag (variant, 1),
-                                         .has_program_due = flag (variant, 2),
-                                         .program_left_ms = -40000,
-                                         .left_ms = 2900,
-                                         .part = 1ULL << 60,
-                                         .part_tokens = 165 };
+fill_slot_request (struct GatewayMessage *m, uint32_t variant)
+{
+  m->slot_request = (struct SlotRequestMessage){ .id = 161,
+                                                 .server = "server-4",
+                                                 .slots = 162,
+                                                 .capacity_tokens = 1ULL << 35,
+                                                 .customer_priority = 163,
+                                                 .priority = 164,
+                                                 .under_way = flag (variant, 1),
+                                                 .has_program_deadline = flag (variant, 2),
+                                                 .program_left_ms = -40000,
+                                                 .left_ms = 2900,
+                                                 .part = 1ULL << 60,
+                                                 .part_tokens = 165 };
 }
 
 static void
@@ -403,7 +403,7 @@
   { "copy_want", GATEWAY_COPY_WANT, 1, fill_copy_want },
   { "copy_part", GATEWAY_COPY_PART, 2, fill_copy_part },
   { "relay", GATEWAY_RELAY, 1, fill_relay },
-  { "slot_ask", GATEWAY_SLOT_ASK, 2, fill_slot_ask },
+  { "slot_ask", GATEWAY_SLOT_REQUEST, 2, fill_slot_request },
   { "slot_state", GATEWAY_SLOT_STATE, 1, fill_slot_state },
   { "slot_done", GATEWAY_SLOT_DONE, 3, fill_slot_done },
   { "alive", GATEWAY_ALIVE, 1, fill_nothing },
