--- a/gateway/front.h
+++ b/gateway/front.h
@@ -144,7 +144,7 @@
 
 /* Called when the owner of .replica has granted a slot, or no owner could be queried. */
 void
-request_granted (struct Request *request);
+request_on_slot_granted (struct Request *request);
 
 /* Rejects the request because the servers stay busy for longer than its caller waits; Retry-After
  * is wait_ms. */
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -350,7 +350,7 @@
 }
 
 void
-request_granted (struct Request *request)
+request_on_slot_granted (struct Request *request)
 {
   /* While the request waited, the server may have started to drain or used up its connections, or
    * the key may have been revoked. */
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -167,7 +167,7 @@
   wait->granted = true;
   histogram_add (HISTOGRAM_SLOT_WAIT,
                  timer_now_ms (request->front->node->timers) - wait->first_asked_ms);
-  request_granted (request);
+  request_on_slot_granted (request);
 }
 
 static void
@@ -229,7 +229,7 @@
   request->slot_wait = wait;
   if (wait == NULL)
     {
-      request_granted (request);
+      request_on_slot_granted (request);
       return;
     }
   wait->n_moves = n_moves;
--- a/gateway/slots.h
+++ b/gateway/slots.h
@@ -13,8 +13,8 @@
 struct Slots *
 slots_new (struct Front *front);
 
-/* Requests a slot from the owner of request->replica; request_granted is called once the request
- * may be sent. */
+/* Requests a slot from the owner of request->replica; request_on_slot_granted is called once the
+ * request may be sent. */
 void
 slots_request (struct Request *request);
 
