--- a/gateway/front.h
+++ b/gateway/front.h
@@ -149,11 +149,11 @@
 /* Rejects the request because the servers stay busy for longer than its caller waits; Retry-After
  * is wait_ms. */
 void
-request_busy (struct Request *request, uint32_t wait_ms);
+request_reject_busy (struct Request *request, uint32_t wait_ms);
 
 /* Rejects the request because its customer's limit is reached; Retry-After is wait_ms. */
 void
-request_over_limit (struct Request *request, uint32_t wait_ms, const char *detail);
+request_reject_over_limit (struct Request *request, uint32_t wait_ms, const char *detail);
 
 /* Completes the caller's response after the whole stream, and ends the request. */
 void
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -104,7 +104,7 @@
             "customer %s: limit %u per window, %u taken as told %lld ms ago, %u of 1000 pass",
             request->customer.name, verdict.limit, verdict.fleet_taken,
             (long long)verdict.report_age_ms, verdict.permille);
-  request_over_limit (request, verdict.retry_after_ms, detail);
+  request_reject_over_limit (request, verdict.retry_after_ms, detail);
   return false;
 }
 
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -173,13 +173,13 @@
 }
 
 void
-request_over_limit (struct Request *request, uint32_t wait_ms, const char *detail)
+request_reject_over_limit (struct Request *request, uint32_t wait_ms, const char *detail)
 {
   request_fail_with_wait_ms (request, FAILURE_OVER_LIMIT, wait_ms, detail);
 }
 
 void
-request_busy (struct Request *request, uint32_t wait_ms)
+request_reject_busy (struct Request *request, uint32_t wait_ms)
 {
   char detail[96];
 
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -326,7 +326,7 @@
     return;
   slots_log_queued (request, state);
   if (state->wait_ms > (left_ms < first_event_ms ? left_ms : first_event_ms))
-    request_busy (request, state->wait_ms);
+    request_reject_busy (request, state->wait_ms);
   else
     slots_wait (request, ASK_INTERVAL_MS);
 }
