--- a/gateway/front.h
+++ b/gateway/front.h
@@ -140,7 +140,7 @@
 
 /* Selects the server for the next attempt; NULL when none is eligible. */
 struct Replica *
-request_choose (struct Request *request);
+request_choose_server (struct Request *request);
 
 /* Called when the owner of .replica has granted a slot, or no owner could be queried. */
 void
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -231,7 +231,7 @@
 /* Sending. */
 
 struct Replica *
-request_choose (struct Request *request)
+request_choose_server (struct Request *request)
 {
   struct Front *front = request->front;
   struct ReplicaQuery query = {
@@ -371,7 +371,7 @@
     }
   while (request->n_tried < TRIED_MAX)
     {
-      struct Replica *replica = request_choose (request);
+      struct Replica *replica = request_choose_server (request);
 
       if (replica == NULL)
         break;
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -278,7 +278,7 @@
     return false;
   /* The request itself must not count against its present server. */
   from->in_flight--;
-  best = request_choose (request);
+  best = request_choose_server (request);
   from->in_flight++;
   if (best == NULL || best == from)
     return false;
