--- a/core/scheduling/retry_allowance.c
+++ b/core/scheduling/retry_allowance.c
@@ -32,7 +32,7 @@
 }
 
 int64_t
-retry_patience_ms (uint32_t objective_ms, int64_t left_ms)
+retry_response_timeout_ms (uint32_t objective_ms, int64_t left_ms)
 {
   int64_t patience_ms = (int64_t)objective_ms * PATIENCE_OBJECTIVES;
 
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -326,7 +326,8 @@
   if (!request->front->node->settings->decisions.patience || request->route.kind != ROUTE_REPEATABLE
       || request->n_sent + 1 >= request->route.max_attempts)
     return;
-  timeout_ms = retry_patience_ms (request->route.objective_ms, request_remaining_ms (request));
+  timeout_ms =
+      retry_response_timeout_ms (request->route.objective_ms, request_remaining_ms (request));
   if (timeout_ms > 0)
     request->silence_timer = timer_subscribe (request, request->front->node->timers, timeout_ms, 0,
                                               request_on_silence, request);
--- a/include/buckthornhead/scheduling/retry_allowance.h
+++ b/include/buckthornhead/scheduling/retry_allowance.h
@@ -25,4 +25,4 @@
  * it to another server, as a lost response shows only as silence. left_ms is the time until the
  * request's deadline; 0 means that too little is left for a second server. */
 int64_t
-retry_patience_ms (uint32_t objective_ms, int64_t left_ms);
+retry_response_timeout_ms (uint32_t objective_ms, int64_t left_ms);
--- a/tests/test_retry_allowance.c
+++ b/tests/test_retry_allowance.c
@@ -34,10 +34,10 @@
 static void
 test_no_retry_without_time_for_a_second_server (void)
 {
-  CU_ASSERT_EQUAL (retry_patience_ms (80, 1200), 240);
-  CU_ASSERT_EQUAL (retry_patience_ms (80, 320), 240);
-  CU_ASSERT_EQUAL (retry_patience_ms (80, 319), 0);
-  CU_ASSERT_EQUAL (retry_patience_ms (1000, 1200), 0);
+  CU_ASSERT_EQUAL (retry_response_timeout_ms (80, 1200), 240);
+  CU_ASSERT_EQUAL (retry_response_timeout_ms (80, 320), 240);
+  CU_ASSERT_EQUAL (retry_response_timeout_ms (80, 319), 0);
+  CU_ASSERT_EQUAL (retry_response_timeout_ms (1000, 1200), 0);
 }
 
 const char test_suite_name[] = "retry_allowance";
