--- a/core/gateway/node_status.c
+++ b/core/gateway/node_status.c
@@ -23,7 +23,7 @@
 {
   return strcmp (a->zone, b->zone) == 0 && strcmp (a->peer_address, b->peer_address) == 0
          && strcmp (a->caller_address, b->caller_address) == 0 && a->ready == b->ready
-         && a->leaving == b->leaving && a->strained == b->strained
+         && a->leaving == b->leaving && a->overloaded == b->overloaded
          && a->reaches_archives == b->reaches_archives && a->complete == b->complete
          && a->is_archive == b->is_archive && a->synced == b->synced
          && a->set_generation == b->set_generation && a->config_version == b->config_version;
@@ -33,7 +33,7 @@
 status_flags (const struct NodeStatus *status)
 {
   return (status->ready ? FLAG_READY : 0) | (status->leaving ? FLAG_LEAVING : 0)
-         | (status->strained ? FLAG_STRAINED : 0)
+         | (status->overloaded ? FLAG_STRAINED : 0)
          | (status->reaches_archives ? FLAG_REACHES_ARCHIVES : 0)
          | (status->complete ? FLAG_COMPLETE : 0) | (status->is_archive ? FLAG_ARCHIVE : 0);
 }
@@ -71,7 +71,7 @@
   flags = read_u64 (&r, FLAGS_ALL);
   status->ready = flags & FLAG_READY;
   status->leaving = flags & FLAG_LEAVING;
-  status->strained = flags & FLAG_STRAINED;
+  status->overloaded = flags & FLAG_STRAINED;
   status->reaches_archives = flags & FLAG_REACHES_ARCHIVES;
   status->complete = flags & FLAG_COMPLETE;
   status->is_archive = flags & FLAG_ARCHIVE;
--- a/core/scheduling/address_choice.c
+++ b/core/scheduling/address_choice.c
@@ -78,10 +78,10 @@
 }
 
 void
-loop_lag_note (struct LoopLag *lag, int64_t lag_ms)
+loop_lag_record (struct LoopLag *lag, int64_t lag_ms)
 {
   if (lag_ms > SAMPLE_MAX_MS)
     lag_ms = SAMPLE_MAX_MS;
   lag->lag_ms = (uint32_t)((3 * (int64_t)lag->lag_ms + lag_ms) / 4);
-  lag->strained = lag->lag_ms >= (lag->strained ? RECOVERED_MS : OVERLOADED_MS);
+  lag->overloaded = lag->lag_ms >= (lag->overloaded ? RECOVERED_MS : OVERLOADED_MS);
 }
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -43,7 +43,7 @@
   if (front_is_ready (front) || include_starting)
     candidates[(*n)++] = (struct AddressCandidate){ node->settings->caller_listen,
                                                     strcmp (zone, node->settings->zone) == 0,
-                                                    loop_echo_is_strained (front->echo) };
+                                                    loop_echo_is_overloaded (front->echo) };
   for (size_t i = 0; i < table->n_peers; i++)
     {
       const struct NodeStatus *status = &table->peers[i]->status;
@@ -52,7 +52,7 @@
           && status->caller_address[0] != '\0' && node_peer_is_live (node, table->peers[i]))
         candidates[(*n)++] =
             (struct AddressCandidate){ status->caller_address, strcmp (zone, status->zone) == 0,
-                                       status->strained };
+                                       status->overloaded };
     }
   return candidates;
 }
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -493,7 +493,7 @@
 
   status->ready = front_is_ready (front);
   status->leaving = front->stop_ms != 0;
-  status->strained = loop_echo_is_strained (front->echo);
+  status->overloaded = loop_echo_is_overloaded (front->echo);
   status->reaches_archives = front->stop_ms == 0 && node_reaches_archives (front->node);
   status->config_version = front->table != NULL ? front->table->version : 0;
   heartbeat->server_level =
--- a/gateway/loop_echo.c
+++ b/gateway/loop_echo.c
@@ -30,12 +30,12 @@
 static void
 loop_echo_note (struct LoopEcho *echo, int64_t lag_ms)
 {
-  bool was_overloaded = echo->lag.strained;
+  bool was_overloaded = echo->lag.overloaded;
 
-  loop_lag_note (&echo->lag, lag_ms);
+  loop_lag_record (&echo->lag, lag_ms);
   gauge_set (GAUGE_LOOP_LAG_MS, echo->lag.lag_ms);
-  if (echo->lag.strained != was_overloaded)
-    log_event (LOG_LEVEL_NOTICE, echo->lag.strained ? "strained" : "relieved", NULL, NULL,
+  if (echo->lag.overloaded != was_overloaded)
+    log_event (LOG_LEVEL_NOTICE, echo->lag.overloaded ? "strained" : "relieved", NULL, NULL,
                "events wait %u ms for the processor", echo->lag.lag_ms);
 }
 
@@ -89,7 +89,7 @@
 }
 
 bool
-loop_echo_is_strained (const struct LoopEcho *echo)
+loop_echo_is_overloaded (const struct LoopEcho *echo)
 {
-  return echo->lag.strained;
+  return echo->lag.overloaded;
 }
--- a/gateway/loop_echo.h
+++ b/gateway/loop_echo.h
@@ -14,4 +14,4 @@
 loop_echo_new (TALLOC_CTX *ctx, struct Node *node);
 
 bool
-loop_echo_is_strained (const struct LoopEcho *echo);
+loop_echo_is_overloaded (const struct LoopEcho *echo);
--- a/include/buckthornhead/node_status.h
+++ b/include/buckthornhead/node_status.h
@@ -19,7 +19,7 @@
   uint64_t version;                           /* increases with each change within one start */
   bool ready;                                 /* accepts calls */
   bool leaving;                               /* a planned stop has begun */
-  bool strained;                              /* overloaded: calls are delayed by its processor */
+  bool overloaded;                            /* calls are delayed by its processor */
   bool reaches_archives;                      /* has direct links to enough archives for turns */
   bool complete;                              /* archives only: see TurnOpened */
   bool is_archive;
--- a/include/buckthornhead/scheduling/address_choice.h
+++ b/include/buckthornhead/scheduling/address_choice.h
@@ -54,11 +54,11 @@
 struct LoopLag
 {
   uint32_t lag_ms; /* exponential moving average */
-  bool strained;   /* overloaded */
+  bool overloaded;
 };
 
 /* Records one lag measurement. A turn passes the event loop about five times before the first
  * chunk of its response, so that at 50 ms each the waits alone use up the 250 ms objective of the
- * deployments. .strained is set at that average and cleared below about a third of it. */
+ * deployments. .overloaded is set at that average and cleared below about a third of it. */
 void
-loop_lag_note (struct LoopLag *lag, int64_t lag_ms);
+loop_lag_record (struct LoopLag *lag, int64_t lag_ms);
--- a/tests/test_address_choice.c
+++ b/tests/test_address_choice.c
@@ -98,16 +98,16 @@
 
   for (int i = 0; i < 120; i++)
     {
-      bool before = lag.strained;
+      bool before = lag.overloaded;
 
-      loop_lag_note (&lag, i < 20 ? 1 : i < 60 ? 60 + i % 3 * 20 : i < 80 ? 30 : 2);
-      n_changes += lag.strained != before;
+      loop_lag_record (&lag, i < 20 ? 1 : i < 60 ? 60 + i % 3 * 20 : i < 80 ? 30 : 2);
+      n_changes += lag.overloaded != before;
       if (i == 19)
-        CU_ASSERT_FALSE (lag.strained);
+        CU_ASSERT_FALSE (lag.overloaded);
       if (i == 40 || i == 70)
-        CU_ASSERT_TRUE (lag.strained);
+        CU_ASSERT_TRUE (lag.overloaded);
     }
-  CU_ASSERT_FALSE (lag.strained);
+  CU_ASSERT_FALSE (lag.overloaded);
   CU_ASSERT_EQUAL (n_changes, 2);
 }
 
@@ -117,11 +117,11 @@
 {
   struct LoopLag lag = { 0 };
 
-  loop_lag_note (&lag, 4000);
-  CU_ASSERT_TRUE (lag.strained);
+  loop_lag_record (&lag, 4000);
+  CU_ASSERT_TRUE (lag.overloaded);
   for (int i = 0; i < 8; i++) /* two seconds */
-    loop_lag_note (&lag, 1);
-  CU_ASSERT_FALSE (lag.strained);
+    loop_lag_record (&lag, 1);
+  CU_ASSERT_FALSE (lag.overloaded);
 }
 
 enum
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -140,7 +140,7 @@
                                  .version = 301,
                                  .ready = flag (variant, 1),
                                  .leaving = flag (variant, 2),
-                                 .strained = flag (variant, 3),
+                                 .overloaded = flag (variant, 3),
                                  .reaches_archives = flag (variant, 4),
                                  .complete = flag (variant, 5),
                                  .is_archive = flag (variant, 6),
