--- a/core/scheduling/address_choice.c
+++ b/core/scheduling/address_choice.c
@@ -16,7 +16,7 @@
                        bool own_zone_only,
                        bool skip_overloaded)
 {
-  return (candidate->near || !own_zone_only) && !(candidate->overloaded && skip_overloaded);
+  return (candidate->in_zone || !own_zone_only) && !(candidate->overloaded && skip_overloaded);
 }
 
 /* The addresses with the highest scores for a caller, best first. */
@@ -58,11 +58,11 @@
   bool own_zone_only, skip_overloaded;
 
   for (size_t i = 0; i < n; i++)
-    n_near += candidates[i].near;
+    n_near += candidates[i].in_zone;
   own_zone_only = n_near >= ZONE_ADDRESSES_MIN;
   n_pool = own_zone_only ? n_near : n;
   for (size_t i = 0; i < n; i++)
-    n_overloaded += candidates[i].overloaded && (candidates[i].near || !own_zone_only);
+    n_overloaded += candidates[i].overloaded && (candidates[i].in_zone || !own_zone_only);
   skip_overloaded = 2 * n_overloaded <= n_pool && n_pool - n_overloaded >= ZONE_ADDRESSES_MIN;
   for (size_t i = 0; i < n; i++)
     if (candidate_is_eligible (&candidates[i], own_zone_only, skip_overloaded))
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -82,7 +82,7 @@
   size_t n_near = 0;
 
   for (size_t i = 0; i < n; i++)
-    n_near += candidates[i].near;
+    n_near += candidates[i].in_zone;
   return n_near;
 }
 
--- a/include/buckthornhead/scheduling/address_choice.h
+++ b/include/buckthornhead/scheduling/address_choice.h
@@ -29,7 +29,7 @@
 struct AddressCandidate
 {
   const char *address;
-  bool near;       /* in the caller's availability zone */
+  bool in_zone;    /* in the caller's availability zone */
   bool overloaded; /* its event loop lags; see struct LoopLag */
 };
 
--- a/tests/test_address_choice.c
+++ b/tests/test_address_choice.c
@@ -43,7 +43,7 @@
   CU_ASSERT_TRUE (is_chosen (candidates, N, "n2"));
   CU_ASSERT_FALSE (is_chosen (candidates, N, "f0"));
   /* With a single gateway in its zone, a caller could lose all of its list at once. */
-  candidates[1].near = candidates[2].near = false;
+  candidates[1].in_zone = candidates[2].in_zone = false;
   CU_ASSERT_TRUE (is_chosen (candidates, N, "n0"));
   CU_ASSERT_TRUE (is_chosen (candidates, N, "f0"));
 }
