--- a/core/scheduling/address_choice.c
+++ b/core/scheduling/address_choice.c
@@ -48,10 +48,10 @@
 }
 
 size_t
-address_choose (const struct AddressCandidate *candidates,
-                size_t n,
-                const char *caller,
-                const char *addresses[ADDRESSES_MAX])
+address_list_select (const struct AddressCandidate *candidates,
+                     size_t n,
+                     const char *caller,
+                     const char *addresses[ADDRESSES_MAX])
 {
   struct AddressChoice choice = { .addresses = addresses };
   size_t n_near = 0, n_pool, n_overloaded = 0;
@@ -72,9 +72,9 @@
 }
 
 bool
-address_list_is_thin (size_t n_ready, size_t n_known)
+address_list_is_too_short (size_t n_ready, size_t n_known)
 {
-  return n_ready * 100 < n_known * THIN_PERCENT;
+  return n_ready * 100 < n_known * LIST_MIN_PERCENT;
 }
 
 void
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -99,7 +99,7 @@
   char *body = NULL;
 
   http_exchange_caller (exchange, caller);
-  n = address_choose (candidates, n, caller, addresses);
+  n = address_list_select (candidates, n, caller, addresses);
   if (n > 0)
     body =
         front->node->dialect->write_addresses (front, addresses, n, front->node->settings->keep_s);
@@ -118,8 +118,8 @@
   size_t n, n_expected = directory_count_expected (front, zone);
   struct AddressCandidate *candidates = directory_candidates (front, front, zone, false, &n);
   size_t n_near = count_near (candidates, n);
-  bool thin =
-      !store_reader_knows_nodes (front->node->reader) || address_list_is_thin (n_near, n_expected);
+  bool thin = !store_reader_knows_nodes (front->node->reader)
+              || address_list_is_too_short (n_near, n_expected);
 
   if (thin && force)
     {
--- a/include/buckthornhead/scheduling/address_choice.h
+++ b/include/buckthornhead/scheduling/address_choice.h
@@ -22,7 +22,7 @@
   ZONE_ADDRESSES_MIN = 2,
   /* A list with a smaller share of the zone's gateways is too short: half of a zone's gateways
    * can carry the zone's load, fewer cannot. */
-  THIN_PERCENT = 50
+  LIST_MIN_PERCENT = 50
 };
 
 /* A gateway that accepts callers. */
@@ -40,15 +40,15 @@
  * caller's selection is stable, since a caller closes its connections to gateways that a new list
  * omits. */
 size_t
-address_choose (const struct AddressCandidate *candidates,
-                size_t n,
-                const char *caller,
-                const char *addresses[ADDRESSES_MAX]);
+address_list_select (const struct AddressCandidate *candidates,
+                     size_t n,
+                     const char *caller,
+                     const char *addresses[ADDRESSES_MAX]);
 
 /* Returns whether so few of the zone's known gateways are ready that listing only these would
  * overload them. */
 bool
-address_list_is_thin (size_t n_ready, size_t n_known);
+address_list_is_too_short (size_t n_ready, size_t n_known);
 
 /* Event loop lag: how long events of this process wait for the processor. */
 struct LoopLag
--- a/tests/test_address_choice.c
+++ b/tests/test_address_choice.c
@@ -24,7 +24,7 @@
 is_chosen (const struct AddressCandidate *candidates, size_t n, const char *name)
 {
   const char *addresses[ADDRESSES_MAX];
-  size_t n_chosen = address_choose (candidates, n, "10.0.0.1", addresses);
+  size_t n_chosen = address_list_select (candidates, n, "10.0.0.1", addresses);
 
   for (size_t i = 0; i < n_chosen; i++)
     if (strcmp (addresses[i], name) == 0)
@@ -81,11 +81,11 @@
 static void
 test_a_list_of_two_of_36_is_too_short (void)
 {
-  CU_ASSERT_TRUE (address_list_is_thin (2, 36));
-  CU_ASSERT_TRUE (address_list_is_thin (17, 36));
-  CU_ASSERT_FALSE (address_list_is_thin (18, 36));
-  CU_ASSERT_TRUE (address_list_is_thin (0, 1));
-  CU_ASSERT_FALSE (address_list_is_thin (0, 0));
+  CU_ASSERT_TRUE (address_list_is_too_short (2, 36));
+  CU_ASSERT_TRUE (address_list_is_too_short (17, 36));
+  CU_ASSERT_FALSE (address_list_is_too_short (18, 36));
+  CU_ASSERT_TRUE (address_list_is_too_short (0, 1));
+  CU_ASSERT_FALSE (address_list_is_too_short (0, 0));
 }
 
 /* Simulates an instance that slows down and recovers: the overload flag changes once each way, and
@@ -149,7 +149,7 @@
   char text[32];
 
   snprintf (text, sizeof text, "10.9.%u.%u", caller / 200, caller % 200);
-  return address_choose (candidates, n, text, addresses);
+  return address_list_select (candidates, n, text, addresses);
 }
 
 /* A zone has 173 gateways and a caller uses 64 of them. If all callers got the same list, the other
