--- a/core/scheduling/replica_set.c
+++ b/core/scheduling/replica_set.c
@@ -138,7 +138,7 @@
 }
 
 struct Replica *
-replica_set_take_restarted (struct ReplicaSet *set)
+replica_set_next_restarted (struct ReplicaSet *set)
 {
   for (size_t i = 0; i < set->n_replicas; i++)
     if (set->replicas[i]->restarted)
@@ -226,7 +226,7 @@
 }
 
 void
-replica_take_digest (struct Replica *replica, const struct SlotDigest *digest, int64_t now_ms)
+replica_apply_digest (struct Replica *replica, const struct SlotDigest *digest, int64_t now_ms)
 {
   replica->owned = true;
   replica->peers_in_flight =
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -355,7 +355,7 @@
 {
   struct Replica *replica;
 
-  while ((replica = replica_set_take_restarted (front->replicas)) != NULL)
+  while ((replica = replica_set_next_restarted (front->replicas)) != NULL)
     {
       log_event (LOG_LEVEL_NOTICE, "server_restarted", NULL, NULL, "%s, start time %llu",
                  replica->entry.id, (unsigned long long)replica->entry.started_unix_ms);
@@ -424,7 +424,7 @@
       struct Replica *replica = replica_set_find (front->replicas, digests[i].server);
 
       if (replica != NULL)
-        replica_take_digest (replica, &digests[i], timer_now_ms (front->node->timers));
+        replica_apply_digest (replica, &digests[i], timer_now_ms (front->node->timers));
     }
 }
 
--- a/include/buckthornhead/scheduling/replica_set.h
+++ b/include/buckthornhead/scheduling/replica_set.h
@@ -42,7 +42,7 @@
   struct FailureRate reported_failure_rate; /* of all gateways' requests, from the owner */
   int64_t connected_until_ms; /* until when an idle connection is usable; 0: there is none */
   int64_t avoid_until_ms;     /* until then it is chosen only if no other server is eligible */
-  bool restarted;             /* since the last replica_set_take_restarted */
+  bool restarted;             /* since the last replica_set_next_restarted */
   bool listed;                /* is in the last list */
   bool owned;                 /* its owner reports its load and cache contents */
   struct CachedPart *cached;  /* parts assumed to be in its cache, newest first */
@@ -109,7 +109,7 @@
 /* Returns the next server that has restarted under its id since it was last returned; NULL if there
  * is none. The tracked load and cache contents of its previous process are already reset. */
 struct Replica *
-replica_set_take_restarted (struct ReplicaSet *set);
+replica_set_next_restarted (struct ReplicaSet *set);
 
 struct Replica *
 replica_set_find (const struct ReplicaSet *set, const char *id);
@@ -124,7 +124,7 @@
 
 /* Applies the owner's report on the server. */
 void
-replica_take_digest (struct Replica *replica, const struct SlotDigest *digest, int64_t now_ms);
+replica_apply_digest (struct Replica *replica, const struct SlotDigest *digest, int64_t now_ms);
 
 /* Records a response of any status, which shows that the server is running. */
 void
--- a/tests/test_replica_set.c
+++ b/tests/test_replica_set.c
@@ -123,13 +123,13 @@
   replica_set_find (set, "r1")->peers_in_flight = 2;
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
   CU_ASSERT_EQUAL (replica_set_apply (set, entries, 2, false, 10), 0);
-  CU_ASSERT_PTR_NULL (replica_set_take_restarted (set));
+  CU_ASSERT_PTR_NULL (replica_set_next_restarted (set));
   replica_note_failure (replica_set_find (set, "r1"), 10);
   replica_note_result (replica_set_find (set, "r1"), true, 10);
   entries[0].started_unix_ms = 2000;
   CU_ASSERT_EQUAL (replica_set_apply (set, entries, 2, false, 20), 1);
-  CU_ASSERT_PTR_EQUAL (replica_set_take_restarted (set), replica_set_find (set, "r1"));
-  CU_ASSERT_PTR_NULL (replica_set_take_restarted (set));
+  CU_ASSERT_PTR_EQUAL (replica_set_next_restarted (set), replica_set_find (set, "r1"));
+  CU_ASSERT_PTR_NULL (replica_set_next_restarted (set));
   CU_ASSERT_EQUAL (replica_set_find (set, "r1")->n_cached, 0);
   CU_ASSERT_EQUAL (replica_set_find (set, "r1")->peers_in_flight, 0);
   CU_ASSERT_EQUAL (replica_set_find (set, "r1")->avoid_until_ms, 0);
@@ -154,7 +154,7 @@
   e.draining = false;
   e.started_unix_ms = 2000;
   CU_ASSERT_EQUAL (replica_set_apply (set, &e, 1, false, 10), 1);
-  CU_ASSERT_PTR_EQUAL (replica_set_take_restarted (set), replica_set_find (set, "r1"));
+  CU_ASSERT_PTR_EQUAL (replica_set_next_restarted (set), replica_set_find (set, "r1"));
   CU_ASSERT_EQUAL (replica_set_find (set, "r1")->n_cached, 0);
   talloc_free (set);
 }
@@ -260,7 +260,7 @@
 
   replica_set_find (set, "r1")->in_flight = 8;
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
-  replica_take_digest (replica_set_find (set, "r2"), &failing, 0);
+  replica_apply_digest (replica_set_find (set, "r2"), &failing, 0);
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
   /* The rate has decayed without requests, and the server is tried again. */
   query.now_ms = 20000;
