--- a/core/scheduling/replica_set.c
+++ b/core/scheduling/replica_set.c
@@ -440,21 +440,21 @@
 }
 
 void
-replica_note_answer (struct Replica *replica)
+replica_record_response (struct Replica *replica)
 {
   replica->consecutive_failures = 0;
   replica->avoid_until_ms = 0;
 }
 
 void
-replica_note_full (struct Replica *replica, int64_t now_ms)
+replica_record_full (struct Replica *replica, int64_t now_ms)
 {
   replica->consecutive_failures = 0;
   replica->avoid_until_ms = now_ms + AVOID_FULL_MS;
 }
 
 void
-replica_note_failure (struct Replica *replica, int64_t now_ms)
+replica_record_failure (struct Replica *replica, int64_t now_ms)
 {
   int64_t pause_ms = AVOID_FAILED_MS;
 
--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -27,7 +27,7 @@
   histogram_add (HISTOGRAM_SERVER_HEAD,
                  timer_now_ms (request->front->node->timers) - request->sent_ms);
   dialect->read_answer (head, &request->answer);
-  replica_note_answer (request->replica);
+  replica_record_response (request->replica);
   request->refused = request->answer.not_run;
   if (request->refused)
     return;
@@ -205,7 +205,7 @@
   request->call = NULL;
   if (end == HTTP_END_NOT_SENT)
     {
-      replica_note_failure (replica, now_ms);
+      replica_record_failure (replica, now_ms);
       attempt_release (request);
       request_retry (request, "could not connect to the server");
       return;
@@ -213,13 +213,13 @@
   if (request->refused)
     {
       if (request->answer.status == 503 || request->answer.status == 429)
-        replica_note_full (replica, now_ms);
+        replica_record_full (replica, now_ms);
       attempt_release (request);
       request_retry (request, "the server refused the request");
       return;
     }
   if (end != HTTP_END_WHOLE)
-    replica_note_failure (replica, now_ms);
+    replica_record_failure (replica, now_ms);
   request->outcome =
       end == HTTP_END_WHOLE && !answer_is_failure (&request->answer) ? SLOT_SERVED : SLOT_FAILED;
   replica_note_result (replica, request->outcome == SLOT_FAILED, now_ms);
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -312,7 +312,7 @@
   log_request (LOG_LEVEL_INFO, "server_silent", request->caller.id, request->caller.program,
                "%s sent no response, %lld ms left: trying another server",
                request->replica->entry.id, (long long)request_remaining_ms (request));
-  replica_note_failure (request->replica, timer_now_ms (request->front->node->timers));
+  replica_record_failure (request->replica, timer_now_ms (request->front->node->timers));
   TALLOC_FREE (request->call);
   attempt_release (request);
   request_retry (request, "the server sent no response in time");
--- a/include/buckthornhead/scheduling/replica_set.h
+++ b/include/buckthornhead/scheduling/replica_set.h
@@ -128,7 +128,7 @@
 
 /* Records a response of any status, which shows that the server is running. */
 void
-replica_note_answer (struct Replica *replica);
+replica_record_response (struct Replica *replica);
 
 /* Records the result of a request that the server ran. */
 void
@@ -136,11 +136,11 @@
 
 /* Records that the server rejected a request because it is full. */
 void
-replica_note_full (struct Replica *replica, int64_t now_ms);
+replica_record_full (struct Replica *replica, int64_t now_ms);
 
 /* Records that the server could not be reached, or that its response was missing or incomplete. */
 void
-replica_note_failure (struct Replica *replica, int64_t now_ms);
+replica_record_failure (struct Replica *replica, int64_t now_ms);
 
 /* Resets the peers' request counts of servers without an owner, before they are summed again. */
 void
--- a/tests/test_replica_set.c
+++ b/tests/test_replica_set.c
@@ -124,7 +124,7 @@
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
   CU_ASSERT_EQUAL (replica_set_apply (set, entries, 2, false, 10), 0);
   CU_ASSERT_PTR_NULL (replica_set_next_restarted (set));
-  replica_note_failure (replica_set_find (set, "r1"), 10);
+  replica_record_failure (replica_set_find (set, "r1"), 10);
   replica_note_result (replica_set_find (set, "r1"), true, 10);
   entries[0].started_unix_ms = 2000;
   CU_ASSERT_EQUAL (replica_set_apply (set, entries, 2, false, 20), 1);
@@ -332,11 +332,11 @@
   struct ReplicaSet *set = make_set_of_two ();
   struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "", .now_ms = 1 };
 
-  replica_note_failure (replica_set_find (set, "r2"), 0);
+  replica_record_failure (replica_set_find (set, "r2"), 0);
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
-  replica_note_failure (replica_set_find (set, "r1"), 0);
+  replica_record_failure (replica_set_find (set, "r1"), 0);
   CU_ASSERT_STRING_NOT_EQUAL (chosen (set, &query), "none");
-  replica_note_answer (replica_set_find (set, "r2"));
+  replica_record_response (replica_set_find (set, "r2"));
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
   talloc_free (set);
 }
