--- a/core/gateway/turn_index.c
+++ b/core/gateway/turn_index.c
@@ -228,8 +228,8 @@
     return ERROR_NO_MEMORY;
   charge->tokens = close->charge_tokens;
   charge->settled = true;
-  if (session_places_note (program, &program->places, close->session, close->session_tokens,
-                           close->text.server)
+  if (session_places_record (program, &program->places, close->session, close->session_tokens,
+                             close->text.server)
       != ERROR_NONE)
     return ERROR_NO_MEMORY;
   if (program->expires_unix_ms < unix_ms + PROGRAM_KEEP_MS)
--- a/core/scheduling/session_places.c
+++ b/core/scheduling/session_places.c
@@ -30,11 +30,11 @@
 }
 
 int32_t
-session_places_note (TALLOC_CTX *ctx,
-                     struct SessionPlaces *places,
-                     uint64_t session,
-                     uint32_t tokens,
-                     const char *server)
+session_places_record (TALLOC_CTX *ctx,
+                       struct SessionPlaces *places,
+                       uint64_t session,
+                       uint32_t tokens,
+                       const char *server)
 {
   size_t at = places_index (places, session);
   struct SessionPlace *grown;
@@ -83,9 +83,9 @@
 }
 
 struct SessionPlace
-session_place_better (const struct SessionPlace *a,
-                      const struct SessionPlace *b,
-                      const uint64_t sessions[TURN_SESSIONS_MAX])
+session_place_merge (const struct SessionPlace *a,
+                     const struct SessionPlace *b,
+                     const uint64_t sessions[TURN_SESSIONS_MAX])
 {
   size_t rank_a = place_rank (a, sessions), rank_b = place_rank (b, sessions);
 
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -451,7 +451,7 @@
       return;
     }
   turn_sessions (request, sessions);
-  turn->place = session_place_better (&turn->place, &opened->place, sessions);
+  turn->place = session_place_merge (&turn->place, &opened->place, sessions);
   turn->previous_exists = turn->previous_exists || opened->has_turn;
   if (opened->complete)
     archive_names_add (&turn->complete, archive);
--- a/include/buckthornhead/scheduling/session_places.h
+++ b/include/buckthornhead/scheduling/session_places.h
@@ -19,11 +19,11 @@
 /* Records that a turn of session ended at server; tokens is the length of the session's part of its
  * prompt. Returns ERROR_NO_MEMORY on failure. */
 int32_t
-session_places_note (TALLOC_CTX *ctx,
-                     struct SessionPlaces *places,
-                     uint64_t session,
-                     uint32_t tokens,
-                     const char *server);
+session_places_record (TALLOC_CTX *ctx,
+                       struct SessionPlaces *places,
+                       uint64_t session,
+                       uint32_t tokens,
+                       const char *server);
 
 /* Returns the place of the first of sessions that is recorded; its .session is 0 when none is. */
 struct SessionPlace
@@ -33,6 +33,6 @@
 /* Merges the responses of two archives to one query: prefers the session that comes first in
  * sessions, and for the same session the place with more tokens. */
 struct SessionPlace
-session_place_better (const struct SessionPlace *a,
-                      const struct SessionPlace *b,
-                      const uint64_t sessions[TURN_SESSIONS_MAX]);
+session_place_merge (const struct SessionPlace *a,
+                     const struct SessionPlace *b,
+                     const uint64_t sessions[TURN_SESSIONS_MAX]);
--- a/tests/test_session_places.c
+++ b/tests/test_session_places.c
@@ -14,15 +14,15 @@
   const uint64_t wanted[TURN_SESSIONS_MAX] = { 1 };
   struct SessionPlaces places = { 0 };
 
-  CU_ASSERT_EQUAL (session_places_note (ctx, &places, 1, 500, "new"), ERROR_NONE);
-  CU_ASSERT_EQUAL (session_places_note (ctx, &places, 1, 400, "old"), ERROR_NONE);
+  CU_ASSERT_EQUAL (session_places_record (ctx, &places, 1, 500, "new"), ERROR_NONE);
+  CU_ASSERT_EQUAL (session_places_record (ctx, &places, 1, 400, "old"), ERROR_NONE);
   CU_ASSERT_STRING_EQUAL (session_places_find (&places, wanted).server, "new");
-  CU_ASSERT_EQUAL (session_places_note (ctx, &places, 1, 600, "next"), ERROR_NONE);
+  CU_ASSERT_EQUAL (session_places_record (ctx, &places, 1, 600, "next"), ERROR_NONE);
   CU_ASSERT_STRING_EQUAL (session_places_find (&places, wanted).server, "next");
   CU_ASSERT_EQUAL (places.n, 1);
   /* Turns without a session or a server are ignored. */
-  session_places_note (ctx, &places, 0, 600, "x");
-  session_places_note (ctx, &places, 2, 600, "");
+  session_places_record (ctx, &places, 0, 600, "x");
+  session_places_record (ctx, &places, 2, 600, "");
   CU_ASSERT_EQUAL (places.n, 1);
   talloc_free (ctx);
 }
@@ -38,8 +38,8 @@
 
   for (uint64_t session = 1; session <= 1000; session++)
     {
-      session_places_note (ctx, &places, session, 10, "e");
-      session_places_note (ctx, &places, 1, (uint32_t)(10 + session), "main");
+      session_places_record (ctx, &places, session, 10, "e");
+      session_places_record (ctx, &places, 1, (uint32_t)(10 + session), "main");
     }
   CU_ASSERT (places.n <= 64);
   CU_ASSERT_STRING_EQUAL (session_places_find (&places, wanted).server, "main");
@@ -60,12 +60,12 @@
   const struct SessionPlace parent = { 5, 9000, "e1" }, own = { 6, 100, "e2" };
   const struct SessionPlace later = { 6, 300, "e3" }, foreign = { 7, 9999, "e4" };
 
-  CU_ASSERT_STRING_EQUAL (session_place_better (&none, &parent, wanted).server, "e1");
-  CU_ASSERT_STRING_EQUAL (session_place_better (&parent, &own, wanted).server, "e2");
-  CU_ASSERT_STRING_EQUAL (session_place_better (&own, &later, wanted).server, "e3");
-  CU_ASSERT_STRING_EQUAL (session_place_better (&later, &own, wanted).server, "e3");
-  CU_ASSERT_STRING_EQUAL (session_place_better (&foreign, &parent, wanted).server, "e1");
-  CU_ASSERT_EQUAL (session_place_better (&none, &none, wanted).session, 0);
+  CU_ASSERT_STRING_EQUAL (session_place_merge (&none, &parent, wanted).server, "e1");
+  CU_ASSERT_STRING_EQUAL (session_place_merge (&parent, &own, wanted).server, "e2");
+  CU_ASSERT_STRING_EQUAL (session_place_merge (&own, &later, wanted).server, "e3");
+  CU_ASSERT_STRING_EQUAL (session_place_merge (&later, &own, wanted).server, "e3");
+  CU_ASSERT_STRING_EQUAL (session_place_merge (&foreign, &parent, wanted).server, "e1");
+  CU_ASSERT_EQUAL (session_place_merge (&none, &none, wanted).session, 0);
 }
 
 const char test_suite_name[] = "session_places";
