--- a/core/scheduling/replica_set.c
+++ b/core/scheduling/replica_set.c
@@ -201,7 +201,7 @@
 void
 replica_note_sent (struct Replica *replica, const struct PrefixPart *parts, size_t n_parts)
 {
-  /* Skips the last part, which is the request's own: .cached_at of the query locates it. */
+  /* Skips the last part, which is the request's own: .previous_server of the query locates it. */
   for (size_t p = 0; p + 1 < n_parts; p++)
     {
       if (replica_has_part (replica, parts[p].id))
@@ -259,7 +259,7 @@
 static uint64_t
 uncached_tokens (const struct Replica *replica, const struct ReplicaQuery *query)
 {
-  bool ran_before = strcmp (query->cached_at, replica->entry.id) == 0;
+  bool ran_before = strcmp (query->previous_server, replica->entry.id) == 0;
   uint64_t n_tokens = 0;
 
   for (size_t p = 0; p < query->n_parts; p++)
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -99,7 +99,7 @@
   request->exchange = exchange;
   request->arrived_ms = exchange->arrived_ms;
   request->deadline_ms = exchange->arrived_ms;
-  request->cached_at = "";
+  request->previous_server = "";
   request->next = front->requests;
   request->pprev = &front->requests;
   if (request->next != NULL)
--- a/gateway/front.h
+++ b/gateway/front.h
@@ -69,8 +69,8 @@
   struct Turn *turn;         /* the turn has a budget, is stored, or both; NULL: not a turn */
   const uint8_t *body;
   size_t body_bytes;
-  const char *object;    /* affinity key, on routes whose servers warm up; NULL: none */
-  const char *cached_at; /* server that ran the previous turn; "" for none */
+  const char *object;          /* affinity key, on routes whose servers warm up; NULL: none */
+  const char *previous_server; /* server that ran the previous turn; "" for none */
 
   /* The current attempt at a server. */
   struct SlotWait *slot_wait; /* slot request at the server's owner; NULL: none */
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -238,7 +238,7 @@
     .decisions = &front->node->settings->decisions,
     .service = request->service,
     .zone = front->node->settings->zone,
-    .cached_at = request->cached_at,
+    .previous_server = request->previous_server,
     .parts = request->caller.parts,
     .n_parts = request->caller.n_parts,
     .object = request->object,
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -352,11 +352,11 @@
       request->caller.previous[0] != '\0' || turn_charges_any (turn->charges, turn->n_charges);
   newest = turn_history_text (turn, request->caller.previous);
   if (!request->front->node->settings->decisions.sessions)
-    request->cached_at = "";
+    request->previous_server = "";
   else if (newest != NULL)
-    request->cached_at = talloc_strdup (request, newest->server);
+    request->previous_server = talloc_strdup (request, newest->server);
   else if (turn->place.session != 0)
-    request->cached_at = turn->place.server;
+    request->previous_server = turn->place.server;
   for (size_t i = 0; i < turn->n_history; i++)
     {
       talloc_free ((void *)turn->history[i].input);
--- a/include/buckthornhead/scheduling/replica_set.h
+++ b/include/buckthornhead/scheduling/replica_set.h
@@ -71,7 +71,7 @@
   const struct Decisions *decisions; /* NULL: all enabled */
   const char *service;
   const char *zone;               /* of the gateway */
-  const char *cached_at;          /* id of the server that ran the previous turn; "": none */
+  const char *previous_server;    /* id of the server that ran the previous turn; "": none */
   const struct PrefixPart *parts; /* of the prompt, in order */
   size_t n_parts;
   const char *object;       /* object that the request concerns; NULL: no affinity to a server */
--- a/tests/test_replica_set.c
+++ b/tests/test_replica_set.c
@@ -45,7 +45,7 @@
 test_the_own_zone_is_preferred_unless_it_is_loaded (void)
 {
   struct ReplicaSet *set = make_set_of_two ();
-  struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "" };
+  struct ReplicaQuery query = { .service = "engine", .zone = "b", .previous_server = "" };
 
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
   replica_set_find (set, "r2")->in_flight = 8;
@@ -66,7 +66,9 @@
   const struct ReplicaEntry entries[] = { entry ("r1", "a", 8, false), entry ("r2", "a", 8, false),
                                           entry ("r3", "a", 8, false) };
   struct ReplicaSet *set = replica_set_new (NULL);
-  struct ReplicaQuery query = { .service = "engine", .zone = "a", .cached_at = "", .now_ms = 1000 };
+  struct ReplicaQuery query = {
+    .service = "engine", .zone = "a", .previous_server = "", .now_ms = 1000
+  };
 
   replica_set_apply (set, entries, 3, false, 0);
   replica_set_find (set, "r2")->connected_until_ms = 5000;
@@ -94,7 +96,7 @@
   struct ReplicaSet *set = make_set_of_two ();
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 3000 } };
   struct ReplicaQuery query = {
-    .service = "engine", .zone = "b", .cached_at = "r1", .parts = parts, .n_parts = 2
+    .service = "engine", .zone = "b", .previous_server = "r1", .parts = parts, .n_parts = 2
   };
 
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
@@ -114,7 +116,7 @@
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 3000 } };
   struct ReplicaEntry entries[] = { entry ("r1", "a", 8, false), entry ("r2", "a", 8, false) };
   struct ReplicaQuery query = {
-    .service = "engine", .zone = "a", .cached_at = "", .parts = parts, .n_parts = 2
+    .service = "engine", .zone = "a", .previous_server = "", .parts = parts, .n_parts = 2
   };
 
   entries[0].started_unix_ms = 1000;
@@ -168,7 +170,7 @@
   const struct ReplicaEntry entries[] = { entry ("r1", "a", 4, false), entry ("r2", "b", 4, false),
                                           entry ("r3", "a", 4, false) };
   struct ReplicaSet *set = replica_set_new (NULL);
-  struct ReplicaQuery query = { .service = "engine", .zone = "a", .cached_at = "" };
+  struct ReplicaQuery query = { .service = "engine", .zone = "a", .previous_server = "" };
   uint32_t n_chosen[3] = { 0 };
 
   replica_set_apply (set, entries, 3, false, 0);
@@ -208,7 +210,7 @@
   struct ReplicaQuery query = { .decisions = &decisions,
                                 .service = "engine",
                                 .zone = "b",
-                                .cached_at = "",
+                                .previous_server = "",
                                 .parts = parts,
                                 .n_parts = 2 };
 
@@ -235,7 +237,7 @@
   struct ReplicaSet *set = make_set_of_two ();
   const struct PrefixPart parts[] = { { 1, 12600 }, { 2, 500 } };
   struct ReplicaQuery query = {
-    .service = "engine", .zone = "b", .cached_at = "", .parts = parts, .n_parts = 2
+    .service = "engine", .zone = "b", .previous_server = "", .parts = parts, .n_parts = 2
   };
 
   replica_note_sent (replica_set_find (set, "r1"), parts, 2);
@@ -255,7 +257,7 @@
     .total = 0, .failed_permille = 900, .parts = { 1 }, .n_parts = 1
   };
   struct ReplicaQuery query = {
-    .service = "engine", .zone = "b", .cached_at = "r2", .parts = parts, .n_parts = 2
+    .service = "engine", .zone = "b", .previous_server = "r2", .parts = parts, .n_parts = 2
   };
 
   replica_set_find (set, "r1")->in_flight = 8;
@@ -276,7 +278,7 @@
   const struct ReplicaEntry draining[] = { entry ("r1", "a", 8, true),
                                            entry ("r2", "b", 8, false) };
   struct ReplicaQuery query = {
-    .service = "engine", .zone = "b", .cached_at = "", .tried = tried, .n_tried = 1
+    .service = "engine", .zone = "b", .previous_server = "", .tried = tried, .n_tried = 1
   };
 
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
@@ -293,7 +295,7 @@
 {
   struct ReplicaSet *set = make_set_of_two ();
   const struct ReplicaEntry one[] = { entry ("r1", "a", 8, false) };
-  struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "" };
+  struct ReplicaQuery query = { .service = "engine", .zone = "b", .previous_server = "" };
 
   replica_set_apply (set, NULL, 0, true, 10000);
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r2");
@@ -312,7 +314,7 @@
 {
   struct ReplicaSet *set = make_set_of_two ();
   const struct ReplicaEntry one[] = { entry ("r1", "a", 8, false) };
-  struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "" };
+  struct ReplicaQuery query = { .service = "engine", .zone = "b", .previous_server = "" };
 
   replica_set_find (set, "r2")->in_flight = 1;
   replica_set_apply (set, one, 1, false, 100);
@@ -330,7 +332,9 @@
 test_a_failing_server_is_the_last_resort (void)
 {
   struct ReplicaSet *set = make_set_of_two ();
-  struct ReplicaQuery query = { .service = "engine", .zone = "b", .cached_at = "", .now_ms = 1 };
+  struct ReplicaQuery query = {
+    .service = "engine", .zone = "b", .previous_server = "", .now_ms = 1
+  };
 
   replica_record_failure (replica_set_find (set, "r2"), 0);
   CU_ASSERT_STRING_EQUAL (chosen (set, &query), "r1");
@@ -366,7 +370,7 @@
   const struct ReplicaEntry entries[] = { entry ("r1", "a", 6, false), entry ("r2", "a", 6, false),
                                           entry ("r3", "a", 6, false) };
   struct ReplicaSet *set = replica_set_new (NULL);
-  struct ReplicaQuery query = { .service = "engine", .zone = "a", .cached_at = "" };
+  struct ReplicaQuery query = { .service = "engine", .zone = "a", .previous_server = "" };
   uint32_t n[4] = { 0 };
 
   replica_set_apply (set, entries, 3, false, 0);
