--- a/core/scheduling/server_subset.c
+++ b/core/scheduling/server_subset.c
@@ -236,10 +236,10 @@
 }
 
 uint32_t
-subset_wanted_level (struct SubsetDemand *demand,
-                     uint32_t level,
-                     uint32_t used_permille,
-                     int64_t now_ms)
+subset_next_level (struct SubsetDemand *demand,
+                   uint32_t level,
+                   uint32_t used_permille,
+                   int64_t now_ms)
 {
   if (used_permille >= SUBSET_LOWER_PERMILLE)
     demand->low_since_ms = 0;
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -497,9 +497,9 @@
   status->reaches_archives = front->stop_ms == 0 && node_reaches_archives (front->node);
   status->config_version = front->table != NULL ? front->table->version : 0;
   heartbeat->server_level =
-      subset_wanted_level (&front->demand, front->server_level,
-                           replica_set_used_permille (set, front->node->settings->zone),
-                           timer_now_ms (front->node->timers));
+      subset_next_level (&front->demand, front->server_level,
+                         replica_set_used_permille (set, front->node->settings->zone),
+                         timer_now_ms (front->node->timers));
   heartbeat->loads = talloc_zero_array (ctx, struct ReplicaLoad, set->n_replicas);
   for (size_t i = 0; heartbeat->loads != NULL && i < set->n_replicas; i++)
     {
--- a/include/buckthornhead/scheduling/server_subset.h
+++ b/include/buckthornhead/scheduling/server_subset.h
@@ -63,7 +63,7 @@
 /* Returns the level that this gateway needs, given its current level and the permille of that
  * subset's slots that are in use. */
 uint32_t
-subset_wanted_level (struct SubsetDemand *demand,
-                     uint32_t level,
-                     uint32_t used_permille,
-                     int64_t now_ms);
+subset_next_level (struct SubsetDemand *demand,
+                   uint32_t level,
+                   uint32_t used_permille,
+                   int64_t now_ms);
--- a/tests/test_server_subset.c
+++ b/tests/test_server_subset.c
@@ -164,17 +164,17 @@
   struct SubsetDemand demand = { 0 };
   int64_t now_ms = NOW_MS;
 
-  CU_ASSERT_EQUAL (subset_wanted_level (&demand, 0, 0, now_ms), 0);
-  CU_ASSERT_EQUAL (subset_wanted_level (&demand, 0, SUBSET_RAISE_PERMILLE - 1, now_ms), 0);
-  CU_ASSERT_EQUAL (subset_wanted_level (&demand, 0, SUBSET_RAISE_PERMILLE, now_ms), 1);
-  CU_ASSERT_EQUAL (subset_wanted_level (&demand, 1, SUBSET_RAISE_PERMILLE, now_ms), 2);
-  CU_ASSERT_EQUAL (subset_wanted_level (&demand, 2, 0, now_ms), 2);
+  CU_ASSERT_EQUAL (subset_next_level (&demand, 0, 0, now_ms), 0);
+  CU_ASSERT_EQUAL (subset_next_level (&demand, 0, SUBSET_RAISE_PERMILLE - 1, now_ms), 0);
+  CU_ASSERT_EQUAL (subset_next_level (&demand, 0, SUBSET_RAISE_PERMILLE, now_ms), 1);
+  CU_ASSERT_EQUAL (subset_next_level (&demand, 1, SUBSET_RAISE_PERMILLE, now_ms), 2);
+  CU_ASSERT_EQUAL (subset_next_level (&demand, 2, 0, now_ms), 2);
   now_ms += SUBSET_LOWER_AFTER_MS - 1;
-  CU_ASSERT_EQUAL (subset_wanted_level (&demand, 2, 0, now_ms), 2);
-  CU_ASSERT_EQUAL (subset_wanted_level (&demand, 2, 0, now_ms + 1), 1);
+  CU_ASSERT_EQUAL (subset_next_level (&demand, 2, 0, now_ms), 2);
+  CU_ASSERT_EQUAL (subset_next_level (&demand, 2, 0, now_ms + 1), 1);
   /* With half of the servers the same load takes twice the share of their slots. */
   CU_ASSERT (2 * SUBSET_LOWER_PERMILLE < SUBSET_RAISE_PERMILLE);
-  CU_ASSERT_EQUAL (subset_wanted_level (&demand, SUBSET_LEVEL_MAX, 1000, now_ms), SUBSET_LEVEL_MAX);
+  CU_ASSERT_EQUAL (subset_next_level (&demand, SUBSET_LEVEL_MAX, 1000, now_ms), SUBSET_LEVEL_MAX);
 }
 
 const char test_suite_name[] = "server subset";
