--- a/core/gateway/state_message.c
+++ b/core/gateway/state_message.c
@@ -49,7 +49,7 @@
   pack_array (p, 2 * heartbeat->n_loads);
   for (size_t i = 0; i < heartbeat->n_loads; i++)
     {
-      pack_string (p, heartbeat->loads[i].replica);
+      pack_string (p, heartbeat->loads[i].server);
       pack_u64 (p, heartbeat->loads[i].in_flight);
     }
 }
@@ -70,7 +70,7 @@
     {
       struct ReplicaLoad *load = &heartbeat->loads[i];
 
-      read_string (&list, load->replica, sizeof load->replica);
+      read_string (&list, load->server, sizeof load->server);
       load->in_flight = (uint32_t)read_u64 (&list, UINT32_MAX);
     }
   r->failed = r->failed || list.failed || heartbeat->loads == NULL;
--- a/core/membership/peer_lists.c
+++ b/core/membership/peer_lists.c
@@ -131,7 +131,7 @@
     {
       size_t at = 0;
 
-      while (at < sum->n && strcmp (sum->items[at].replica, loads[i].replica) != 0)
+      while (at < sum->n && strcmp (sum->items[at].server, loads[i].server) != 0)
         at++;
       if (at < sum->n)
         sum->items[at].in_flight += loads[i].in_flight;
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -508,7 +508,7 @@
       set->replicas[i]->reported_in_flight = 0;
       if (set->replicas[i]->in_flight == 0 || set->replicas[i]->owned)
         continue;
-      snprintf (load->replica, NAME_MAX_BYTES + 1, "%s", set->replicas[i]->entry.id);
+      snprintf (load->server, NAME_MAX_BYTES + 1, "%s", set->replicas[i]->entry.id);
       load->in_flight = set->replicas[i]->in_flight;
       set->replicas[i]->reported_in_flight = load->in_flight;
       heartbeat->n_loads++;
@@ -557,7 +557,7 @@
   replica_set_clear_peers (front->replicas);
   for (size_t i = 0; loads != NULL && i < n_loads; i++)
     {
-      struct Replica *replica = replica_set_find (front->replicas, loads[i].replica);
+      struct Replica *replica = replica_set_find (front->replicas, loads[i].server);
       uint32_t own = replica != NULL && has_own ? replica->reported_in_flight : 0;
 
       if (replica != NULL && !replica->owned && loads[i].in_flight > own)
--- a/include/buckthornhead/gateway_message.h
+++ b/include/buckthornhead/gateway_message.h
@@ -33,7 +33,7 @@
 /* Number of requests in flight to one backend server, as counted by the sender. */
 struct ReplicaLoad
 {
-  char replica[NAME_MAX_BYTES + 1];
+  char server[NAME_MAX_BYTES + 1];
   uint32_t in_flight;
 };
 
--- a/tests/test_gateway_message.c
+++ b/tests/test_gateway_message.c
@@ -188,7 +188,7 @@
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct GatewayMessage message = { .kind = GATEWAY_HEARTBEAT };
   struct Heartbeat *heartbeat = &message.heartbeat;
-  struct ReplicaLoad loads[1] = { { .replica = "i-1", .in_flight = 5 } };
+  struct ReplicaLoad loads[1] = { { .server = "i-1", .in_flight = 5 } };
   struct GatewayMessage *unpacked;
 
   heartbeat->status = (struct NodeStatus){ .node = "front-1",
--- a/tests/test_peer_table.c
+++ b/tests/test_peer_table.c
@@ -260,7 +260,7 @@
 load_of (const struct ReplicaLoad *loads, size_t n_loads, const char *replica)
 {
   for (size_t i = 0; i < n_loads; i++)
-    if (strcmp (loads[i].replica, replica) == 0)
+    if (strcmp (loads[i].server, replica) == 0)
       return loads[i].in_flight;
   return 0;
 }
@@ -272,7 +272,7 @@
                enum LoadScope scope,
                uint32_t in_flight)
 {
-  struct ReplicaLoad loads[1] = { { .replica = "desk", .in_flight = in_flight } };
+  struct ReplicaLoad loads[1] = { { .server = "desk", .in_flight = in_flight } };
   struct Heartbeat heartbeat = {
     .status = status_of (node, zone), .scope = scope, .loads = loads, .n_loads = 1
   };
@@ -289,7 +289,7 @@
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct PeerTable *a = table_of (ctx, "a", "z");
   struct PeerTable *y1 = table_of (ctx, "y1", "y"), *y2 = table_of (ctx, "y2", "y");
-  struct ReplicaLoad own_loads[1] = { { .replica = "desk", .in_flight = 2 } };
+  struct ReplicaLoad own_loads[1] = { { .server = "desk", .in_flight = 2 } };
   struct Heartbeat own = { .loads = own_loads, .n_loads = 1 };
   struct ReplicaLoad *loads;
   size_t n;
