--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -12,9 +12,9 @@
 };
 
 static bool
-answer_is_success (const struct Request *request)
+response_is_success (const struct Request *request)
 {
-  return request->answer.status >= 200 && request->answer.status < 300;
+  return request->response.status >= 200 && request->response.status < 300;
 }
 
 static void
@@ -26,24 +26,24 @@
   TALLOC_FREE (request->silence_timer);
   histogram_add (HISTOGRAM_SERVER_HEAD,
                  timer_now_ms (request->front->node->timers) - request->sent_ms);
-  dialect->read_answer (head, &request->answer);
+  dialect->read_response (head, &request->response);
   replica_record_response (request->replica);
-  request->refused = request->answer.not_run;
+  request->refused = request->response.not_run;
   if (request->refused)
     return;
   request->may_have_run = true;
-  request->streaming =
-      request->route.kind == ROUTE_STREAM && answer_is_success (request) && request->answer.genuine;
+  request->streaming = request->route.kind == ROUTE_STREAM && response_is_success (request)
+                       && request->response.genuine;
   /* A resumed stream keeps the headers of the first server's response. */
   if (http_exchange_has_begun (request->exchange))
     return;
-  if (dialect->forward_headers (request, head, &request->answer_headers) != ERROR_NONE)
+  if (dialect->forward_headers (request, head, &request->response_headers) != ERROR_NONE)
     {
       request_fail (request, FAILURE_BROKEN, "out of memory for the response headers");
       return;
     }
   if (request->streaming)
-    http_exchange_begin (request->exchange, request->answer.status, &request->answer_headers);
+    http_exchange_begin (request->exchange, request->response.status, &request->response_headers);
 }
 
 static void
@@ -89,8 +89,8 @@
     return;
   if (!request->streaming)
     {
-      if (byte_queue_length (&request->answer_body) + n_bytes > ANSWER_MAX_BYTES
-          || byte_queue_add (request, &request->answer_body, bytes, n_bytes) != ERROR_NONE)
+      if (byte_queue_length (&request->response_body) + n_bytes > ANSWER_MAX_BYTES
+          || byte_queue_add (request, &request->response_body, bytes, n_bytes) != ERROR_NONE)
         request_fail (request, FAILURE_BROKEN, "the response is too large to buffer");
       return;
     }
@@ -108,7 +108,7 @@
   struct HttpExchange *exchange = request->exchange;
 
   log_request (LOG_LEVEL_INFO, "answered", request->caller.id, request->caller.program,
-               "status %u from %s", request->answer.status, request->tried[request->n_tried - 1]);
+               "status %u from %s", request->response.status, request->tried[request->n_tried - 1]);
   request_record_answered (request, request->route.kind == ROUTE_REPEATABLE
                                         ? HISTOGRAM_ANSWER_REPEATABLE
                                         : HISTOGRAM_ANSWER_ONCE);
@@ -116,9 +116,9 @@
     turn_abandon (request);
   request->exchange = NULL;
   exchange->gone = NULL;
-  http_exchange_answer (exchange, request->answer.status, &request->answer_headers,
-                        byte_queue_head (&request->answer_body),
-                        byte_queue_length (&request->answer_body));
+  http_exchange_answer (exchange, request->response.status, &request->response_headers,
+                        byte_queue_head (&request->response_body),
+                        byte_queue_length (&request->response_body));
   request_end (request);
 }
 
@@ -159,7 +159,7 @@
     request_on_stream_complete (request);
   else if (http_exchange_has_begun (request->exchange))
     request_fail (request, FAILURE_BROKEN, "the server did not resume the stream");
-  else if (answer_is_success (request) && !request->answer.genuine)
+  else if (response_is_success (request) && !request->response.genuine)
     {
       /* A success without a valid proof from the server may be corrupted and is never forwarded. */
       if (request_claim_repeat (request))
@@ -167,7 +167,7 @@
       else
         request_fail (request, FAILURE_BROKEN, "the response has no valid proof");
     }
-  else if (request->answer.status >= 500 && request_claim_repeat (request))
+  else if (request->response.status >= 500 && request_claim_repeat (request))
     request_retry (request, "the server replied with a 5xx status");
   else
     request_finish_response (request);
@@ -190,9 +190,9 @@
 /* Returns true for a failure of the server. A 504 only reports that the request's deadline, which
  * the caller or the route sets, has passed. */
 static bool
-answer_is_failure (const struct ReplicaAnswer *answer)
+response_is_failure (const struct ServerResponse *response)
 {
-  return answer->status >= 500 && answer->status != 504;
+  return response->status >= 500 && response->status != 504;
 }
 
 static void
@@ -212,7 +212,7 @@
     }
   if (request->refused)
     {
-      if (request->answer.status == 503 || request->answer.status == 429)
+      if (request->response.status == 503 || request->response.status == 429)
         replica_record_full (replica, now_ms);
       attempt_release (request);
       request_retry (request, "the server refused the request");
@@ -220,8 +220,9 @@
     }
   if (end != HTTP_END_WHOLE)
     replica_record_failure (replica, now_ms);
-  request->outcome =
-      end == HTTP_END_WHOLE && !answer_is_failure (&request->answer) ? SLOT_SERVED : SLOT_FAILED;
+  request->outcome = end == HTTP_END_WHOLE && !response_is_failure (&request->response)
+                         ? SLOT_SERVED
+                         : SLOT_FAILED;
   replica_note_result (replica, request->outcome == SLOT_FAILED, now_ms);
   attempt_release (request);
   request->n_sent++;
--- a/gateway/front.h
+++ b/gateway/front.h
@@ -86,9 +86,9 @@
   bool streaming;              /* the response is forwarded as it arrives */
   bool wrote_any;              /* part of a streaming response was forwarded */
   int64_t sent_ms;             /* when this attempt was sent */
-  struct ReplicaAnswer answer;
-  struct HttpHeaders answer_headers;
-  struct ByteQueue answer_body;
+  struct ServerResponse response;
+  struct HttpHeaders response_headers;
+  struct ByteQueue response_body;
   struct EventStream events;
   struct ByteQueue partial_event; /* of a resumable stream: bytes of the incomplete last event */
 };
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -191,9 +191,9 @@
 void
 request_retry (struct Request *request, const char *detail)
 {
-  TALLOC_FREE (request->answer_headers.items);
-  request->answer_headers.n_items = 0;
-  byte_queue_drop (&request->answer_body, byte_queue_length (&request->answer_body));
+  TALLOC_FREE (request->response_headers.items);
+  request->response_headers.n_items = 0;
+  byte_queue_drop (&request->response_body, byte_queue_length (&request->response_body));
   request->refused = false;
   if (request_remaining_ms (request) < ATTEMPT_MIN_MS)
     request_fail (request, request->may_have_run ? FAILURE_TIMEOUT : FAILURE_OUT_OF_TIME, detail);
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -371,7 +371,7 @@
 {
   struct Node *node = slots->front->node;
   int64_t now_ms = timer_now_ms (node->timers);
-  struct GatewayMessage answer = { .kind = GATEWAY_SLOT_STATE };
+  struct GatewayMessage response = { .kind = GATEWAY_SLOT_STATE };
   struct SlotRequest slot_request = {
     .id = message->id,
     .customer_priority = message->customer_priority,
@@ -386,10 +386,10 @@
   struct SlotServer server = { message->server, message->slots, message->capacity_tokens };
 
   snprintf (slot_request.requester, sizeof slot_request.requester, "%s", sender);
-  answer.slot_state.id = message->id;
-  if (slot_queue_request (slots->queues, &server, &slot_request, now_ms, &answer.slot_state.state)
+  response.slot_state.id = message->id;
+  if (slot_queue_request (slots->queues, &server, &slot_request, now_ms, &response.slot_state.state)
       == ERROR_NONE)
-    node_answer (node, link, &answer);
+    node_answer (node, link, &response);
 }
 
 void
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -60,7 +60,7 @@
 };
 
 /* Parameters of a backend server's response, without its body. */
-struct ReplicaAnswer
+struct ServerResponse
 {
   uint32_t status;
   bool genuine; /* carries the header that proves that the server itself responded */
@@ -96,7 +96,7 @@
   char *(*write_request) (TALLOC_CTX *ctx,
                           const struct HttpExchange *exchange,
                           const struct UpstreamTarget *target);
-  void (*read_answer) (const struct HttpAnswerHead *head, struct ReplicaAnswer *answer);
+  void (*read_response) (const struct HttpAnswerHead *head, struct ServerResponse *response);
   /* Fills in the response headers to send to the caller. ERROR_NONE or ERROR_NO_MEMORY. */
   int32_t (*forward_headers) (TALLOC_CTX *ctx,
                               const struct HttpAnswerHead *head,
