--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -33,7 +33,7 @@
     return;
   request->may_have_run = true;
   request->streaming = request->route.kind == ROUTE_STREAM && response_is_success (request)
-                       && request->response.genuine;
+                       && request->response.has_seal;
   /* A resumed stream keeps the headers of the first server's response. */
   if (http_exchange_has_begun (request->exchange))
     return;
@@ -159,7 +159,7 @@
     request_on_stream_complete (request);
   else if (http_exchange_has_begun (request->exchange))
     request_fail (request, FAILURE_BROKEN, "the server did not resume the stream");
-  else if (response_is_success (request) && !request->response.genuine)
+  else if (response_is_success (request) && !request->response.has_seal)
     {
       /* A success without a valid proof from the server may be corrupted and is never forwarded. */
       if (request_claim_repeat (request))
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -63,8 +63,8 @@
 struct ServerResponse
 {
   uint32_t status;
-  bool genuine; /* carries the header that proves that the server itself responded */
-  bool not_run; /* the server reports that it did not run the request */
+  bool has_seal; /* carries the header that proves that the server itself responded */
+  bool not_run;  /* the server reports that it did not run the request */
   bool has_load;
   uint32_t running, waiting, slots;
 };
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -252,7 +252,7 @@
   struct ServerResponse response;
 
   platform_dialect.read_response (&head, &response);
-  CU_ASSERT_TRUE (response.genuine);
+  CU_ASSERT_TRUE (response.has_seal);
   CU_ASSERT_FALSE (response.not_run);
   CU_ASSERT_EQUAL (response.running, 3);
   CU_ASSERT_EQUAL (response.slots, 8);
