--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -190,7 +190,7 @@
 parser_on_headers_complete (http_parser *parser)
 {
   struct ServerConnection *c = parser->data;
-  struct HttpAnswerHead head = { .status = parser->status_code };
+  struct HttpResponseHead head = { .status = parser->status_code };
   bool interim = parser->status_code >= 100 && parser->status_code < 200;
 
   if (http_head_text_finish (c, &c->head, &head.headers) != ERROR_NONE)
--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -18,7 +18,7 @@
 }
 
 static void
-call_on_head (void *data, const struct HttpAnswerHead *head)
+call_on_head (void *data, const struct HttpResponseHead *head)
 {
   struct Request *request = data;
   const struct Dialect *dialect = request->front->node->dialect;
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -96,10 +96,10 @@
   char *(*write_request) (TALLOC_CTX *ctx,
                           const struct HttpExchange *exchange,
                           const struct UpstreamTarget *target);
-  void (*read_response) (const struct HttpAnswerHead *head, struct ServerResponse *response);
+  void (*read_response) (const struct HttpResponseHead *head, struct ServerResponse *response);
   /* Fills in the response headers to send to the caller. ERROR_NONE or ERROR_NO_MEMORY. */
   int32_t (*forward_headers) (TALLOC_CTX *ctx,
-                              const struct HttpAnswerHead *head,
+                              const struct HttpResponseHead *head,
                               struct HttpHeaders *headers);
   int32_t (*read_routes) (TALLOC_CTX *ctx,
                           const uint8_t *bytes,
--- a/include/buckthornhead/http_client.h
+++ b/include/buckthornhead/http_client.h
@@ -28,7 +28,7 @@
   uint32_t connections_max; /* limit for this address; 0: the limit of the client's options */
 };
 
-struct HttpAnswerHead
+struct HttpResponseHead
 {
   uint32_t status;
   struct HttpHeaders headers;
@@ -48,7 +48,7 @@
  * called once, after which the call is freed. head and body may free the call. */
 struct HttpCallHandler
 {
-  void (*head) (void *data, const struct HttpAnswerHead *head);
+  void (*head) (void *data, const struct HttpResponseHead *head);
   void (*body) (void *data, const uint8_t *bytes, size_t n_bytes);
   void (*end) (void *data, enum HttpEnd end);
   void *data;
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -25,7 +25,7 @@
 };
 
 static void
-bench_on_head (void *data, const struct HttpAnswerHead *head)
+bench_on_head (void *data, const struct HttpResponseHead *head)
 {
   struct Bench *b = data;
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -248,7 +248,7 @@
 {
   struct HttpHeader sealed[] = { { "X-Response-Seal", "3e1b.07" }, { "X-Server-Load", "3,1,8" } };
   struct HttpHeader refused[] = { { "X-Not-Executed", "1" } };
-  struct HttpAnswerHead head = { .status = 200, .headers = { sealed, 2 } };
+  struct HttpResponseHead head = { .status = 200, .headers = { sealed, 2 } };
   struct ServerResponse response;
 
   platform_dialect.read_response (&head, &response);
@@ -256,11 +256,11 @@
   CU_ASSERT_FALSE (response.not_run);
   CU_ASSERT_EQUAL (response.running, 3);
   CU_ASSERT_EQUAL (response.slots, 8);
-  head = (struct HttpAnswerHead){ .status = 503, .headers = { refused, 1 } };
+  head = (struct HttpResponseHead){ .status = 503, .headers = { refused, 1 } };
   platform_dialect.read_response (&head, &response);
   CU_ASSERT_TRUE (response.not_run);
   /* A 500 or 503 without the mark may have run; a 421 never did. */
-  head = (struct HttpAnswerHead){ .status = 503 };
+  head = (struct HttpResponseHead){ .status = 503 };
   platform_dialect.read_response (&head, &response);
   CU_ASSERT_FALSE (response.not_run);
   head.status = 421;
