--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -163,7 +163,7 @@
   char zone[NAME_MAX_BYTES + 1];
   struct PendingQuery *query;
 
-  front->node->dialect->asker_zone (exchange->target, zone);
+  front->node->dialect->read_query_zone (exchange->target, zone);
   if (directory_try (front, exchange, zone, !front_is_starting (front)))
     return;
   query = talloc_zero (front, struct PendingQuery);
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -86,7 +86,7 @@
 
   enum OwnPath (*own_path) (const char *target);
   /* Availability zone that the requester of OWN_PATH_ADDRESSES specifies; "" when it does not. */
-  void (*asker_zone) (const char *target, char zone[NAME_MAX_BYTES + 1]);
+  void (*read_query_zone) (const char *target, char zone[NAME_MAX_BYTES + 1]);
   /* ERROR_INVALID with fault when a required parameter is missing or malformed. */
   int32_t (*read_request) (TALLOC_CTX *ctx,
                            const struct HttpExchange *exchange,
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -427,9 +427,9 @@
   CU_ASSERT_EQUAL (platform_dialect.own_path ("/"), OWN_PATH_NONE);
   CU_ASSERT_STRING_EQUAL (body,
                           "{\"addresses\":[\"10.1.0.38:8149\",\"10.1.0.39:8149\"],\"ttl_s\":2}");
-  platform_dialect.asker_zone ("/-/resolve?name=a-zone=b&region=r&zone=malda", zone);
+  platform_dialect.read_query_zone ("/-/resolve?name=a-zone=b&region=r&zone=malda", zone);
   CU_ASSERT_STRING_EQUAL (zone, "malda");
-  platform_dialect.asker_zone ("/-/resolve?timezone=x", zone);
+  platform_dialect.read_query_zone ("/-/resolve?timezone=x", zone);
   CU_ASSERT_STRING_EQUAL (zone, "");
   talloc_free (body);
 }
