--- a/gateway/front.c
+++ b/gateway/front.c
@@ -151,8 +151,8 @@
     request->object = request->caller.object;
   request->needs_slot = front->node->settings->decisions.owners && service != NULL
                         && service->is_engine && route->kind == ROUTE_STREAM;
-  request->program_deadline_ms = request->caller.has_program_left
-                                     ? request->arrived_ms + request->caller.program_left_ms
+  request->program_deadline_ms = request->caller.has_program_timeout
+                                     ? request->arrived_ms + request->caller.program_timeout_ms
                                      : INT64_MAX;
   request->connections_max = connections_share (service, front->n_gateways);
   timeout_ms = route->timeout_ms;
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -35,8 +35,8 @@
   const char *previous;   /* turn that the request continues; "": none */
   uint64_t budget_tokens; /* of the program; 0: unspecified */
   uint32_t max_tokens;    /* limit of the response */
-  bool has_program_left;
-  int64_t program_left_ms; /* until the program's deadline */
+  bool has_program_timeout;
+  int64_t program_timeout_ms; /* until the program's deadline */
   struct PrefixPart parts[PREFIX_PARTS_MAX];
   size_t n_parts;
   const char *object;       /* that the request concerns, as named by its caller; "": none */
