--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -140,7 +140,7 @@
 {
   stream_forward (request, byte_queue_head (&request->partial_event),
                   byte_queue_length (&request->partial_event));
-  if (request->turn != NULL && request->route.keeps_turns)
+  if (request->turn != NULL && request->route.retains_turns)
     {
       turn_finish (request);
       return;
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -141,8 +141,8 @@
   request->route = *route;
   snprintf (request->service, sizeof request->service, "%s",
             route_choose_service (route, front->n_draws++ * 2654435761U >> 7));
-  request->events.keeps_data = route->keeps_turns;
-  if (!route->keeps_turns)
+  request->events.keeps_data = route->retains_turns;
+  if (!route->retains_turns)
     request->caller.previous = "";
   service = route_table_service (front->table, request->service);
   request->tokens_per_event = service != NULL ? service->tokens_per_event : 1;
@@ -170,7 +170,7 @@
 static bool
 request_is_turn (const struct Request *request)
 {
-  return request->route.keeps_turns
+  return request->route.retains_turns
          || (request->route.kind == ROUTE_STREAM && request->caller.budget_tokens > 0);
 }
 
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -54,7 +54,7 @@
 static enum QuotaRequestKind
 quota_ask_kind (const struct Request *request)
 {
-  if (request->route.keeps_turns)
+  if (request->route.retains_turns)
     return request->caller.previous[0] == '\0' ? QUOTA_REQUEST_BEGIN : QUOTA_REQUEST_UNDER_WAY;
   /* Without kept turns, a program's first turn cannot be distinguished from later ones. */
   if (request->caller.program[0] == '\0' || request->route.kind == ROUTE_STREAM)
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -71,7 +71,7 @@
   const struct CallerRequest *caller = &request->caller;
 
   memset (sessions, 0, TURN_SESSIONS_MAX * sizeof sessions[0]);
-  if (request->route.keeps_turns)
+  if (request->route.retains_turns)
     return;
   for (size_t i = 0; i < TURN_SESSIONS_MAX && i + 1 < caller->n_parts; i++)
     sessions[i] = caller->parts[caller->n_parts - 1 - i].id;
--- a/include/buckthornhead/route.h
+++ b/include/buckthornhead/route.h
@@ -36,7 +36,7 @@
   bool warms_up;         /* a server that recently served the request's object is faster */
   bool resumable;        /* an interrupted stream may be resumed on another server */
   bool is_public;        /* needs no key; the server is sent no customer */
-  bool keeps_turns;      /* requests are turns that carry only the new part of the conversation */
+  bool retains_turns;    /* requests are turns that carry only the new part of the conversation */
   uint32_t retention_ms; /* time for which a turn and its chain are kept */
   struct RouteTarget *targets;
   size_t n_targets;
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -296,7 +296,7 @@
   CU_ASSERT_EQUAL (table->routes[0].n_targets, 2);
   CU_ASSERT_EQUAL (table->routes[0].targets[1].weight, 10);
   CU_ASSERT_EQUAL (table->routes[0].retention_ms, 60500);
-  CU_ASSERT_TRUE (table->routes[0].keeps_turns);
+  CU_ASSERT_TRUE (table->routes[0].retains_turns);
   CU_ASSERT_TRUE (table->routes[0].resumable);
   /* "resumable" applies to streams only. */
   CU_ASSERT_FALSE (table->routes[1].resumable);
