--- a/core/gateway/event_stream.c
+++ b/core/gateway/event_stream.c
@@ -13,7 +13,7 @@
 event_record_id (struct EventStream *stream)
 {
   if (stream->is_resumed && stream->has_id && stream->has_last_id && stream->id <= stream->last_id)
-    stream->goes_back = true;
+    stream->has_repeated_event = true;
   stream->has_last_id = stream->has_id;
   stream->last_id = stream->id;
   stream->has_id = false;
@@ -27,10 +27,10 @@
 
   if (!stream->has_data)
     return ERROR_NONE;
-  if (stream->keeps_data)
+  if (stream->collects_data)
     error = byte_queue_add (ctx, &stream->data, byte_queue_head (&stream->event),
                             byte_queue_length (&stream->event));
-  if (stream->keeps_data && error == ERROR_NONE)
+  if (stream->collects_data && error == ERROR_NONE)
     error = byte_queue_add (ctx, &stream->data, "\n", 1);
   byte_queue_drop (&stream->event, byte_queue_length (&stream->event));
   stream->has_data = false;
@@ -44,9 +44,9 @@
 {
   int32_t error = ERROR_NONE;
 
-  if (stream->keeps_data && stream->has_data)
+  if (stream->collects_data && stream->has_data)
     error = byte_queue_add (ctx, &stream->event, "\n", 1);
-  if (stream->keeps_data && error == ERROR_NONE)
+  if (stream->collects_data && error == ERROR_NONE)
     error = byte_queue_add (ctx, &stream->event, text, n);
   stream->has_data = true;
   return error;
@@ -95,7 +95,7 @@
   if (n == 0)
     {
       error = event_end (ctx, stream);
-      stream->open_bytes = 0;
+      stream->incomplete_bytes = 0;
     }
   else if ((value = line_value (line, n, "data:", &n_value)) != NULL)
     error = line_add_data (ctx, stream, value, n_value);
@@ -106,10 +106,10 @@
 }
 
 int32_t
-event_stream_take (TALLOC_CTX *ctx,
-                   struct EventStream *stream,
-                   const uint8_t *bytes,
-                   size_t n_bytes)
+event_stream_parse (TALLOC_CTX *ctx,
+                    struct EventStream *stream,
+                    const uint8_t *bytes,
+                    size_t n_bytes)
 {
   size_t at = 0;
 
@@ -119,7 +119,7 @@
       size_t n = line_feed != NULL ? (size_t)(line_feed - bytes) - at : n_bytes - at;
       int32_t error = byte_queue_add (ctx, &stream->line, bytes + at, n);
 
-      stream->open_bytes += n + (line_feed != NULL);
+      stream->incomplete_bytes += n + (line_feed != NULL);
       if (error == ERROR_NONE && line_feed != NULL)
         error = line_end (ctx, stream);
       if (error != ERROR_NONE)
@@ -134,7 +134,7 @@
 {
   byte_queue_drop (&stream->line, byte_queue_length (&stream->line));
   byte_queue_drop (&stream->event, byte_queue_length (&stream->event));
-  stream->open_bytes = 0;
+  stream->incomplete_bytes = 0;
   stream->has_data = false;
   stream->has_id = false;
   stream->is_resumed = true;
--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -69,13 +69,13 @@
       request_fail (request, FAILURE_BROKEN, "out of memory for an event of the stream");
       return;
     }
-  if (request->events.goes_back)
+  if (request->events.has_repeated_event)
     {
       request_fail (request, FAILURE_BROKEN,
                     "the server repeated events that were already forwarded");
       return;
     }
-  n_complete = byte_queue_length (&request->partial_event) - request->events.open_bytes;
+  n_complete = byte_queue_length (&request->partial_event) - request->events.incomplete_bytes;
   stream_forward (request, byte_queue_head (&request->partial_event), n_complete);
   byte_queue_drop (&request->partial_event, n_complete);
 }
@@ -94,7 +94,7 @@
         request_fail (request, FAILURE_BROKEN, "the response is too large to buffer");
       return;
     }
-  if (event_stream_take (request, &request->events, bytes, n_bytes) != ERROR_NONE)
+  if (event_stream_parse (request, &request->events, bytes, n_bytes) != ERROR_NONE)
     request_fail (request, FAILURE_BROKEN, "out of memory for the stream");
   else if (request->route.resumable)
     stream_forward_whole_events (request, bytes, n_bytes);
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -141,7 +141,7 @@
   request->route = *route;
   snprintf (request->service, sizeof request->service, "%s",
             route_choose_service (route, front->n_draws++ * 2654435761U >> 7));
-  request->events.keeps_data = route->retains_turns;
+  request->events.collects_data = route->retains_turns;
   if (!route->retains_turns)
     request->caller.previous = "";
   service = route_table_service (front->table, request->service);
--- a/tests/fuzz/fuzz_gateway.c
+++ b/tests/fuzz/fuzz_gateway.c
@@ -82,14 +82,15 @@
 static void
 fuzz_events (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes)
 {
-  struct EventStream whole = { .keeps_data = true }, split = { .keeps_data = true };
+  struct EventStream whole = { .collects_data = true }, split = { .collects_data = true };
 
-  event_stream_take (ctx, &whole, bytes, n_bytes);
+  event_stream_parse (ctx, &whole, bytes, n_bytes);
   for (size_t i = 0; i < n_bytes; i++)
-    event_stream_take (ctx, &split, bytes + i, 1);
+    event_stream_parse (ctx, &split, bytes + i, 1);
   FUZZ_REQUIRE (whole.n_events == split.n_events);
   FUZZ_REQUIRE (byte_queue_length (&whole.data) == byte_queue_length (&split.data));
-  FUZZ_REQUIRE (whole.open_bytes == split.open_bytes && whole.open_bytes <= n_bytes);
+  FUZZ_REQUIRE (whole.incomplete_bytes == split.incomplete_bytes
+                && whole.incomplete_bytes <= n_bytes);
   FUZZ_REQUIRE (whole.has_last_id == split.has_last_id && whole.last_id == split.last_id);
 }
 
--- a/tests/test_event_stream.c
+++ b/tests/test_event_stream.c
@@ -22,14 +22,14 @@
   for (size_t chunk_bytes = 1; chunk_bytes <= sizeof two_events - 1; chunk_bytes++)
     {
       TALLOC_CTX *ctx = talloc_new (NULL);
-      struct EventStream stream = { .keeps_data = true };
+      struct EventStream stream = { .collects_data = true };
 
       for (size_t at = 0; at < sizeof two_events - 1; at += chunk_bytes)
         {
           size_t n =
               sizeof two_events - 1 - at < chunk_bytes ? sizeof two_events - 1 - at : chunk_bytes;
 
-          CU_ASSERT_EQUAL (event_stream_take (ctx, &stream, (const uint8_t *)two_events + at, n),
+          CU_ASSERT_EQUAL (event_stream_parse (ctx, &stream, (const uint8_t *)two_events + at, n),
                            ERROR_NONE);
         }
       CU_ASSERT_EQUAL (stream.n_events, 2);
@@ -43,9 +43,9 @@
 test_event_counts_once_complete (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
-  struct EventStream stream = { .keeps_data = true };
+  struct EventStream stream = { .collects_data = true };
 
-  event_stream_take (ctx, &stream, (const uint8_t *)"data: a\n\ndata: b\n", 17);
+  event_stream_parse (ctx, &stream, (const uint8_t *)"data: a\n\ndata: b\n", 17);
   CU_ASSERT_EQUAL (stream.n_events, 1);
   check_data (&stream, "a\n");
   talloc_free (ctx);
@@ -55,9 +55,9 @@
 test_data_lines_form_one_event (void)
 {
   TALLOC_CTX *ctx = talloc_new (NULL);
-  struct EventStream stream = { .keeps_data = true };
+  struct EventStream stream = { .collects_data = true };
 
-  event_stream_take (ctx, &stream, (const uint8_t *)"data: a\ndata: b\n\ndata:\n\n", 24);
+  event_stream_parse (ctx, &stream, (const uint8_t *)"data: a\ndata: b\n\ndata:\n\n", 24);
   CU_ASSERT_EQUAL (stream.n_events, 2);
   check_data (&stream, "a\nb\n\n");
   talloc_free (ctx);
@@ -72,16 +72,16 @@
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct EventStream stream = { 0 };
 
-  event_stream_take (ctx, &stream, (const uint8_t *)bytes, sizeof bytes - 1);
-  CU_ASSERT_EQUAL (stream.open_bytes, strlen ("id: 8\nda"));
+  event_stream_parse (ctx, &stream, (const uint8_t *)bytes, sizeof bytes - 1);
+  CU_ASSERT_EQUAL (stream.incomplete_bytes, strlen ("id: 8\nda"));
   CU_ASSERT_TRUE (stream.has_last_id);
   CU_ASSERT_EQUAL (stream.last_id, 7);
   event_stream_resume (&stream);
-  CU_ASSERT_EQUAL (stream.open_bytes, 0);
-  event_stream_take (ctx, &stream, (const uint8_t *)"id: 8\ndata: c\n\n", 16);
+  CU_ASSERT_EQUAL (stream.incomplete_bytes, 0);
+  event_stream_parse (ctx, &stream, (const uint8_t *)"id: 8\ndata: c\n\n", 16);
   CU_ASSERT_EQUAL (stream.n_events, 3);
   CU_ASSERT_EQUAL (stream.last_id, 8);
-  CU_ASSERT_FALSE (stream.goes_back);
+  CU_ASSERT_FALSE (stream.has_repeated_event);
   talloc_free (ctx);
 }
 
@@ -93,10 +93,10 @@
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct EventStream stream = { 0 };
 
-  event_stream_take (ctx, &stream, (const uint8_t *)run, sizeof run - 1);
+  event_stream_parse (ctx, &stream, (const uint8_t *)run, sizeof run - 1);
   event_stream_resume (&stream);
-  event_stream_take (ctx, &stream, (const uint8_t *)run, sizeof run - 1);
-  CU_ASSERT_TRUE (stream.goes_back);
+  event_stream_parse (ctx, &stream, (const uint8_t *)run, sizeof run - 1);
+  CU_ASSERT_TRUE (stream.has_repeated_event);
   talloc_free (ctx);
 }
 
@@ -107,7 +107,7 @@
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct EventStream stream = { 0 };
 
-  event_stream_take (ctx, &stream, (const uint8_t *)"id: x1\ndata: a\n\n", 17);
+  event_stream_parse (ctx, &stream, (const uint8_t *)"id: x1\ndata: a\n\n", 17);
   CU_ASSERT_FALSE (stream.has_last_id);
   talloc_free (ctx);
 }
