--- a/core/gateway/snapshot_changes.c
+++ b/core/gateway/snapshot_changes.c
@@ -120,7 +120,7 @@
         {
           *change = before->items[at_before++];
           change->value_bytes = 0;
-          change->gone = true;
+          change->removed = true;
           changes->n_items++;
           continue;
         }
@@ -155,7 +155,7 @@
           merged->items[merged->n_items++] = before->items[at_before++];
           continue;
         }
-      if (!changes->items[at_changes].gone)
+      if (!changes->items[at_changes].removed)
         merged->items[merged->n_items++] = changes->items[at_changes];
       at_before += order == 0;
       at_changes++;
--- a/core/gateway/state_message.c
+++ b/core/gateway/state_message.c
@@ -95,7 +95,7 @@
     {
       pack_string (p, snapshot->items[i].key);
       pack_bytes (p, snapshot->items[i].value, snapshot->items[i].value_bytes);
-      pack_bool (p, snapshot->items[i].gone);
+      pack_bool (p, snapshot->items[i].removed);
     }
   return pack_finish (p, ctx, bytes, n_bytes);
 }
@@ -179,7 +179,7 @@
     {
       read_string (&list, snapshot->items[i].key, sizeof snapshot->items[i].key);
       snapshot->items[i].value = read_bytes (&list, ctx, &snapshot->items[i].value_bytes);
-      snapshot->items[i].gone = read_bool (&list);
+      snapshot->items[i].removed = read_bool (&list);
     }
   talloc_free (opened);
   return snapshot->items != NULL && read_end (&list) == ERROR_NONE;
--- a/core/membership/peer_table.c
+++ b/core/membership/peer_table.c
@@ -364,7 +364,7 @@
   struct Peer *peer = peer_table_find (table, item->key);
   struct NodeStatus status;
 
-  if (item->gone)
+  if (item->removed)
     {
       if (peer != NULL)
         {
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -33,7 +33,7 @@
     {
       const struct Peer *peer = node_peer (node, list->items[i].key);
 
-      if (peer != NULL && !list->items[i].gone)
+      if (peer != NULL && !list->items[i].removed)
         peer_net_know (node->net, peer->status.node, peer->status.peer_address);
     }
 }
--- a/gateway/store_follow.c
+++ b/gateway/store_follow.c
@@ -129,7 +129,7 @@
     return;
   memset (item, 0, sizeof *item);
   snprintf (item->key, sizeof item->key, "%s", entry->key);
-  item->gone = true;
+  item->removed = true;
 }
 
 /* Returns the newest change of each key of kind, sorted by key; NULL without memory. */
--- a/include/buckthornhead/gateway_message.h
+++ b/include/buckthornhead/gateway_message.h
@@ -62,7 +62,7 @@
   char key[256];
   const uint8_t *value;
   size_t value_bytes;
-  bool gone; /* the item was removed; only in a snapshot of changes */
+  bool removed; /* the item was removed; only in a snapshot of changes */
 };
 
 struct Snapshot
--- a/tests/test_snapshot_changes.c
+++ b/tests/test_snapshot_changes.c
@@ -110,7 +110,7 @@
     return;
   CU_ASSERT_EQUAL (changes->n_items, 1);
   CU_ASSERT_STRING_EQUAL (changes->items[0].key, before->items[4].key);
-  CU_ASSERT_FALSE (changes->items[0].gone);
+  CU_ASSERT_FALSE (changes->items[0].removed);
   /* No changes are returned when all items are new; the full list is sent. */
   before->n_items = 0;
   CU_ASSERT_PTR_NULL (snapshot_changes (ctx, before, after));
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -190,7 +190,7 @@
 static struct TurnCharge charges[] = { { "turn-3", 501, true }, { "turn-4", 502, false } };
 static struct SnapshotItem items[] = {
   { .key = "servers/a", .value = body, .value_bytes = sizeof body },
-  { .key = "servers/b", .value = nested, .value_bytes = sizeof nested, .gone = true },
+  { .key = "servers/b", .value = nested, .value_bytes = sizeof nested, .removed = true },
 };
 static struct ReplicaLoad loads[] = { { "server-5", 511 }, { "server-6", 512 } };
 static struct SlotDigest slot_digests[] = {
