--- a/core/gateway/snapshot_changes.c
+++ b/core/gateway/snapshot_changes.c
@@ -164,9 +164,9 @@
 }
 
 struct Snapshot *
-snapshot_with_changes (TALLOC_CTX *ctx,
-                       const struct Snapshot *before,
-                       const struct Snapshot *changes)
+snapshot_apply_changes (TALLOC_CTX *ctx,
+                        const struct Snapshot *before,
+                        const struct Snapshot *changes)
 {
   struct Snapshot *merged = snapshot_merge (ctx, before, changes);
 
--- a/gateway/store_topics.c
+++ b/gateway/store_topics.c
@@ -303,7 +303,7 @@
   if (snapshot->revision < topic->revision || snapshot->content == topic->content)
     return false;
   whole = topic->snapshot != NULL && topic->content == snapshot->base
-              ? snapshot_with_changes (reader, topic->snapshot, snapshot)
+              ? snapshot_apply_changes (reader, topic->snapshot, snapshot)
               : NULL;
   if (whole != NULL)
     topic_take (reader, whole, read_ms);
--- a/include/buckthornhead/snapshot_changes.h
+++ b/include/buckthornhead/snapshot_changes.h
@@ -38,6 +38,6 @@
 /* Like snapshot_merge, for the result of snapshot_changes. Returns NULL also when the changes do
  * not lead from before to the content that they announce. */
 struct Snapshot *
-snapshot_with_changes (TALLOC_CTX *ctx,
-                       const struct Snapshot *before,
-                       const struct Snapshot *changes);
+snapshot_apply_changes (TALLOC_CTX *ctx,
+                        const struct Snapshot *before,
+                        const struct Snapshot *changes);
--- a/tests/test_snapshot_changes.c
+++ b/tests/test_snapshot_changes.c
@@ -51,7 +51,7 @@
       if (changes != NULL)
         {
           CU_ASSERT_EQUAL (changes->base, before->content);
-          merged = snapshot_with_changes (ctx, before, changes);
+          merged = snapshot_apply_changes (ctx, before, changes);
           CU_ASSERT_PTR_NOT_NULL_FATAL (merged);
           if (merged == NULL)
             return;
@@ -85,7 +85,7 @@
       if (changes == NULL || held->content == missed->content)
         continue;
       n_tried++;
-      merged = snapshot_with_changes (ctx, held, changes);
+      merged = snapshot_apply_changes (ctx, held, changes);
       /* The held state may lead to the same list by chance, but never to any other. */
       n_refused += merged == NULL;
       CU_ASSERT (merged == NULL || merged->content == after->content);
