--- a/core/gateway/turn_index.c
+++ b/core/gateway/turn_index.c
@@ -304,7 +304,7 @@
 }
 
 int64_t
-turn_index_expires (const struct TurnIndex *index, const char *customer, const char *id)
+turn_index_expiry (const struct TurnIndex *index, const char *customer, const char *id)
 {
   const struct IndexedTurn *turn = index_turn (index, customer, id);
 
--- a/gateway/archive.c
+++ b/gateway/archive.c
@@ -100,7 +100,7 @@
 archive_extend_files (struct Archive *archive, const char *customer, const char *turn)
 {
   int64_t expires_unix_ms =
-      turn_index_expires (archive->index, customer, turn) + FILE_EXPIRY_MARGIN_MS;
+      turn_index_expiry (archive->index, customer, turn) + FILE_EXPIRY_MARGIN_MS;
   struct TurnPlace place;
 
   while (turn[0] != '\0' && turn_index_find (archive->index, customer, turn, &place))
--- a/include/buckthornhead/turn_index.h
+++ b/include/buckthornhead/turn_index.h
@@ -61,7 +61,7 @@
 
 /* Returns the time at which the turn expires; 0 if it is not in the index. */
 int64_t
-turn_index_expires (const struct TurnIndex *index, const char *customer, const char *turn);
+turn_index_expiry (const struct TurnIndex *index, const char *customer, const char *turn);
 
 /* Removes expired turns and programs. */
 void
--- a/tests/test_turn_index.c
+++ b/tests/test_turn_index.c
@@ -197,7 +197,7 @@
   CU_ASSERT_FALSE (turn_index_find (index, "", "t1", &place));
   CU_ASSERT_FALSE (turn_index_find (index, "", "alma/t1", &place));
   CU_ASSERT_FALSE (turn_index_is_closed (index, "bela", "p", "t1"));
-  CU_ASSERT_EQUAL (turn_index_expires (index, "bela", "t1"), 0);
+  CU_ASSERT_EQUAL (turn_index_expiry (index, "bela", "t1"), 0);
   snprintf (open.customer, sizeof open.customer, "bela");
   turn_index_charges (index, index, &open, &charges, &n);
   CU_ASSERT_EQUAL (n, 0);
