--- a/gateway/front.c
+++ b/gateway/front.c
@@ -245,7 +245,7 @@
     request_fail (request, FAILURE_NO_KEY, credential_problem (&request->caller));
   else if (front->replicas->n_replicas == 0)
     front_defer (request, FAILURE_NO_SERVER, "the server list is empty");
-  else if (request_is_turn (request) && !turn_may_start (front))
+  else if (request_is_turn (request) && !turn_archives_reachable (front))
     front_defer (request, FAILURE_UNCERTAIN, "too few archives respond, and no gateway can relay");
   else if (quotas_must_wait (request))
     front_defer (request, FAILURE_UNCERTAIN, "no usage report received since the start");
@@ -481,7 +481,7 @@
 
   for (struct Request *r = front->requests; r != NULL; r = r->next)
     if (r->turn != NULL)
-      turn_on_set (r);
+      turn_on_set_changed (r);
 }
 
 static void
--- a/gateway/front.h
+++ b/gateway/front.h
@@ -167,7 +167,7 @@
 
 /* Returns true when enough archives are reachable, directly or through another gateway. */
 bool
-turn_may_start (const struct Front *front);
+turn_archives_reachable (const struct Front *front);
 
 /* Reserves the turn's tokens and fetches its history, then sends or rejects it. */
 void
@@ -183,7 +183,7 @@
 
 /* Called when the set of archives changes while the turn has a query open. */
 void
-turn_on_set (struct Request *request);
+turn_on_set_changed (struct Request *request);
 
 /* Handlers for an archive's response. */
 void
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -179,7 +179,7 @@
 }
 
 bool
-turn_may_start (const struct Front *front)
+turn_archives_reachable (const struct Front *front)
 {
   return node_reaches_archives (front->node) || node_has_relay (front->node);
 }
@@ -504,7 +504,7 @@
 }
 
 void
-turn_on_set (struct Request *request)
+turn_on_set_changed (struct Request *request)
 {
   struct Turn *turn = request->turn;
 
