--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -244,7 +244,7 @@
       node->handler.message (node->handler.data, link, sender, message);
       break;
     case GATEWAY_RELAY:
-      relay_take (node, link, &message->relay);
+      relay_on_message (node, link, &message->relay);
       break;
     }
 }
--- a/gateway/node_send.c
+++ b/gateway/node_send.c
@@ -15,7 +15,7 @@
   int32_t error;
 
   if (relay_is_link (link))
-    return relay_answer (node, link, message);
+    return relay_respond (node, link, message);
   bytes = node_pack (node, message, &envelope);
   if (bytes == NULL)
     return ERROR_NO_MEMORY;
--- a/gateway/relay.c
+++ b/gateway/relay.c
@@ -105,7 +105,7 @@
 }
 
 int32_t
-relay_answer (struct Node *node, uint64_t link, const struct GatewayMessage *message)
+relay_respond (struct Node *node, uint64_t link, const struct GatewayMessage *message)
 {
   uint64_t slot = link & ~RELAYED_BIT;
   const struct RelayOrigin *origin = &origins[slot % ORIGINS_MAX];
@@ -117,7 +117,7 @@
 }
 
 void
-relay_take (struct Node *node, uint64_t link, const struct Relay *relay)
+relay_on_message (struct Node *node, uint64_t link, const struct Relay *relay)
 {
   struct GatewayMessage *message;
   uint64_t next;
--- a/gateway/relay.h
+++ b/gateway/relay.h
@@ -14,7 +14,7 @@
 
 /* Handles a relayed message that arrived on link: forwards it, or unpacks and delivers it. */
 void
-relay_take (struct Node *node, uint64_t link, const struct Relay *relay);
+relay_on_message (struct Node *node, uint64_t link, const struct Relay *relay);
 
 /* Returns true when link, as passed to message handlers, identifies the sender of a relayed
  * message. */
@@ -23,4 +23,4 @@
 
 /* Sends message back to the sender that link identifies. ERROR_UNREACHABLE when it is forgotten. */
 int32_t
-relay_answer (struct Node *node, uint64_t link, const struct GatewayMessage *message);
+relay_respond (struct Node *node, uint64_t link, const struct GatewayMessage *message);
