--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -95,8 +95,8 @@
       c->exchange = NULL;
       x->connection = NULL;
       c->server->n_in_flight--;
-      if (x->public.gone != NULL)
-        x->public.gone (&x->public);
+      if (x->public.on_disconnect != NULL)
+        x->public.on_disconnect (&x->public);
     }
   TALLOC_FREE (c->watch);
   close (c->fd);
--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -115,7 +115,7 @@
   if (request->turn != NULL)
     turn_abandon (request);
   request->exchange = NULL;
-  exchange->gone = NULL;
+  exchange->on_disconnect = NULL;
   http_exchange_answer (exchange, request->response.status, &request->response_headers,
                         byte_queue_head (&request->response_body),
                         byte_queue_length (&request->response_body));
@@ -129,7 +129,7 @@
 
   request_record_answered (request, HISTOGRAM_ANSWER_STREAM);
   request->exchange = NULL;
-  exchange->gone = NULL;
+  exchange->on_disconnect = NULL;
   http_exchange_end (exchange);
   request_end (request);
 }
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -148,13 +148,13 @@
   struct HttpExchange *exchange = query->exchange;
   int64_t waited_ms = timer_now_ms (query->front->node->timers) - exchange->arrived_ms;
 
-  exchange->gone = NULL;
+  exchange->on_disconnect = NULL;
   if (directory_try (query->front, exchange, query->zone, waited_ms >= DIRECTORY_DEFER_MS))
     {
       talloc_free (query);
       return;
     }
-  exchange->gone = query_on_disconnect;
+  exchange->on_disconnect = query_on_disconnect;
 }
 
 void
@@ -180,5 +180,5 @@
   query->exchange = exchange;
   snprintf (query->zone, sizeof query->zone, "%s", zone);
   exchange->handler_data = query;
-  exchange->gone = query_on_disconnect;
+  exchange->on_disconnect = query_on_disconnect;
 }
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -108,7 +108,7 @@
   request->body = exchange->body;
   request->body_bytes = exchange->body_bytes;
   exchange->handler_data = request;
-  exchange->gone = request_on_caller_left;
+  exchange->on_disconnect = request_on_caller_left;
   return request;
 }
 
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -104,7 +104,7 @@
   request->call = NULL;
   attempt_release (request);
   if (request->exchange != NULL)
-    request->exchange->gone = NULL;
+    request->exchange->on_disconnect = NULL;
   *request->pprev = request->next;
   if (request->next != NULL)
     request->next->pprev = request->pprev;
@@ -145,7 +145,7 @@
   request->exchange = NULL;
   if (exchange != NULL)
     {
-      exchange->gone = NULL;
+      exchange->on_disconnect = NULL;
       if (http_exchange_has_begun (exchange))
         http_exchange_abort (exchange);
       else
--- a/include/buckthornhead/http_server.h
+++ b/include/buckthornhead/http_server.h
@@ -38,10 +38,10 @@
   const uint8_t *body;
   size_t body_bytes;
   int64_t arrived_ms; /* when the request was complete, on the timer service's clock */
-  /* Set by the handler. gone is called once if the caller disconnects before the response has
-   * ended; the exchange is freed after it. */
+  /* Set by the handler. on_disconnect is called once if the caller disconnects before the response
+   * has ended; the exchange is freed after it. */
   void *handler_data;
-  void (*gone) (struct HttpExchange *exchange);
+  void (*on_disconnect) (struct HttpExchange *exchange);
 };
 
 struct HttpServerOptions
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -49,7 +49,7 @@
   b->requested = true;
   b->exchange = exchange;
   exchange->handler_data = b;
-  exchange->gone = bench_on_disconnect;
+  exchange->on_disconnect = bench_on_disconnect;
   snprintf (b->target, sizeof b->target, "%s", exchange->target);
   memcpy (b->body, exchange->body != NULL ? (const char *)exchange->body : "",
           exchange->body_bytes);
@@ -160,7 +160,7 @@
 
   raw_send (b->fd, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n");
   CU_ASSERT_TRUE (events_until (b->events, &b->requested));
-  b->exchange->gone = NULL;
+  b->exchange->on_disconnect = NULL;
   http_exchange_begin (b->exchange, 200, NULL);
   http_exchange_write (b->exchange, "data: a\n\n", 9);
   http_exchange_abort (b->exchange);
