--- a/core/gateway/message_count.c
+++ b/core/gateway/message_count.c
@@ -13,9 +13,9 @@
   _Atomic uint64_t messages, bytes;
 };
 
-static struct MessageCounter counters[N_MESSAGE_WAYS][N_KINDS];
+static struct MessageCounter counters[N_MESSAGE_DIRECTIONS][N_KINDS];
 
-static const char *const direction_names[N_MESSAGE_WAYS] = {
+static const char *const direction_names[N_MESSAGE_DIRECTIONS] = {
   [MESSAGE_SENT] = "sent",
   [MESSAGE_RECEIVED] = "received",
 };
@@ -66,7 +66,7 @@
 }
 
 void
-message_count_add (enum MessageWay direction, enum GatewayKind kind, size_t n_bytes)
+message_count_add (enum MessageDirection direction, enum GatewayKind kind, size_t n_bytes)
 {
   struct MessageCounter *counter = &counters[direction][kind];
 
@@ -75,7 +75,7 @@
 }
 
 uint64_t
-message_count_read (enum MessageWay direction, enum GatewayKind kind)
+message_count_read (enum MessageDirection direction, enum GatewayKind kind)
 {
   return atomic_load_explicit (&counters[direction][kind].messages, memory_order_relaxed);
 }
@@ -85,7 +85,7 @@
 {
   char *text = talloc_strdup (ctx, "");
 
-  for (uint32_t direction = 0; direction < N_MESSAGE_WAYS; direction++)
+  for (uint32_t direction = 0; direction < N_MESSAGE_DIRECTIONS; direction++)
     for (uint32_t kind = GATEWAY_TURN_OPEN; kind < N_KINDS; kind++)
       {
         uint64_t n = message_count_read (direction, kind);
--- a/include/buckthornhead/message_count.h
+++ b/include/buckthornhead/message_count.h
@@ -4,19 +4,19 @@
 
 #include <buckthornhead/gateway_message.h>
 
-enum MessageWay
+enum MessageDirection
 {
   MESSAGE_SENT,
   MESSAGE_RECEIVED,
-  N_MESSAGE_WAYS
+  N_MESSAGE_DIRECTIONS
 };
 
 /* Counts one message. Wait-free. */
 void
-message_count_add (enum MessageWay direction, enum GatewayKind kind, size_t n_bytes);
+message_count_add (enum MessageDirection direction, enum GatewayKind kind, size_t n_bytes);
 
 uint64_t
-message_count_read (enum MessageWay direction, enum GatewayKind kind);
+message_count_read (enum MessageDirection direction, enum GatewayKind kind);
 
 /* Returns the counters of kinds that occurred, in Prometheus text format. The text belongs to ctx;
  * NULL without memory. */
