--- a/core/gateway/archive_set.c
+++ b/core/gateway/archive_set.c
@@ -53,7 +53,7 @@
 }
 
 struct ArchiveNames
-archive_set_asked (const struct ArchiveSet *set)
+archive_set_targets (const struct ArchiveSet *set)
 {
   struct ArchiveNames queried = set->members;
 
@@ -126,7 +126,7 @@
 }
 
 uint64_t
-archive_set_oldest (const struct ArchiveSet *set)
+archive_set_oldest_generation (const struct ArchiveSet *set)
 {
   return set->stage == ARCHIVE_STAGE_STABLE && set->generation > 0 ? set->generation - 1
                                                                    : set->generation;
@@ -135,7 +135,7 @@
 /* With 2t + 1 members both quorums are t + 1: any t members may be unavailable for reads and
  * writes alike. */
 uint32_t
-archive_set_wanted (uint32_t tolerated)
+archive_set_target_size (uint32_t tolerated)
 {
   return 2 * tolerated + 1;
 }
@@ -214,7 +214,7 @@
     case ARCHIVE_STEP_FIRST:
       *next = archive_set_first (stored, step->joining);
       return stored->stage == ARCHIVE_STAGE_STABLE && !archive_set_has (stored, step->joining)
-             && stored->members.n < archive_set_wanted (tolerated);
+             && stored->members.n < archive_set_target_size (tolerated);
     case ARCHIVE_STEP_CHANGE:
       *next = archive_set_change (stored, step->joining, step->leaving);
       return is_current && stored->stage == ARCHIVE_STAGE_STABLE;
--- a/gateway/archive.c
+++ b/gateway/archive.c
@@ -279,7 +279,7 @@
 static bool
 archive_is_fenced (const struct Archive *archive, uint64_t generation)
 {
-  return generation < archive_set_oldest (&archive->node->set);
+  return generation < archive_set_oldest_generation (&archive->node->set);
 }
 
 static void
--- a/gateway/archive_member.c
+++ b/gateway/archive_member.c
@@ -188,7 +188,7 @@
 {
   const struct ArchiveMember *member = data;
   const struct ArchiveSet *set = &member->node->set;
-  struct ArchiveNames queried = archive_set_asked (set);
+  struct ArchiveNames queried = archive_set_targets (set);
   const struct Peer *peer = node_peer (member->node, archive);
 
   return strcmp (archive, member_name (member)) != 0 && archive_names_have (&queried, archive)
@@ -247,7 +247,7 @@
 member_current_archives (const struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
-  struct ArchiveNames queried = archive_set_asked (set);
+  struct ArchiveNames queried = archive_set_targets (set);
   struct ArchiveNames current = { .n = 0 };
 
   for (uint32_t i = 0; i < queried.n; i++)
@@ -411,7 +411,7 @@
 member_consider_joining (struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
-  uint32_t wanted = archive_set_wanted (member->node->settings->tolerated);
+  uint32_t wanted = archive_set_target_size (member->node->settings->tolerated);
   const char *leaving = member_find_replaceable (member);
 
   if (member_is_retiring (member, member_name (member)))
@@ -484,7 +484,7 @@
 member_needs_restore (const struct ArchiveMember *member)
 {
   const struct ArchiveSet *set = &member->node->set;
-  struct ArchiveNames queried = archive_set_asked (set);
+  struct ArchiveNames queried = archive_set_targets (set);
   const char *joining = archive_set_joining (set);
   bool copies_for_change = set->stage == ARCHIVE_STAGE_STARTING
                            && (joining[0] == '\0' || strcmp (joining, member_name (member)) == 0);
@@ -560,7 +560,7 @@
   if (member_needs_restore (member))
     member_start_copy (member, 0);
   if (member->bootstrapping && !inside && member_has_discovered (member)
-      && set->members.n < archive_set_wanted (member->node->settings->tolerated))
+      && set->members.n < archive_set_target_size (member->node->settings->tolerated))
     {
       if (member_may_bootstrap (member))
         member_start_step (member, ARCHIVE_STEP_FIRST, member_name (member), "");
--- a/gateway/node.c
+++ b/gateway/node.c
@@ -89,7 +89,7 @@
 bool
 node_reaches_archives (const struct Node *node)
 {
-  struct ArchiveNames targets = archive_set_asked (&node->set);
+  struct ArchiveNames targets = archive_set_targets (&node->set);
   struct ArchiveNames reached = { .n = 0 };
 
   for (uint32_t i = 0; i < targets.n; i++)
@@ -133,7 +133,7 @@
                const struct GatewayMessage *message,
                const struct ArchiveNames *skip)
 {
-  struct ArchiveNames targets = archive_set_asked (&node->set);
+  struct ArchiveNames targets = archive_set_targets (&node->set);
   uint32_t n_sent = 0;
 
   for (uint32_t i = 0; i < targets.n; i++)
@@ -205,7 +205,7 @@
 node_check_links (struct Node *node, int64_t now_ms)
 {
   const struct GatewayMessage probe = { .kind = GATEWAY_PROBE };
-  struct ArchiveNames targets = archive_set_asked (&node->set);
+  struct ArchiveNames targets = archive_set_targets (&node->set);
   struct PeerTable *table = node->peers;
   bool aggregates = peer_table_is_aggregator (table, now_ms);
 
--- a/gateway/settle.c
+++ b/gateway/settle.c
@@ -93,7 +93,7 @@
 settle_on_closed (struct Front *front, const char *archive, const struct TurnClosed *closed)
 {
   struct Settlement *settlement = front->settlements;
-  struct ArchiveNames asked = archive_set_asked (&front->node->set);
+  struct ArchiveNames asked = archive_set_targets (&front->node->set);
 
   while (settlement != NULL && settlement->close.id != closed->id)
     settlement = settlement->next;
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -32,7 +32,7 @@
                     struct ArchiveCandidate candidates[ARCHIVE_SET_MAX])
 {
   const struct Node *node = request->front->node;
-  struct ArchiveNames asked = archive_set_asked (&node->set);
+  struct ArchiveNames asked = archive_set_targets (&node->set);
 
   for (uint32_t i = 0; i < asked.n; i++)
     {
@@ -124,7 +124,7 @@
 {
   struct Node *node = request->front->node;
   struct Turn *turn = request->turn;
-  struct ArchiveNames asked = archive_set_asked (&node->set);
+  struct ArchiveNames asked = archive_set_targets (&node->set);
   struct GatewayMessage message = { 0 };
 
   turn_fill_open (request, &message);
@@ -163,7 +163,7 @@
   struct Front *front = request->front;
   const struct Node *node = front->node;
   const struct Peer *nearest = turn_nearest_archive (request);
-  struct ArchiveNames asked = archive_set_asked (&node->set);
+  struct ArchiveNames asked = archive_set_targets (&node->set);
   struct GatewayMessage message = { 0 };
 
   turn_fill_open (request, &message);
--- a/gateway/turn_close.c
+++ b/gateway/turn_close.c
@@ -103,7 +103,7 @@
 turn_relay_close (struct Request *request)
 {
   struct Node *node = request->front->node;
-  struct ArchiveNames asked = archive_set_asked (&node->set);
+  struct ArchiveNames asked = archive_set_targets (&node->set);
   struct GatewayMessage message = { 0 };
 
   turn_fill_close (request, true, &message);
--- a/include/buckthornhead/archive_set.h
+++ b/include/buckthornhead/archive_set.h
@@ -55,7 +55,7 @@
 /* Returns the archives to which requests are sent: the members, and during a change the former
  * members as well. */
 struct ArchiveNames
-archive_set_asked (const struct ArchiveSet *set);
+archive_set_targets (const struct ArchiveSet *set);
 
 /* Returns whether names are a write quorum: a record that all of them acknowledged survives the
  * loss of any `tolerated` disks. */
@@ -80,11 +80,11 @@
 
 /* Returns the oldest generation whose requests an archive at set's generation may serve. */
 uint64_t
-archive_set_oldest (const struct ArchiveSet *set);
+archive_set_oldest_generation (const struct ArchiveSet *set);
 
 /* Returns the target number of members: with more of them, each read quorum would be larger. */
 uint32_t
-archive_set_wanted (uint32_t tolerated);
+archive_set_target_size (uint32_t tolerated);
 
 /* Returns the next generation with name added, while the first set is formed. */
 struct ArchiveSet
--- a/tests/test_archive_set.c
+++ b/tests/test_archive_set.c
@@ -53,9 +53,9 @@
 static void
 test_target_size_depends_on_tolerated_losses (void)
 {
-  CU_ASSERT_EQUAL (archive_set_wanted (1), 3);
-  CU_ASSERT_EQUAL (archive_set_wanted (2), 5);
-  CU_ASSERT_EQUAL (archive_set_wanted (0), 1);
+  CU_ASSERT_EQUAL (archive_set_target_size (1), 3);
+  CU_ASSERT_EQUAL (archive_set_target_size (2), 5);
+  CU_ASSERT_EQUAL (archive_set_target_size (0), 1);
 }
 
 /* While no set exists, responses without a turn must not be taken for "no such turn". */
@@ -139,7 +139,7 @@
   CU_ASSERT_EQUAL (again.members.n, 3);
   CU_ASSERT_FALSE (archive_set_has (&again, "d"));
   /* Archives that have received it reject requests of the previous stage. */
-  CU_ASSERT (archive_set_oldest (&again) > starting.generation);
+  CU_ASSERT (archive_set_oldest_generation (&again) > starting.generation);
   check_stages_meet (&starting, &again);
   check_stages_meet (&again, &starting);
   check_stages_meet (&again, &again);
@@ -167,10 +167,10 @@
   struct ArchiveSet ending = archive_set_advance (&starting);
   struct ArchiveSet after = archive_set_advance (&ending);
 
-  CU_ASSERT (archive_set_oldest (&starting) > before.generation);
-  CU_ASSERT (archive_set_oldest (&ending) > starting.generation);
-  CU_ASSERT (archive_set_oldest (&after) > starting.generation);
-  CU_ASSERT (archive_set_oldest (&after) <= ending.generation);
+  CU_ASSERT (archive_set_oldest_generation (&starting) > before.generation);
+  CU_ASSERT (archive_set_oldest_generation (&ending) > starting.generation);
+  CU_ASSERT (archive_set_oldest_generation (&after) > starting.generation);
+  CU_ASSERT (archive_set_oldest_generation (&after) <= ending.generation);
 }
 
 /* Every record that the former set acknowledged is on a write quorum of it, so a copy from a read
@@ -197,12 +197,12 @@
 {
   struct ArchiveSet before = set_of (3);
   struct ArchiveSet starting = archive_set_change (&before, "d", "a");
-  struct ArchiveNames queried = archive_set_asked (&starting);
+  struct ArchiveNames queried = archive_set_targets (&starting);
 
   CU_ASSERT_EQUAL (queried.n, 4);
   CU_ASSERT_TRUE (archive_names_have (&queried, "a"));
   CU_ASSERT_TRUE (archive_names_have (&queried, "d"));
-  queried = archive_set_asked (&before);
+  queried = archive_set_targets (&before);
   CU_ASSERT_EQUAL (queried.n, 3);
 }
 
