--- a/core/gateway/archive_order.c
+++ b/core/gateway/archive_order.c
@@ -40,10 +40,10 @@
 }
 
 struct ArchiveNames
-archive_order_write (const struct ArchiveSet *set,
-                     uint32_t tolerated,
-                     const struct ArchiveCandidate *sorted,
-                     size_t n)
+archive_order_write_quorum (const struct ArchiveSet *set,
+                            uint32_t tolerated,
+                            const struct ArchiveCandidate *sorted,
+                            size_t n)
 {
   struct ArchiveNames names = { .n = 0 };
 
@@ -62,10 +62,10 @@
 }
 
 bool
-archive_first_before (const struct ArchiveFirst *a,
-                      const struct ArchiveFirst *b,
-                      const char *const *zones,
-                      size_t n_zones)
+archive_first_precedes (const struct ArchiveFirst *a,
+                        const struct ArchiveFirst *b,
+                        const char *const *zones,
+                        size_t n_zones)
 {
   bool a_covered = zone_is_listed (a->zone, zones, n_zones);
   bool b_covered = zone_is_listed (b->zone, zones, n_zones);
--- a/gateway/archive_member.c
+++ b/gateway/archive_member.c
@@ -545,7 +545,7 @@
         continue;
       snprintf (other.zone, sizeof other.zone, "%s", peer->status.zone);
       other.rank = peer->rank;
-      n_before += archive_first_before (&other, &own, zones, n_zones);
+      n_before += archive_first_precedes (&other, &own, zones, n_zones);
     }
   return now_ms - member->bootstrap_since_ms >= (int64_t)n_before * FIRST_STAGGER_MS;
 }
--- a/gateway/turn_close.c
+++ b/gateway/turn_close.c
@@ -69,7 +69,7 @@
   struct ArchiveCandidate candidates[ARCHIVE_SET_MAX];
   size_t n = turn_sort_archives (request, candidates);
   struct ArchiveNames first =
-      archive_order_write (&node->set, node->settings->tolerated, candidates, n);
+      archive_order_write_quorum (&node->set, node->settings->tolerated, candidates, n);
 
   turn_fill_close (request, true, &message);
   request->turn->close_sent = true;
--- a/include/buckthornhead/archive_order.h
+++ b/include/buckthornhead/archive_order.h
@@ -23,10 +23,10 @@
 /* Returns the shortest prefix of the sorted candidates that is a write quorum of set, or all of
  * them if they are not one. */
 struct ArchiveNames
-archive_order_write (const struct ArchiveSet *set,
-                     uint32_t tolerated,
-                     const struct ArchiveCandidate *sorted,
-                     size_t n);
+archive_order_write_quorum (const struct ArchiveSet *set,
+                            uint32_t tolerated,
+                            const struct ArchiveCandidate *sorted,
+                            size_t n);
 
 /* An archive that may become a member of the first set. */
 struct ArchiveFirst
@@ -41,7 +41,7 @@
  * because joining all at once is expensive: the 24 archives of a fleet that tried at the same
  * moment made 240 calls to the store for a set of five. */
 bool
-archive_first_before (const struct ArchiveFirst *a,
-                      const struct ArchiveFirst *b,
-                      const char *const *zones,
-                      size_t n_zones);
+archive_first_precedes (const struct ArchiveFirst *a,
+                        const struct ArchiveFirst *b,
+                        const char *const *zones,
+                        size_t n_zones);
--- a/tests/test_archive_order.c
+++ b/tests/test_archive_order.c
@@ -37,7 +37,7 @@
   fill (candidates, &set);
   archive_order_sort (candidates, N, "program");
   CU_ASSERT_STRING_EQUAL (candidates[0].name, "a3");
-  names = archive_order_write (&set, TOLERATED, candidates, N);
+  names = archive_order_write_quorum (&set, TOLERATED, candidates, N);
   CU_ASSERT_EQUAL (names.n, 3);
   CU_ASSERT_TRUE (archive_set_is_written (&set, TOLERATED, &names));
   /* During a change a write needs a quorum of both sets. */
@@ -50,7 +50,7 @@
       snprintf (name, sizeof name, "b%d", i);
       archive_names_add (&set.former, name);
     }
-  names = archive_order_write (&set, TOLERATED, candidates, N);
+  names = archive_order_write_quorum (&set, TOLERATED, candidates, N);
   CU_ASSERT_EQUAL (names.n, N);
 }
 
@@ -107,12 +107,12 @@
   const struct ArchiveFirst near = { "a", 1 }, later = { "a", 2 }, far = { "b", 9 };
   const char *const zones[] = { "a" };
 
-  CU_ASSERT_TRUE (archive_first_before (&near, &later, NULL, 0));
-  CU_ASSERT_FALSE (archive_first_before (&later, &near, NULL, 0));
-  CU_ASSERT_TRUE (archive_first_before (&near, &far, NULL, 0));
-  CU_ASSERT_TRUE (archive_first_before (&far, &near, zones, 1));
-  CU_ASSERT_FALSE (archive_first_before (&near, &far, zones, 1));
-  CU_ASSERT_FALSE (archive_first_before (&far, &far, zones, 1));
+  CU_ASSERT_TRUE (archive_first_precedes (&near, &later, NULL, 0));
+  CU_ASSERT_FALSE (archive_first_precedes (&later, &near, NULL, 0));
+  CU_ASSERT_TRUE (archive_first_precedes (&near, &far, NULL, 0));
+  CU_ASSERT_TRUE (archive_first_precedes (&far, &near, zones, 1));
+  CU_ASSERT_FALSE (archive_first_precedes (&near, &far, zones, 1));
+  CU_ASSERT_FALSE (archive_first_precedes (&far, &far, zones, 1));
 }
 
 const char test_suite_name[] = "archive_order";
