--- a/core/gateway/archive_order.c
+++ b/core/gateway/archive_order.c
@@ -15,10 +15,10 @@
                     const struct ArchiveCandidate *b,
                     uint64_t program_hash)
 {
-  if (a->answers != b->answers)
-    return a->answers;
-  if (a->near != b->near)
-    return a->near;
+  if (a->responsive != b->responsive)
+    return a->responsive;
+  if (a->in_zone != b->in_zone)
+    return a->in_zone;
   return candidate_score (a, program_hash) > candidate_score (b, program_hash);
 }
 
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -39,8 +39,8 @@
       const struct Peer *peer = node_peer (node, asked.names[i]);
 
       snprintf (candidates[i].name, sizeof candidates[i].name, "%s", asked.names[i]);
-      candidates[i].answers = peer != NULL && node_peer_answers (node, peer);
-      candidates[i].near = peer != NULL && strcmp (peer->status.zone, node->settings->zone) == 0;
+      candidates[i].responsive = peer != NULL && node_peer_answers (node, peer);
+      candidates[i].in_zone = peer != NULL && strcmp (peer->status.zone, node->settings->zone) == 0;
     }
   archive_order_sort (candidates, asked.n, request->caller.program);
   return asked.n;
@@ -59,7 +59,7 @@
     {
       const struct Peer *peer = node_peer (node, candidates[i].name);
 
-      if (candidates[i].answers && peer->status.complete)
+      if (candidates[i].responsive && peer->status.complete)
         return peer;
     }
   return NULL;
--- a/include/buckthornhead/archive_order.h
+++ b/include/buckthornhead/archive_order.h
@@ -11,8 +11,8 @@
 struct ArchiveCandidate
 {
   char name[NAME_MAX_BYTES + 1];
-  bool answers; /* responded recently over its link */
-  bool near;    /* in the gateway's availability zone */
+  bool responsive; /* responded recently over its link */
+  bool in_zone;    /* in the gateway's availability zone */
 };
 
 /* Sorts by responsive before unresponsive, then same zone before other zones, then by a hash of
--- a/tests/test_archive_order.c
+++ b/tests/test_archive_order.c
@@ -19,8 +19,8 @@
   for (int i = 0; i < N; i++)
     {
       snprintf (candidates[i].name, sizeof candidates[i].name, "a%d", i);
-      candidates[i].answers = true;
-      candidates[i].near = i == 3;
+      candidates[i].responsive = true;
+      candidates[i].in_zone = i == 3;
       archive_names_add (&set->members, candidates[i].name);
     }
 }
@@ -62,7 +62,7 @@
   struct ArchiveSet set;
 
   fill (candidates, &set);
-  candidates[3].answers = false;
+  candidates[3].responsive = false;
   archive_order_sort (candidates, N, "program");
   CU_ASSERT_STRING_EQUAL (candidates[N - 1].name, "a3");
 }
@@ -84,8 +84,8 @@
       snprintf (program, sizeof program, "p%d", p);
       fill (first, &set);
       fill (second, &set);
-      first[3].near = false;
-      second[3].near = false;
+      first[3].in_zone = false;
+      second[3].in_zone = false;
       second[0] = first[4];
       second[4] = first[0];
       archive_order_sort (first, N, program);
