--- a/gateway/archive_state.c
+++ b/gateway/archive_state.c
@@ -126,7 +126,7 @@
   log_event (LOG_LEVEL_NOTICE, "store_state_taken", NULL, NULL,
              "loaded %s of revision %lld, %u ms old", kind_names[kind],
              (long long)message->snapshot.revision, message->snapshot.age_ms);
-  store_reader_take_from_peer (state->node->reader, PEER_LINK_NONE, &message->snapshot);
+  store_reader_receive_snapshot (state->node->reader, PEER_LINK_NONE, &message->snapshot);
 
 out:
   talloc_free (ctx);
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -118,7 +118,7 @@
   size_t n, n_expected = directory_count_expected (front, zone);
   struct AddressCandidate *candidates = directory_candidates (front, front, zone, false, &n);
   size_t n_near = count_near (candidates, n);
-  bool thin = !store_reader_knows_nodes (front->node->reader)
+  bool thin = !store_reader_has_nodes (front->node->reader)
               || address_list_is_too_short (n_near, n_expected);
 
   if (thin && force)
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -74,11 +74,11 @@
         case SNAPSHOT_SERVERS:
         case SNAPSHOT_NODES:
         case SNAPSHOT_RETIRE:
-          store_reader_take_mark (node->reader, link, mark);
+          store_reader_receive_mark (node->reader, link, mark);
           break;
         case SNAPSHOT_SUBSET:
           if (zone_servers_are_from (node, sender))
-            store_reader_take_mark (node->reader, link, mark);
+            store_reader_receive_mark (node->reader, link, mark);
           break;
         case SNAPSHOT_CONTACTS:
           break;
@@ -161,7 +161,7 @@
     }
   if (kind != SNAPSHOT_ZONE && kind != SNAPSHOT_FLEET)
     {
-      store_reader_answer_whole (node->reader, link, kind);
+      store_reader_send_whole (node->reader, link, kind);
       return;
     }
   if (list == NULL || snapshot_pack_items (list) != ERROR_NONE)
@@ -189,17 +189,17 @@
         seeds_take_contacts (node->seeds, snapshot);
       break;
     case SNAPSHOT_SERVERS:
-      store_reader_take_from_peer (node->reader, link, snapshot);
+      store_reader_receive_snapshot (node->reader, link, snapshot);
       break;
     case SNAPSHOT_SUBSET:
       if (zone_servers_are_from (node, sender)
-          && store_reader_take_from_peer (node->reader, link, snapshot))
+          && store_reader_receive_snapshot (node->reader, link, snapshot))
         node_send_some (node, &message, PEERS_SERVED);
       break;
     case SNAPSHOT_ROUTES:
     case SNAPSHOT_NODES:
     case SNAPSHOT_RETIRE:
-      if (store_reader_take_from_peer (node->reader, link, snapshot))
+      if (store_reader_receive_snapshot (node->reader, link, snapshot))
         node_send_some (node, &message, PEERS_SERVED);
       break;
     }
--- a/gateway/seeds.c
+++ b/gateway/seeds.c
@@ -193,6 +193,6 @@
     log_event (LOG_LEVEL_INFO, "seed_answered", NULL, NULL, "%zu processes received after %lld ms",
                contacts->n_items, (long long)(timer_now_ms (node->timers) - node->started_ms));
   seeds->answered = true;
-  store_reader_note_contacts (node->reader);
+  store_reader_mark_contacts_received (node->reader);
   node_announce (node);
 }
--- a/gateway/store_reader.c
+++ b/gateway/store_reader.c
@@ -380,7 +380,7 @@
 }
 
 void
-store_reader_note_contacts (struct StoreReader *reader)
+store_reader_mark_contacts_received (struct StoreReader *reader)
 {
   if (reader->nodes_known_ms == 0)
     reader->nodes_known_ms = timer_now_ms (reader->node->timers) + CONTACTS_SETTLE_MS;
--- a/gateway/store_reader.h
+++ b/gateway/store_reader.h
@@ -10,17 +10,17 @@
 /* Takes a snapshot that a peer read from the store or forwards. Returns whether it replaced the
  * held one. */
 bool
-store_reader_take_from_peer (struct StoreReader *reader,
-                             uint64_t link,
-                             const struct Snapshot *snapshot);
+store_reader_receive_snapshot (struct StoreReader *reader,
+                               uint64_t link,
+                               const struct Snapshot *snapshot);
 
 /* Records that a seed has sent a few processes, from which the state is then expected. */
 void
-store_reader_note_contacts (struct StoreReader *reader);
+store_reader_mark_contacts_received (struct StoreReader *reader);
 
 /* Returns whether processes are known, from the store or from a seed. */
 bool
-store_reader_knows_nodes (const struct StoreReader *reader);
+store_reader_has_nodes (const struct StoreReader *reader);
 
 /* Fills marks with the held state for heartbeats. Returns their number. */
 size_t
@@ -28,11 +28,11 @@
 
 /* Handles a peer's mark: requests the whole snapshot over link if it is newer than the held one. */
 void
-store_reader_take_mark (struct StoreReader *reader, uint64_t link, const struct StateMark *mark);
+store_reader_receive_mark (struct StoreReader *reader, uint64_t link, const struct StateMark *mark);
 
 /* Sends the whole held snapshot of kind to a peer that could not apply changes from link. */
 void
-store_reader_answer_whole (struct StoreReader *reader, uint64_t link, enum SnapshotKind kind);
+store_reader_send_whole (struct StoreReader *reader, uint64_t link, enum SnapshotKind kind);
 
 /* Returns the held snapshot of kind packed as a message with its age, and sets *content to its
  * content. NULL if none is held, if its content is *content already, or without memory. Belongs to
--- a/gateway/store_topics.c
+++ b/gateway/store_topics.c
@@ -279,9 +279,9 @@
 }
 
 bool
-store_reader_take_from_peer (struct StoreReader *reader,
-                             uint64_t link,
-                             const struct Snapshot *snapshot)
+store_reader_receive_snapshot (struct StoreReader *reader,
+                               uint64_t link,
+                               const struct Snapshot *snapshot)
 {
   struct Topic *topic = &reader->topics[snapshot->kind];
   int64_t read_ms = timer_now_ms (reader->node->timers) - snapshot->age_ms;
@@ -314,7 +314,7 @@
 }
 
 bool
-store_reader_knows_nodes (const struct StoreReader *reader)
+store_reader_has_nodes (const struct StoreReader *reader)
 {
   return reader->nodes_known_ms > 0;
 }
@@ -339,7 +339,7 @@
 }
 
 void
-store_reader_take_mark (struct StoreReader *reader, uint64_t link, const struct StateMark *mark)
+store_reader_receive_mark (struct StoreReader *reader, uint64_t link, const struct StateMark *mark)
 {
   struct Topic *topic = &reader->topics[mark->kind];
   struct Snapshot unchanged = {
@@ -382,7 +382,7 @@
 }
 
 void
-store_reader_answer_whole (struct StoreReader *reader, uint64_t link, enum SnapshotKind kind)
+store_reader_send_whole (struct StoreReader *reader, uint64_t link, enum SnapshotKind kind)
 {
   struct GatewayMessage message;
 
