--- a/gateway/store_follow.c
+++ b/gateway/store_follow.c
@@ -72,7 +72,7 @@
 
   follow->waiting = false;
   follow->next_ms = timer_now_ms (reader->node->timers) + reader_backoff_ms (follow->failures++);
-  reader_note (reader, false, error);
+  reader_set_reachable (reader, false, error);
 }
 
 /* One change in the response to a watch call. */
@@ -233,7 +233,7 @@
   follow->waiting = false;
   follow->failures = 0;
   follow->next_ms = result->n_entries > 0 ? now_ms + BATCH_MS : 0;
-  reader_note (reader, true, ERROR_NONE);
+  reader_set_reachable (reader, true, ERROR_NONE);
   for (enum SnapshotKind kind = SNAPSHOT_ROUTES; kind <= SNAPSHOT_RETIRE; kind++)
     {
       reader->topics[kind].read_started_ms = follow->call_started_ms;
--- a/gateway/store_internal.h
+++ b/gateway/store_internal.h
@@ -67,7 +67,7 @@
 
 /* Logs and reports in the metrics whether the store is reachable, when that changes. */
 void
-reader_note (struct StoreReader *reader, bool reachable, int32_t error);
+reader_set_reachable (struct StoreReader *reader, bool reachable, int32_t error);
 
 /* Returns the delay after the given number of consecutive failures before the latest one. */
 int64_t
@@ -105,7 +105,7 @@
 /* Replaces the held state by one that is current as of read_ms. Drops it if its revision is lower:
  * state must never revert to an older one, whatever the order in which copies arrive. */
 void
-topic_take (struct StoreReader *reader, const struct Snapshot *snapshot, int64_t read_ms);
+topic_apply_snapshot (struct StoreReader *reader, const struct Snapshot *snapshot, int64_t read_ms);
 
 /* Notifies the processes that would read next that kind is being read: a list of thousands takes
  * longer than the delay after which they would read it themselves. */
@@ -120,7 +120,7 @@
 /* Returns whether this process holds the list of all servers: because it reads it, is among the
  * next to read it, or draws its zone's subset from it. */
 bool
-reader_keeps_servers (const struct StoreReader *reader);
+reader_holds_servers (const struct StoreReader *reader);
 
 /* Frees the list of all servers some time after it was last needed. */
 void
--- a/gateway/store_reader.c
+++ b/gateway/store_reader.c
@@ -47,7 +47,7 @@
 /* Calls. */
 
 void
-reader_note (struct StoreReader *reader, bool reachable, int32_t error)
+reader_set_reachable (struct StoreReader *reader, bool reachable, int32_t error)
 {
   if (reader->reachable == reachable)
     return;
@@ -81,7 +81,7 @@
   TALLOC_FREE (topic->read_items);
   topic->n_read_items = 0;
   topic->last_key[0] = '\0';
-  reader_note (reader, false, error);
+  reader_set_reachable (reader, false, error);
 }
 
 static void
@@ -94,7 +94,7 @@
   histogram_add (HISTOGRAM_STORE_CALL,
                  timer_now_ms (reader->node->timers) - topic->call_started_ms);
   topic->next_ms = 0;
-  reader_note (reader, true, ERROR_NONE);
+  reader_set_reachable (reader, true, ERROR_NONE);
 }
 
 static bool
--- a/gateway/store_topics.c
+++ b/gateway/store_topics.c
@@ -56,7 +56,7 @@
 }
 
 bool
-reader_keeps_servers (const struct StoreReader *reader)
+reader_holds_servers (const struct StoreReader *reader)
 {
   return reader->rank <= RANK_SUCCESSORS
          || peer_table_is_aggregator (reader->node->peers, timer_now_ms (reader->node->timers));
@@ -69,7 +69,7 @@
   int64_t now_ms = timer_now_ms (reader->node->timers);
 
   if (topic->snapshot == NULL || topic->reading || reader->follow.waiting
-      || reader_keeps_servers (reader))
+      || reader_holds_servers (reader))
     reader->servers_needed_ms = now_ms;
   if (now_ms - reader->servers_needed_ms < SERVERS_RETENTION_MS)
     return;
@@ -176,7 +176,7 @@
 }
 
 void
-topic_take (struct StoreReader *reader, const struct Snapshot *snapshot, int64_t read_ms)
+topic_apply_snapshot (struct StoreReader *reader, const struct Snapshot *snapshot, int64_t read_ms)
 {
   struct Topic *topic = &reader->topics[snapshot->kind];
   struct Snapshot *previous;
@@ -231,7 +231,7 @@
       snapshot->unchanged = true;
       snapshot->n_items = 0;
     }
-  topic_take (reader, snapshot, topic->current_ms);
+  topic_apply_snapshot (reader, snapshot, topic->current_ms);
   snapshot->age_ms = (uint32_t)(timer_now_ms (reader->node->timers) - topic->current_ms);
   if (changes != NULL)
     changes->age_ms = snapshot->age_ms;
@@ -297,7 +297,7 @@
     }
   if (snapshot->base == 0)
     {
-      topic_take (reader, snapshot, read_ms);
+      topic_apply_snapshot (reader, snapshot, read_ms);
       return topic->snapshot != previous;
     }
   if (snapshot->revision < topic->revision || snapshot->content == topic->content)
@@ -306,7 +306,7 @@
               ? snapshot_apply_changes (reader, topic->snapshot, snapshot)
               : NULL;
   if (whole != NULL)
-    topic_take (reader, whole, read_ms);
+    topic_apply_snapshot (reader, whole, read_ms);
   else
     topic_request_whole (reader, link, snapshot->kind);
   talloc_free (whole);
@@ -348,7 +348,7 @@
 
   /* This process does not hold the list of all servers: it records only that others have a current
    * one. */
-  if (mark->kind == SNAPSHOT_SERVERS && !reader_keeps_servers (reader))
+  if (mark->kind == SNAPSHOT_SERVERS && !reader_holds_servers (reader))
     {
       int64_t read_ms = timer_now_ms (reader->node->timers) - mark->age_ms;
 
@@ -357,7 +357,7 @@
       return;
     }
   if (topic->snapshot != NULL && topic->content == mark->content)
-    topic_take (reader, &unchanged, timer_now_ms (reader->node->timers) - mark->age_ms);
+    topic_apply_snapshot (reader, &unchanged, timer_now_ms (reader->node->timers) - mark->age_ms);
   else if (topic->snapshot == NULL || mark->revision > topic->revision
            || (mark->kind == SNAPSHOT_SUBSET && mark->revision == topic->revision))
     topic_request_whole (reader, link, mark->kind);
--- a/gateway/zone_servers.c
+++ b/gateway/zone_servers.c
@@ -27,7 +27,7 @@
                                       .content = reader->topics[SNAPSHOT_SUBSET].content,
                                       .unchanged = true };
 
-  topic_take (reader, &unchanged, servers->read_ms);
+  topic_apply_snapshot (reader, &unchanged, servers->read_ms);
 }
 
 static void
@@ -44,7 +44,7 @@
       (uint32_t)(timer_now_ms (node->timers) - reader->topics[SNAPSHOT_SERVERS].read_ms);
   /* The values of changes are owned by subset; the copy that the topic keeps has its own. */
   node_send_some (node, &message, PEERS_SERVED);
-  topic_take (reader, subset, reader->topics[SNAPSHOT_SERVERS].read_ms);
+  topic_apply_snapshot (reader, subset, reader->topics[SNAPSHOT_SERVERS].read_ms);
   talloc_free (changes);
 }
 
