--- a/core/gateway/node_status.c
+++ b/core/gateway/node_status.c
@@ -19,7 +19,7 @@
 };
 
 bool
-node_status_says_the_same (const struct NodeStatus *a, const struct NodeStatus *b)
+node_status_is_equal (const struct NodeStatus *a, const struct NodeStatus *b)
 {
   return strcmp (a->zone, b->zone) == 0 && strcmp (a->peer_address, b->peer_address) == 0
          && strcmp (a->caller_address, b->caller_address) == 0 && a->ready == b->ready
--- a/core/membership/peer_table.c
+++ b/core/membership/peer_table.c
@@ -37,7 +37,7 @@
 {
   uint64_t version = table->own.version;
 
-  if (version > 0 && node_status_says_the_same (&table->own, own))
+  if (version > 0 && node_status_is_equal (&table->own, own))
     return false;
   table->own = *own;
   table->own.version = version + 1;
@@ -165,7 +165,7 @@
   if (peer == NULL)
     return NULL;
   *changed = now_ms - peer->status_ms >= PEER_TABLE_LIVE_MS || peer->status.start != status->start
-             || !node_status_says_the_same (&peer->status, status);
+             || !node_status_is_equal (&peer->status, status);
   peer_set_status (peer, status);
   peer_note_received (peer, now_ms);
   peer->status_ms = now_ms;
--- a/include/buckthornhead/node_status.h
+++ b/include/buckthornhead/node_status.h
@@ -30,7 +30,7 @@
 
 /* Returns true if the statuses differ in node, start and version at most. */
 bool
-node_status_says_the_same (const struct NodeStatus *a, const struct NodeStatus *b);
+node_status_is_equal (const struct NodeStatus *a, const struct NodeStatus *b);
 
 struct PackWriter;
 struct PackReader;
--- a/tests/test_gateway_message.c
+++ b/tests/test_gateway_message.c
@@ -212,7 +212,7 @@
   CU_ASSERT_STRING_EQUAL (unpacked->heartbeat.status.node, "front-1");
   CU_ASSERT_EQUAL (unpacked->heartbeat.status.start, 9);
   CU_ASSERT_EQUAL (unpacked->heartbeat.status.version, 3);
-  CU_ASSERT_TRUE (node_status_says_the_same (&unpacked->heartbeat.status, &heartbeat->status));
+  CU_ASSERT_TRUE (node_status_is_equal (&unpacked->heartbeat.status, &heartbeat->status));
   CU_ASSERT_EQUAL (unpacked->heartbeat.loads[0].in_flight, 5);
   CU_ASSERT_EQUAL (unpacked->heartbeat.scope, LOADS_OF_ZONE);
   CU_ASSERT_TRUE (archive_set_has (&unpacked->heartbeat.set, "storage-1"));
