--- a/core/membership/peer_table.c
+++ b/core/membership/peer_table.c
@@ -81,7 +81,7 @@
 }
 
 struct Peer *
-peer_table_learn (struct PeerTable *table, const struct NodeStatus *status, int64_t now_ms)
+peer_table_add_known (struct PeerTable *table, const struct NodeStatus *status, int64_t now_ms)
 {
   if (peer_table_is_own (table, status->node) || peer_table_find (table, status->node) != NULL)
     return NULL;
@@ -141,17 +141,17 @@
 }
 
 void
-peer_note_asked (struct Peer *peer, int64_t now_ms)
+peer_record_request (struct Peer *peer, int64_t now_ms)
 {
   if (peer->unanswered_since_ms == 0)
     peer->unanswered_since_ms = now_ms;
 }
 
 struct Peer *
-peer_table_take_heartbeat (struct PeerTable *table,
-                           const struct Heartbeat *heartbeat,
-                           int64_t now_ms,
-                           bool *changed)
+peer_table_handle_heartbeat (struct PeerTable *table,
+                             const struct Heartbeat *heartbeat,
+                             int64_t now_ms,
+                             bool *changed)
 {
   const struct NodeStatus *status = &heartbeat->status;
   struct Peer *peer;
@@ -286,7 +286,7 @@
 }
 
 void
-peer_table_forget_silent (struct PeerTable *table,
+peer_table_remove_silent (struct PeerTable *table,
                           int64_t now_ms,
                           void (*forgotten) (void *data, const struct Peer *peer),
                           void *data)
@@ -392,10 +392,10 @@
 }
 
 bool
-peer_table_take_list (struct PeerTable *table,
-                      const char *aggregator,
-                      const struct Snapshot *snapshot,
-                      int64_t now_ms)
+peer_table_apply_list (struct PeerTable *table,
+                       const char *aggregator,
+                       const struct Snapshot *snapshot,
+                       int64_t now_ms)
 {
   struct PeerListSource *source = source_find_or_add (table, aggregator, snapshot->kind, now_ms);
 
--- a/gateway/node.c
+++ b/gateway/node.c
@@ -240,7 +240,7 @@
 
   node_announce (node);
   node_check_links (node, now_ms);
-  peer_table_forget_silent (node->peers, now_ms, node_on_forgotten, node);
+  peer_table_remove_silent (node->peers, now_ms, node_on_forgotten, node);
 }
 
 static void
--- a/gateway/node.h
+++ b/gateway/node.h
@@ -110,7 +110,7 @@
 
 /* Adds a process that the store, a seed or a file lists. */
 void
-node_learn_peer (struct Node *node, const struct NodeStatus *status);
+node_add_peer (struct Node *node, const struct NodeStatus *status);
 
 /* Adopts a set of archives from the store or a peer if it is newer, and announces it to the peers.
  */
--- a/gateway/node_directory.c
+++ b/gateway/node_directory.c
@@ -65,7 +65,7 @@
       if (name != NULL && strcmp (name, "/" ARCHIVE_SET_KEY) == 0)
         take_set (node, item);
       else if (entry_read (item, &status))
-        node_learn_peer (node, &status);
+        node_add_peer (node, &status);
     }
   node_announce (node);
 }
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -17,9 +17,9 @@
 };
 
 void
-node_learn_peer (struct Node *node, const struct NodeStatus *status)
+node_add_peer (struct Node *node, const struct NodeStatus *status)
 {
-  struct Peer *peer = peer_table_learn (node->peers, status, timer_now_ms (node->timers));
+  struct Peer *peer = peer_table_add_known (node->peers, status, timer_now_ms (node->timers));
 
   if (peer != NULL)
     peer_net_know (node->net, status->node, status->peer_address);
@@ -100,7 +100,8 @@
   bool changed;
 
   node_answer (node, link, &alive);
-  peer = peer_table_take_heartbeat (node->peers, heartbeat, timer_now_ms (node->timers), &changed);
+  peer =
+      peer_table_handle_heartbeat (node->peers, heartbeat, timer_now_ms (node->timers), &changed);
   if (peer == NULL || strcmp (sender, name) != 0)
     return;
   if (!was_live)
@@ -119,7 +120,7 @@
 static void
 node_handle_list (struct Node *node, uint64_t link, const char *sender, const struct Snapshot *list)
 {
-  if (!peer_table_take_list (node->peers, sender, list, timer_now_ms (node->timers)))
+  if (!peer_table_apply_list (node->peers, sender, list, timer_now_ms (node->timers)))
     {
       node_request_list (node, link, sender, list->kind);
       return;
--- a/gateway/node_send.c
+++ b/gateway/node_send.c
@@ -62,7 +62,7 @@
   struct Peer *peer = node_peer (node, name);
 
   if (peer != NULL && message_expects_reply (kind))
-    peer_note_asked (peer, timer_now_ms (node->timers));
+    peer_record_request (peer, timer_now_ms (node->timers));
 }
 
 int32_t
--- a/gateway/seeds.c
+++ b/gateway/seeds.c
@@ -188,7 +188,7 @@
   for (size_t i = 0; i < contacts->n_items; i++)
     if (node_status_decode (contacts->items[i].value, contacts->items[i].value_bytes, &status)
         == ERROR_NONE)
-      node_learn_peer (node, &status);
+      node_add_peer (node, &status);
   if (!seeds->answered)
     log_event (LOG_LEVEL_INFO, "seed_answered", NULL, NULL, "%zu processes received after %lld ms",
                contacts->n_items, (long long)(timer_now_ms (node->timers) - node->started_ms));
--- a/include/buckthornhead/peer_table.h
+++ b/include/buckthornhead/peer_table.h
@@ -122,24 +122,24 @@
 /* Adds a process that the store or a peer's list names; status has at least a name and an address.
  * Returns the peer if it is new, else NULL. */
 struct Peer *
-peer_table_learn (struct PeerTable *table, const struct NodeStatus *status, int64_t now_ms);
+peer_table_add_known (struct PeerTable *table, const struct NodeStatus *status, int64_t now_ms);
 
 /* Handles a heartbeat that describes another process. Returns its peer; NULL without memory, or if
  * the heartbeat describes this process. Sets *changed if the status differs or the peer was not
  * live before. */
 struct Peer *
-peer_table_take_heartbeat (struct PeerTable *table,
-                           const struct Heartbeat *heartbeat,
-                           int64_t now_ms,
-                           bool *changed);
+peer_table_handle_heartbeat (struct PeerTable *table,
+                             const struct Heartbeat *heartbeat,
+                             int64_t now_ms,
+                             bool *changed);
 
 /* Applies a list from an aggregator, full or as changes. Returns false if the changes are based on
  * a list other than the stored one, or if an item is malformed: the full list is needed. */
 bool
-peer_table_take_list (struct PeerTable *table,
-                      const char *aggregator,
-                      const struct Snapshot *snapshot,
-                      int64_t now_ms);
+peer_table_apply_list (struct PeerTable *table,
+                       const char *aggregator,
+                       const struct Snapshot *snapshot,
+                       int64_t now_ms);
 
 /* Confirms that the stored list is the aggregator's current one. Returns false if it differs. */
 bool
@@ -154,7 +154,7 @@
 
 /* Records that the peer was sent a request to which it replies at once. */
 void
-peer_note_asked (struct Peer *peer, int64_t now_ms);
+peer_record_request (struct Peer *peer, int64_t now_ms);
 
 /* Returns whether the peer has recently sent a message to this process or is on a valid list. */
 bool
@@ -259,7 +259,7 @@
 /* Removes the peers that have been silent for PEER_TABLE_FORGET_MS, after passing each one to
  * forgotten. */
 void
-peer_table_forget_silent (struct PeerTable *table,
+peer_table_remove_silent (struct PeerTable *table,
                           int64_t now_ms,
                           void (*forgotten) (void *data, const struct Peer *peer),
                           void *data);
--- a/tests/test_peer_table.c
+++ b/tests/test_peer_table.c
@@ -41,7 +41,7 @@
   struct Heartbeat heartbeat = { .status = status_of (node, zone), .scope = scope };
   bool changed;
 
-  return peer_table_take_heartbeat (table, &heartbeat, now, &changed);
+  return peer_table_handle_heartbeat (table, &heartbeat, now, &changed);
 }
 
 /* Publishes from's list and delivers it to to. Returns false if to needs the full list. */
@@ -54,7 +54,7 @@
 
   if (list != NULL)
     {
-      fits = peer_table_take_list (to, from->own.node, list, now);
+      fits = peer_table_apply_list (to, from->own.node, list, now);
       talloc_free (list);
       return fits;
     }
@@ -164,10 +164,10 @@
   struct Heartbeat heartbeat = { .status = status_of ("m", "z") };
   bool changed;
 
-  peer_table_take_heartbeat (late, &heartbeat, START_MS, &changed);
+  peer_table_handle_heartbeat (late, &heartbeat, START_MS, &changed);
   heartbeat.status.version = 2;
   heartbeat.status.config_version = 7;
-  peer_table_take_heartbeat (quick, &heartbeat, START_MS, &changed);
+  peer_table_handle_heartbeat (quick, &heartbeat, START_MS, &changed);
   CU_ASSERT_TRUE (send_list (quick, member, SNAPSHOT_FLEET, START_MS));
   CU_ASSERT_EQUAL (config_version_of (member, "m"), 7);
   CU_ASSERT_TRUE (send_list (late, member, SNAPSHOT_FLEET, START_MS));
@@ -188,13 +188,13 @@
 
   heartbeat.status.start = 500;
   heartbeat.status.version = 40;
-  peer_table_take_heartbeat (aggregator, &heartbeat, now, &changed);
+  peer_table_handle_heartbeat (aggregator, &heartbeat, now, &changed);
   CU_ASSERT_TRUE (send_list (aggregator, member, SNAPSHOT_FLEET, now));
   heartbeat.status.start = 3;
   heartbeat.status.version = 1;
   heartbeat.status.ready = false;
   now += 300;
-  peer_table_take_heartbeat (aggregator, &heartbeat, now, &changed);
+  peer_table_handle_heartbeat (aggregator, &heartbeat, now, &changed);
   CU_ASSERT_TRUE (changed);
   CU_ASSERT_TRUE (send_list (aggregator, member, SNAPSHOT_FLEET, now));
   CU_ASSERT_FALSE (peer_table_find (member, "m")->status.ready);
@@ -221,7 +221,7 @@
   receive_heartbeat (a, "next", "z", LOADS_OF_PROCESS, START_MS);
   CU_ASSERT_FALSE (send_list (a, member, SNAPSHOT_FLEET, START_MS));
   CU_ASSERT_TRUE (
-      peer_table_take_list (member, "a", peer_table_published (a, SNAPSHOT_FLEET), START_MS));
+      peer_table_apply_list (member, "a", peer_table_published (a, SNAPSHOT_FLEET), START_MS));
   CU_ASSERT_TRUE (is_live (member, "lost", START_MS));
   CU_ASSERT_TRUE (is_live (member, "next", START_MS));
   talloc_free (ctx);
@@ -240,17 +240,17 @@
   bool changed;
 
   archive.status.is_archive = true;
-  peer_table_take_heartbeat (table, &archive, START_MS, &changed);
+  peer_table_handle_heartbeat (table, &archive, START_MS, &changed);
   CU_ASSERT_EQUAL (peer_table_aggregators (table, "z", START_MS, names), 1);
   CU_ASSERT_STRING_EQUAL (names[0], "a");
-  peer_table_take_heartbeat (table, &leaving, START_MS, &changed);
+  peer_table_handle_heartbeat (table, &leaving, START_MS, &changed);
   CU_ASSERT_EQUAL (peer_table_aggregators (table, "z", START_MS, names), 2);
   leaving.status.leaving = true;
-  peer_table_take_heartbeat (table, &leaving, START_MS, &changed);
+  peer_table_handle_heartbeat (table, &leaving, START_MS, &changed);
   CU_ASSERT_EQUAL (peer_table_aggregators (table, "z", START_MS, names), 1);
   archive.status = status_of ("storage-2", "y");
   archive.status.is_archive = true;
-  peer_table_take_heartbeat (table, &archive, START_MS, &changed);
+  peer_table_handle_heartbeat (table, &archive, START_MS, &changed);
   CU_ASSERT_EQUAL_FATAL (peer_table_aggregators (table, "y", START_MS, names), 1);
   CU_ASSERT_STRING_EQUAL (names[0], "storage-2");
   talloc_free (ctx);
@@ -278,7 +278,7 @@
   };
   bool changed;
 
-  peer_table_take_heartbeat (table, &heartbeat, START_MS, &changed);
+  peer_table_handle_heartbeat (table, &heartbeat, START_MS, &changed);
 }
 
 /* Guards against requests in flight to a server being counted twice because both aggregators of
@@ -326,7 +326,7 @@
 
   receive_heartbeat (table, "gone", "z", LOADS_OF_PROCESS, START_MS);
   receive_heartbeat (table, "stays", "z", LOADS_OF_PROCESS, START_MS + PEER_TABLE_FORGET_MS);
-  peer_table_forget_silent (table, START_MS + PEER_TABLE_FORGET_MS, count_forgotten, &n_forgotten);
+  peer_table_remove_silent (table, START_MS + PEER_TABLE_FORGET_MS, count_forgotten, &n_forgotten);
   CU_ASSERT_EQUAL (n_forgotten, 1);
   CU_ASSERT_PTR_NULL (peer_table_find (table, "gone"));
   CU_ASSERT_PTR_NOT_NULL (peer_table_find (table, "stays"));
--- a/tests/test_peer_table_fleet.c
+++ b/tests/test_peer_table_fleet.c
@@ -80,7 +80,7 @@
   struct Peer *peer = peer_table_find (from->table, fleet->members[to].name);
 
   if (peer != NULL && message->kind == GATEWAY_HEARTBEAT)
-    peer_note_asked (peer, fleet->now_ms);
+    peer_record_request (peer, fleet->now_ms);
   queued->from = (uint32_t)(from - fleet->members);
   queued->to = to;
   queued->message = talloc_reference (queued, message);
@@ -248,7 +248,7 @@
 {
   m->has_nodes = true;
   for (uint32_t i = 0; i < fleet->n; i++)
-    peer_table_learn (m->table, &fleet->members[i].table->own, fleet->now_ms);
+    peer_table_add_known (m->table, &fleet->members[i].table->own, fleet->now_ms);
 }
 
 static void
@@ -262,7 +262,7 @@
   bool reported = before != NULL && before->reported_ms > 0;
   bool changed;
 
-  peer_table_take_heartbeat (m->table, heartbeat, fleet->now_ms, &changed);
+  peer_table_handle_heartbeat (m->table, heartbeat, fleet->now_ms, &changed);
   if (!m->has_nodes && fleet->members[from].has_nodes)
     member_add_all (fleet, m);
   for (size_t i = 0; i < heartbeat->n_marks; i++)
@@ -296,8 +296,8 @@
       talloc_unlink (NULL, alive);
       break;
     case GATEWAY_SNAPSHOT:
-      if (!peer_table_take_list (m->table, fleet->members[from].name, &message->snapshot,
-                                 fleet->now_ms))
+      if (!peer_table_apply_list (m->table, fleet->members[from].name, &message->snapshot,
+                                  fleet->now_ms))
         member_request_list (fleet, m, from, message->snapshot.kind);
       else if (message->snapshot.kind == SNAPSHOT_ZONE)
         member_publish_soon (fleet, m);
@@ -339,7 +339,7 @@
   if (m->heartbeat_ms <= fleet->now_ms) /* the member was frozen */
     m->heartbeat_ms = fleet->now_ms + HEARTBEAT_MS;
   member_send_heartbeats (fleet, m);
-  peer_table_forget_silent (m->table, fleet->now_ms, ignore_forgotten, NULL);
+  peer_table_remove_silent (m->table, fleet->now_ms, ignore_forgotten, NULL);
 }
 
 static void
@@ -421,7 +421,7 @@
       member_start (fleet, i);
       m->has_nodes = true;
       for (uint32_t j = 0; j < i; j++)
-        peer_table_learn (m->table, &fleet->members[j].table->own, fleet->now_ms);
+        peer_table_add_known (m->table, &fleet->members[j].table->own, fleet->now_ms);
     }
   return fleet;
 }
