--- a/core/membership/peer_aggregators.c
+++ b/core/membership/peer_aggregators.c
@@ -81,7 +81,7 @@
       const struct Peer *peer = table->peers[i];
 
       if (!peer->status.is_archive && strcmp (peer->status.zone, zone) == 0
-          && last_ms - peer_seen_ms (table, peer) < PEER_TABLE_TOGETHER_MS)
+          && last_ms - peer_seen_ms (table, peer) < PEER_TABLE_COMMON_LOSS_MS)
         choice_offer (&choice, peer->status.node, peer->rank ^ mask);
     }
   return choice;
@@ -215,7 +215,7 @@
     return false;
   /* Silent members are served as well: a process that restarts during an outage of the store
    * receives its list of processes this way. */
-  return (aggregates && now_ms - peer_seen_ms (table, peer) < PEER_TABLE_CALL_MS)
+  return (aggregates && now_ms - peer_seen_ms (table, peer) < PEER_TABLE_SERVE_SILENT_MS)
          || (peer->reported_ms > 0 && now_ms - peer->reported_ms < PEER_TABLE_LIVE_MS);
 }
 
@@ -227,7 +227,7 @@
       struct Peer *peer = table->peers[table->next_silent++ % table->n_peers];
 
       if (strcmp (peer->status.zone, table->own.zone) == 0
-          && now_ms - peer_seen_ms (table, peer) >= PEER_TABLE_CALL_MS)
+          && now_ms - peer_seen_ms (table, peer) >= PEER_TABLE_SERVE_SILENT_MS)
         return peer;
     }
   return NULL;
--- a/core/membership/peer_table.c
+++ b/core/membership/peer_table.c
@@ -223,7 +223,7 @@
                            bool aggregates,
                            int64_t now_ms)
 {
-  int64_t share_ms = (int64_t)table->n_peers * PEER_TABLE_PROBE_SHARE_MS;
+  int64_t share_ms = (int64_t)table->n_peers * PEER_TABLE_PROBE_PER_PROCESS_MS;
 
   if (aggregates || table->own.is_archive || share_ms < PEER_TABLE_PROBE_AFTER_MS
       || !peer_is_listed (table, peer, SNAPSHOT_FLEET, now_ms))
@@ -295,7 +295,7 @@
 
   HASH_ITER (hh, table->by_name, peer, next)
   {
-    if (now_ms - peer_seen_ms (table, peer) < PEER_TABLE_FORGET_MS)
+    if (now_ms - peer_seen_ms (table, peer) < PEER_TABLE_REMOVE_MS)
       continue;
     HASH_DEL (table->by_name, peer);
     forgotten (data, peer);
--- a/include/buckthornhead/peer_table.h
+++ b/include/buckthornhead/peer_table.h
@@ -35,20 +35,20 @@
   PEER_TABLE_SILENT_MS = 1100,
   /* An aggregator sends heartbeats and lists to silent members at each heartbeat for this long,
    * and after it to one of them at a time. */
-  PEER_TABLE_CALL_MS = 30 * 1000,
+  PEER_TABLE_SERVE_SILENT_MS = 30 * 1000,
   /* A peer that has been silent for this long is removed. Regions can lose contact for an hour, and
    * reconnect through the peers that they have kept. */
-  PEER_TABLE_FORGET_MS = 2 * 60 * 60 * 1000,
+  PEER_TABLE_REMOVE_MS = 2 * 60 * 60 * 1000,
   /* Processes of an unreachable zone that were last seen within this time of each other are assumed
    * to have become unreachable together. */
-  PEER_TABLE_TOGETHER_MS = 5000,
+  PEER_TABLE_COMMON_LOSS_MS = 5000,
   /* An archive is probed if its link has received nothing for this long; also the shortest time
    * between two probes of a peer. */
   PEER_TABLE_PROBE_AFTER_MS = 400,
   /* Members whose aggregator lists the archive probe it at an interval of this many milliseconds
    * per process of the fleet, so that an archive receives about 300 probes per second at any size
    * of the fleet. */
-  PEER_TABLE_PROBE_SHARE_MS = 3,
+  PEER_TABLE_PROBE_PER_PROCESS_MS = 3,
   PEER_TABLE_AGGREGATORS = 2, /* per zone, so that one can fail without an interruption */
   PEER_TABLE_ZONES_MAX = 64,
   /* Processes per zone that a seed returns to a starting process: the aggregators, and the same
@@ -223,8 +223,8 @@
                    bool aggregates,
                    int64_t now_ms);
 
-/* Returns the next member, in rotation, that has been silent for PEER_TABLE_CALL_MS: it is sent a
- * heartbeat, in case the zone was partitioned. NULL if there is none. */
+/* Returns the next member, in rotation, that has been silent for PEER_TABLE_SERVE_SILENT_MS: it is
+ * sent a heartbeat, in case the zone was partitioned. NULL if there is none. */
 struct Peer *
 peer_table_next_silent (struct PeerTable *table, int64_t now_ms);
 
@@ -256,7 +256,7 @@
                   int64_t now_ms,
                   size_t *n_loads);
 
-/* Removes the peers that have been silent for PEER_TABLE_FORGET_MS, after passing each one to
+/* Removes the peers that have been silent for PEER_TABLE_REMOVE_MS, after passing each one to
  * forgotten. */
 void
 peer_table_remove_silent (struct PeerTable *table,
--- a/tests/test_peer_table.c
+++ b/tests/test_peer_table.c
@@ -325,8 +325,8 @@
   int n_forgotten = 0;
 
   receive_heartbeat (table, "gone", "z", LOADS_OF_PROCESS, START_MS);
-  receive_heartbeat (table, "stays", "z", LOADS_OF_PROCESS, START_MS + PEER_TABLE_FORGET_MS);
-  peer_table_remove_silent (table, START_MS + PEER_TABLE_FORGET_MS, count_forgotten, &n_forgotten);
+  receive_heartbeat (table, "stays", "z", LOADS_OF_PROCESS, START_MS + PEER_TABLE_REMOVE_MS);
+  peer_table_remove_silent (table, START_MS + PEER_TABLE_REMOVE_MS, count_forgotten, &n_forgotten);
   CU_ASSERT_EQUAL (n_forgotten, 1);
   CU_ASSERT_PTR_NULL (peer_table_find (table, "gone"));
   CU_ASSERT_PTR_NOT_NULL (peer_table_find (table, "stays"));
