--- a/core/membership/peer_aggregators.c
+++ b/core/membership/peer_aggregators.c
@@ -39,7 +39,7 @@
           && now_ms - peer->unanswered_since_ms >= PEER_TABLE_SILENT_MS))
     return false;
   return peer_table_is_live (table, peer, now_ms)
-         || (now_ms - peer->known_ms < PEER_TABLE_NEW_MS && !peer_is_refused (peer, now_ms));
+         || (now_ms - peer->added_ms < PEER_TABLE_NEW_MS && !peer_is_refused (peer, now_ms));
 }
 
 static struct AggregatorChoice
--- a/core/membership/peer_table.c
+++ b/core/membership/peer_table.c
@@ -67,7 +67,7 @@
   if (peer == NULL)
     return NULL;
   peer_set_status (peer, status);
-  peer->known_ms = now_ms;
+  peer->added_ms = now_ms;
   peer->rank = name_rank (status->node);
   table->peers[table->n_peers++] = peer;
   HASH_ADD_KEYPTR (hh, table->by_name, peer->status.node, strlen (peer->status.node), peer);
@@ -259,7 +259,7 @@
 int64_t
 peer_seen_ms (const struct PeerTable *table, const struct Peer *peer)
 {
-  int64_t seen_ms = peer->received_ms > peer->known_ms ? peer->received_ms : peer->known_ms;
+  int64_t seen_ms = peer->received_ms > peer->added_ms ? peer->received_ms : peer->added_ms;
 
   if (peer->listed_ms > seen_ms)
     seen_ms = peer->listed_ms;
--- a/gateway/archive_member.c
+++ b/gateway/archive_member.c
@@ -108,9 +108,9 @@
   if (result->error == ERROR_CONFLICT && result->n_entries == 1
       && archive_set_decode (result->entries[0].value, result->entries[0].value_bytes, &set)
              == ERROR_NONE)
-    node_take_set (member->node, &set);
+    node_adopt_set (member->node, &set);
   else if (result->error == ERROR_NONE)
-    node_take_set (member->node, &member->new_set);
+    node_adopt_set (member->node, &member->new_set);
   member_finish_step (member, result->error);
 }
 
@@ -134,7 +134,7 @@
       member_finish_step (member, error);
       return;
     }
-  node_take_set (member->node, &stored);
+  node_adopt_set (member->node, &stored);
   if (!archive_set_step (&stored, &member->step, member->node->settings->tolerated, &next)
       || archive_set_encode (member, &next, &bytes, &n_bytes) != ERROR_NONE)
     {
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -71,7 +71,7 @@
 
       n += !peer->status.is_archive && !peer->status.leaving
            && strcmp (peer->status.zone, zone) == 0
-           && (node_peer_is_live (node, peer) || now_ms - peer->known_ms < DIRECTORY_EXPECT_MS);
+           && (node_peer_is_live (node, peer) || now_ms - peer->added_ms < DIRECTORY_EXPECT_MS);
     }
   return n;
 }
--- a/gateway/node.c
+++ b/gateway/node.c
@@ -66,7 +66,7 @@
 }
 
 void
-node_take_set (struct Node *node, const struct ArchiveSet *set)
+node_adopt_set (struct Node *node, const struct ArchiveSet *set)
 {
   if (set->generation <= node->set.generation)
     return;
@@ -79,7 +79,7 @@
 }
 
 bool
-node_peer_answers (const struct Node *node, const struct Peer *peer)
+node_peer_is_responsive (const struct Node *node, const struct Peer *peer)
 {
   return (peer->unanswered_since_ms == 0
           || timer_now_ms (node->timers) - peer->unanswered_since_ms < PEER_RESPONSE_MS)
@@ -96,7 +96,7 @@
     {
       const struct Peer *peer = node_peer (node, targets.names[i]);
 
-      if (peer != NULL && node_peer_answers (node, peer))
+      if (peer != NULL && node_peer_is_responsive (node, peer))
         archive_names_add (&reached, targets.names[i]);
     }
   return archive_set_is_written (&node->set, node->settings->tolerated, &reached)
@@ -111,7 +111,7 @@
   if (!peer_table_receives (table, CUT_OFF_MS, timer_now_ms (node->timers)))
     return false;
   for (size_t i = 0; i < table->n_peers; i++)
-    if (table->peers[i]->status.reaches_archives && node_peer_answers (node, table->peers[i]))
+    if (table->peers[i]->status.reaches_archives && node_peer_is_responsive (node, table->peers[i]))
       return true;
   return false;
 }
@@ -121,7 +121,7 @@
 {
   const struct Peer *peer = node_peer (node, archive);
 
-  if (peer != NULL && node_peer_answers (node, peer))
+  if (peer != NULL && node_peer_is_responsive (node, peer))
     return node_send (node, archive, message);
   if (relay_send (node, archive, message) == ERROR_NONE)
     return ERROR_NONE;
--- a/gateway/node.h
+++ b/gateway/node.h
@@ -115,7 +115,7 @@
 /* Adopts a set of archives from the store or a peer if it is newer, and announces it to the peers.
  */
 void
-node_take_set (struct Node *node, const struct ArchiveSet *set);
+node_adopt_set (struct Node *node, const struct ArchiveSet *set);
 
 bool
 node_is_archive (const struct Node *node);
@@ -126,7 +126,7 @@
 
 /* Returns whether the peer is live and has replied to this process's requests in time. */
 bool
-node_peer_answers (const struct Node *node, const struct Peer *peer);
+node_peer_is_responsive (const struct Node *node, const struct Peer *peer);
 
 /* Returns whether enough archives for a turn reply over direct links. */
 bool
--- a/gateway/node_directory.c
+++ b/gateway/node_directory.c
@@ -22,7 +22,7 @@
   struct ArchiveSet set;
 
   if (archive_set_decode (item->value, item->value_bytes, &set) == ERROR_NONE)
-    node_take_set (node, &set);
+    node_adopt_set (node, &set);
   else
     log_event (LOG_LEVEL_ERROR, "archive_set_malformed", NULL,
                "run the same version on all instances", "%s", item->key);
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -108,7 +108,7 @@
     log_event (LOG_LEVEL_INFO, "peer_live", NULL, NULL, "%s at %s", name,
                heartbeat->status.peer_address);
   peer_net_know (node->net, name, heartbeat->status.peer_address);
-  node_take_set (node, &heartbeat->set);
+  node_adopt_set (node, &heartbeat->set);
   node_handle_marks (node, link, sender, heartbeat);
   if (changed)
     node_publish_soon (node);
--- a/gateway/relay.c
+++ b/gateway/relay.c
@@ -72,7 +72,7 @@
     {
       const struct Peer *peer = node->peers->peers[(*at)++ % node->peers->n_peers];
 
-      if (peer->status.reaches_archives && node_peer_answers (node, peer))
+      if (peer->status.reaches_archives && node_peer_is_responsive (node, peer))
         return peer;
     }
   return NULL;
--- a/gateway/slots.c
+++ b/gateway/slots.c
@@ -92,7 +92,7 @@
 
       if (status->ready && status->caller_address[0] != '\0'
           && (zone == NULL || strcmp (status->zone, zone) == 0)
-          && node_peer_answers (node, node->peers->peers[i]))
+          && node_peer_is_responsive (node, node->peers->peers[i]))
         owner_choice_consider (&choice, status->node, server_hash);
     }
   return choice.name;
--- a/gateway/store_topics.c
+++ b/gateway/store_topics.c
@@ -38,7 +38,7 @@
   return !peer->status.leaving
          && (node_peer_is_live (node, peer)
              || (peer->refused_ms == 0
-                 && timer_now_ms (node->timers) - peer->known_ms < PEER_TABLE_NEW_MS));
+                 && timer_now_ms (node->timers) - peer->added_ms < PEER_TABLE_NEW_MS));
 }
 
 /* Returns the position of this process among those that may read, in an order common to all of
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -39,7 +39,7 @@
       const struct Peer *peer = node_peer (node, asked.names[i]);
 
       snprintf (candidates[i].name, sizeof candidates[i].name, "%s", asked.names[i]);
-      candidates[i].responsive = peer != NULL && node_peer_answers (node, peer);
+      candidates[i].responsive = peer != NULL && node_peer_is_responsive (node, peer);
       candidates[i].in_zone = peer != NULL && strcmp (peer->status.zone, node->settings->zone) == 0;
     }
   archive_order_sort (candidates, asked.n, request->caller.program);
--- a/include/buckthornhead/peer_table.h
+++ b/include/buckthornhead/peer_table.h
@@ -62,7 +62,7 @@
 struct Peer
 {
   struct NodeStatus status; /* the latest one, from its own heartbeat or from a list */
-  int64_t known_ms;         /* when it was added to the table */
+  int64_t added_ms;         /* when it was added to the table */
   int64_t received_ms;      /* last message from the peer itself; 0: none */
   int64_t status_ms;        /* last heartbeat from the peer itself; 0: none */
   int64_t reported_ms;      /* last heartbeat that it sent to this process as its aggregator */
