--- a/adapters/peer_net.c
+++ b/adapters/peer_net.c
@@ -491,7 +491,7 @@
 }
 
 void
-peer_net_know (struct PeerNet *net, const char *instance, const char *address)
+peer_net_set_address (struct PeerNet *net, const char *instance, const char *address)
 {
   struct PeerEntry *peer = peer_net_find_peer (net, instance);
 
@@ -515,7 +515,7 @@
 }
 
 void
-peer_net_forget (struct PeerNet *net, const char *instance)
+peer_net_remove (struct PeerNet *net, const char *instance)
 {
   struct PeerEntry *peer = peer_net_find_peer (net, instance);
 
@@ -530,7 +530,7 @@
 }
 
 void
-peer_net_drop (struct PeerNet *net, const char *instance)
+peer_net_reset_link (struct PeerNet *net, const char *instance)
 {
   struct PeerEntry *peer = peer_net_find_peer (net, instance);
 
--- a/daemon/fleet.c
+++ b/daemon/fleet.c
@@ -151,8 +151,8 @@
   while (*at != NULL)
     if (now_ms - (*at)->received_ms >= HEARTBEAT_TIMEOUT_MS)
       {
-        peer_net_drop (fleet->core->net, (*at)->instance);
-        peer_net_forget (fleet->core->net, (*at)->instance);
+        peer_net_reset_link (fleet->core->net, (*at)->instance);
+        peer_net_remove (fleet->core->net, (*at)->instance);
         fleet_former_remove (at);
       }
     else
@@ -229,7 +229,7 @@
 
       if (*former != NULL)
         fleet_former_remove (former);
-      peer_net_know (fleet->core->net, copy[i].instance, copy[i].peer_address);
+      peer_net_set_address (fleet->core->net, copy[i].instance, copy[i].peer_address);
     }
   talloc_free (old_members);
   fleet_prune_lost (fleet);
@@ -361,7 +361,7 @@
       log_event (LOG_LEVEL_WARNING, "member_suspected", NULL,
                  "check whether the instance is running", "%s was silent for %d ms",
                  member->instance, HEARTBEAT_TIMEOUT_MS);
-      peer_net_drop (fleet->core->net, member->instance);
+      peer_net_reset_link (fleet->core->net, member->instance);
     }
   fleet_drop_silent_former (fleet, now_ms);
   if (changed)
--- a/gateway/node.c
+++ b/gateway/node.c
@@ -198,7 +198,7 @@
   log_event (LOG_LEVEL_WARNING, "peer_link_silent", NULL, NULL, "%s: no reply for %lld ms", name,
              (long long)(now_ms - peer->unanswered_since_ms));
   peer->link_received_ms = now_ms;
-  peer_net_drop (node->net, name);
+  peer_net_reset_link (node->net, name);
 }
 
 static void
@@ -229,7 +229,7 @@
 
   log_event (LOG_LEVEL_INFO, "peer_forgotten", NULL, NULL, "%s: removed after a long silence",
              peer->status.node);
-  peer_net_forget (node->net, peer->status.node);
+  peer_net_remove (node->net, peer->status.node);
 }
 
 static void
--- a/gateway/node_receive.c
+++ b/gateway/node_receive.c
@@ -22,7 +22,7 @@
   struct Peer *peer = peer_table_add_known (node->peers, status, timer_now_ms (node->timers));
 
   if (peer != NULL)
-    peer_net_know (node->net, status->node, status->peer_address);
+    peer_net_set_address (node->net, status->node, status->peer_address);
 }
 
 /* Stores the addresses of the processes in list for dialling. */
@@ -34,7 +34,7 @@
       const struct Peer *peer = node_peer (node, list->items[i].key);
 
       if (peer != NULL && !list->items[i].removed)
-        peer_net_know (node->net, peer->status.node, peer->status.peer_address);
+        peer_net_set_address (node->net, peer->status.node, peer->status.peer_address);
     }
 }
 
@@ -107,7 +107,7 @@
   if (!was_live)
     log_event (LOG_LEVEL_INFO, "peer_live", NULL, NULL, "%s at %s", name,
                heartbeat->status.peer_address);
-  peer_net_know (node->net, name, heartbeat->status.peer_address);
+  peer_net_set_address (node->net, name, heartbeat->status.peer_address);
   node_adopt_set (node, &heartbeat->set);
   node_handle_marks (node, link, sender, heartbeat);
   if (changed)
--- a/gateway/seeds.c
+++ b/gateway/seeds.c
@@ -66,7 +66,7 @@
         seeds->has_own = true;
       else if (n > 0)
         {
-          peer_net_know (seeds->node->net, address, address);
+          peer_net_set_address (seeds->node->net, address, address);
           seeds->n++;
         }
       at += n + (at[n] == ',');
--- a/include/buckthornhead/peer_net.h
+++ b/include/buckthornhead/peer_net.h
@@ -59,15 +59,15 @@
 void
 peer_net_set_incarnation (struct PeerNet *net, const char *incarnation);
 
-/* Adds instance as a peer at address, or changes its address. peer_net_forget removes it again. */
+/* Adds instance as a peer at address, or changes its address. peer_net_remove removes it again. */
 void
-peer_net_know (struct PeerNet *net, const char *instance, const char *address);
+peer_net_set_address (struct PeerNet *net, const char *instance, const char *address);
 void
-peer_net_forget (struct PeerNet *net, const char *instance);
+peer_net_remove (struct PeerNet *net, const char *instance);
 
 /* Closes the dialled link to instance, which does not respond, so that it is dialled anew. */
 void
-peer_net_drop (struct PeerNet *net, const char *instance);
+peer_net_reset_link (struct PeerNet *net, const char *instance);
 
 /* Returns the link for requests to instance, or PEER_LINK_NONE while there is none. With
  * dial_on_need the link is dialled now if necessary, and queues messages until it is connected. */
