--- a/adapters/peer_net.c
+++ b/adapters/peer_net.c
@@ -291,7 +291,7 @@
   if (peer == NULL || (!refused && peer->n_refused == 0))
     return;
   peer->n_refused = refused ? peer->n_refused + 1 : 0;
-  options->refused (options->data, peer->instance, peer->n_refused);
+  options->connect_refused (options->data, peer->instance, peer->n_refused);
 }
 
 static bool
@@ -394,7 +394,7 @@
   struct PeerNet *net = data;
 
   int64_t now_ms = timer_now_ms (net->timers);
-  bool on_demand = net->options.dial_on_need;
+  bool on_demand = net->options.dial_on_demand;
 
   for (struct PeerEntry *p = net->peers; p != NULL; p = p->hh.next)
     {
@@ -510,7 +510,7 @@
   snprintf (peer->address, sizeof peer->address, "%s", address);
   if (peer->link != NULL)
     peer_link_close (peer->link, "the address of the instance has changed");
-  if (!net->options.dial_on_need)
+  if (!net->options.dial_on_demand)
     peer_net_dial (net, peer);
 }
 
@@ -541,7 +541,7 @@
 uint64_t
 peer_net_link_to (struct PeerNet *net, const char *instance)
 {
-  bool on_demand = net->options.dial_on_need;
+  bool on_demand = net->options.dial_on_demand;
   struct PeerEntry *peer;
   int64_t now_ms;
 
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -361,7 +361,7 @@
   net.zone = settings->zone;
   net.received = daemon_on_message;
   net.closed = daemon_on_link_closed;
-  net.refused = daemon_on_refused;
+  net.connect_refused = daemon_on_refused;
   net.data = daemon;
   core->net = peer_net_new (core, core->events, core->timers, &net);
   core->pool = backend_pool_new (core, settings->backend_threads, core->mailbox);
--- a/gateway/node.c
+++ b/gateway/node.c
@@ -262,10 +262,10 @@
     .listen = node->settings->peer_listen,
     .instance = node->settings->instance,
     .zone = node->settings->zone,
-    .dial_on_need = true,
+    .dial_on_demand = true,
     .received = node_on_received,
     .closed = node_on_closed,
-    .refused = node_on_refused,
+    .connect_refused = node_on_refused,
     .connected = node_on_connected,
     .data = node,
   };
--- a/include/buckthornhead/peer_net.h
+++ b/include/buckthornhead/peer_net.h
@@ -1,8 +1,8 @@
 /* Links between instances: TCP, framed msgpack messages.
  *
  * Requests are sent over the link that the sender dialled, and responses return over the same link.
- * Each instance keeps links to all its peers or, with dial_on_need, only to those it sends messages
- * to. A message to the own instance is delivered the same way, without a connection. */
+ * Each instance keeps links to all its peers or, with dial_on_demand, only to those it sends
+ * messages to. A message to the own instance is delivered the same way, without a connection. */
 #pragma once
 
 #include <buckthornhead/peer_message.h>
@@ -16,7 +16,7 @@
 {
   PEER_LINK_NONE = 0,
   PEER_LINK_SELF = 1, /* the link id of messages from the own instance */
-  /* With dial_on_need, a link that is unused for this long is closed. Well above the pauses of a
+  /* With dial_on_demand, a link that is unused for this long is closed. Well above the pauses of a
    * program, so that a session's owner is not dialled anew for each turn. */
   PEER_LINK_IDLE_MS = 20 * 1000
 };
@@ -28,7 +28,7 @@
   const char *zone;
   /* Links are dialled when there is something to send, and closed after PEER_LINK_IDLE_MS without
    * use: in a fleet of hundreds most pairs of processes never exchange messages. */
-  bool dial_on_need;
+  bool dial_on_demand;
   /* A message arrived over link; it is valid during the call only. instance is the sender's name.
    */
   void (*received) (void *data,
@@ -39,7 +39,7 @@
   void (*closed) (void *data, uint64_t link, const char *instance);
   /* n consecutive dial attempts were refused: the instance's system responds, but its process does
    * not run. n is 0 once the instance is connected again. */
-  void (*refused) (void *data, const char *instance, uint32_t n);
+  void (*connect_refused) (void *data, const char *instance, uint32_t n);
   /* A dialled link to instance is connected; may be NULL. */
   void (*connected) (void *data, const char *instance);
   void *data;
@@ -70,7 +70,8 @@
 peer_net_reset_link (struct PeerNet *net, const char *instance);
 
 /* Returns the link for requests to instance, or PEER_LINK_NONE while there is none. With
- * dial_on_need the link is dialled now if necessary, and queues messages until it is connected. */
+ * dial_on_demand the link is dialled now if necessary, and queues messages until it is connected.
+ */
 uint64_t
 peer_net_link_to (struct PeerNet *net, const char *instance);
 
