--- a/adapters/instances_http.c
+++ b/adapters/instances_http.c
@@ -4,7 +4,7 @@
 
 struct InstancesHttp
 {
-  struct InstancesPort port;
+  struct BackendListPort port;
   struct CurlLoop *loop;
   char *url;
   int64_t timeout_ms;
@@ -14,7 +14,7 @@
 struct InstancesCall
 {
   struct CurlCall *http;
-  InstancesDone done;
+  BackendListDone done;
   void *data;
 };
 
@@ -29,7 +29,7 @@
 instances_call_on_done (void *data, const struct HttpResult *result)
 {
   struct InstancesCall *call = data;
-  InstancesDone done = call->done;
+  BackendListDone done = call->done;
   void *done_data = call->data;
   bool ok = result->whole && result->status == 200 && result->body != NULL;
 
@@ -40,7 +40,10 @@
 }
 
 static int32_t
-instances_http_fetch (struct InstancesPort *port, TALLOC_CTX *owner, InstancesDone done, void *data)
+instances_http_fetch (struct BackendListPort *port,
+                      TALLOC_CTX *owner,
+                      BackendListDone done,
+                      void *data)
 {
   struct InstancesHttp *instances = (struct InstancesHttp *)port;
   struct InstancesCall *call = talloc_zero (owner, struct InstancesCall);
@@ -62,7 +65,7 @@
   return ERROR_NONE;
 }
 
-struct InstancesPort *
+struct BackendListPort *
 instances_http_new (TALLOC_CTX *ctx, struct CurlLoop *loop, const char *url, int64_t timeout_ms)
 {
   struct InstancesHttp *instances = talloc_zero (ctx, struct InstancesHttp);
--- a/core/backend_list.c
+++ b/core/backend_list.c
@@ -20,7 +20,7 @@
 
 struct BackendList
 {
-  struct InstancesPort *port;
+  struct BackendListPort *port;
   struct TimerService *timers;
   struct BackendListOptions options;
   struct Timer *poll_timer;
@@ -176,7 +176,7 @@
 
 struct BackendList *
 backend_list_new (TALLOC_CTX *ctx,
-                  struct InstancesPort *port,
+                  struct BackendListPort *port,
                   struct TimerService *timers,
                   const struct BackendListOptions *options)
 {
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -400,7 +400,7 @@
 {
   struct Core *core = daemon->core;
   struct BackendListOptions options = { 0 };
-  struct InstancesPort *port =
+  struct BackendListPort *port =
       instances_http_new (core, core->loop, core->settings->instances_url, KV_TIMEOUT_MS);
 
   options.poll_ms = INSTANCES_POLL_MS;
--- a/include/buckthornhead/backend_list.h
+++ b/include/buckthornhead/backend_list.h
@@ -25,6 +25,6 @@
 
 struct BackendList *
 backend_list_new (TALLOC_CTX *ctx,
-                  struct InstancesPort *port,
+                  struct BackendListPort *port,
                   struct TimerService *timers,
                   const struct BackendListOptions *options);
--- a/include/buckthornhead/instances.h
+++ b/include/buckthornhead/instances.h
@@ -7,11 +7,14 @@
 #include <talloc.h>
 
 /* text is the whole list when error is ERROR_NONE. It is valid during the callback only. */
-typedef void (*InstancesDone) (void *data, int32_t error, const char *text, size_t text_bytes);
+typedef void (*BackendListDone) (void *data, int32_t error, const char *text, size_t text_bytes);
 
-struct InstancesPort
+struct BackendListPort
 {
   /* Fetches the list. done is called later, never from inside fetch, and not after owner, a talloc
    * object, was freed. */
-  int32_t (*fetch) (struct InstancesPort *port, TALLOC_CTX *owner, InstancesDone done, void *data);
+  int32_t (*fetch) (struct BackendListPort *port,
+                    TALLOC_CTX *owner,
+                    BackendListDone done,
+                    void *data);
 };
--- a/include/buckthornhead/instances_http.h
+++ b/include/buckthornhead/instances_http.h
@@ -4,5 +4,5 @@
 #include <buckthornhead/curl_loop.h>
 #include <buckthornhead/instances.h>
 
-struct InstancesPort *
+struct BackendListPort *
 instances_http_new (TALLOC_CTX *ctx, struct CurlLoop *loop, const char *url, int64_t timeout_ms);
--- a/tests/test_backend_list.c
+++ b/tests/test_backend_list.c
@@ -15,10 +15,10 @@
 /* A platform list whose content the test sets. */
 struct Fixture
 {
-  struct InstancesPort port;
+  struct BackendListPort port;
   struct TimerService *timers;
   const char *text; /* NULL: fetching the list fails */
-  InstancesDone done;
+  BackendListDone done;
   void *done_data;
   struct BackendSetting servers[4];
   bool leaving[4];
@@ -36,7 +36,7 @@
 }
 
 static int32_t
-fixture_fetch (struct InstancesPort *port, TALLOC_CTX *owner, InstancesDone done, void *data)
+fixture_fetch (struct BackendListPort *port, TALLOC_CTX *owner, BackendListDone done, void *data)
 {
   struct Fixture *fixture = (struct Fixture *)port;
 
--- a/tests/test_instances_http.c
+++ b/tests/test_instances_http.c
@@ -53,7 +53,7 @@
 bench_fetch (struct Bench *b, const char *path)
 {
   char *url = talloc_asprintf (b, "%s%s", b->url, path);
-  struct InstancesPort *port = instances_http_new (b, b->loop, url, 60000);
+  struct BackendListPort *port = instances_http_new (b, b->loop, url, 60000);
 
   b->done = false;
   CU_ASSERT_EQUAL (port->fetch (port, b, bench_on_list, b), ERROR_NONE);
@@ -114,7 +114,7 @@
 test_no_callback_after_the_owner_is_freed (void)
 {
   struct Bench *b = bench_new ();
-  struct InstancesPort *port = NULL;
+  struct BackendListPort *port = NULL;
   TALLOC_CTX *owner = talloc_new (b);
   char *url = talloc_asprintf (b, "%s/instances", b->url);
 
