--- a/core/homes.c
+++ b/core/homes.c
@@ -329,7 +329,7 @@
 }
 
 bool
-homes_is_leaving (const struct Homes *homes, uint32_t partition)
+homes_is_handing_off (const struct Homes *homes, uint32_t partition)
 {
   enum HomesPartitionState state = homes->partitions[partition].state;
 
--- a/core/homes_handoff.c
+++ b/core/homes_handoff.c
@@ -48,8 +48,8 @@
 
   if (ledger_partition_is_busy (homes->ledger, partition))
     return false;
-  if (homes->options.may_leave != NULL
-      && !homes->options.may_leave (homes->options.data, partition))
+  if (homes->options.may_hand_off != NULL
+      && !homes->options.may_hand_off (homes->options.data, partition))
     return false;
   handoff = talloc_zero (homes, struct HomesHandoff);
   if (handoff == NULL)
@@ -138,7 +138,7 @@
 }
 
 void
-homes_serve_again (struct Homes *homes)
+homes_cancel_hand_off (struct Homes *homes)
 {
   homes->stopping = false;
   homes->stopped = NULL;
--- a/daemon/drain.c
+++ b/daemon/drain.c
@@ -107,7 +107,7 @@
   if (!on)
     {
       drain->handing_off = false;
-      home_serve_again (core->home);
+      home_cancel_hand_off (core->home);
     }
   membership_set_draining (core->membership, on);
 }
--- a/daemon/home.c
+++ b/daemon/home.c
@@ -354,10 +354,10 @@
 }
 
 void
-home_serve_again (struct Home *home)
+home_cancel_hand_off (struct Home *home)
 {
   if (home->homes != NULL)
-    homes_serve_again (home->homes);
+    homes_cancel_hand_off (home->homes);
 }
 
 void
--- a/daemon/home.h
+++ b/daemon/home.h
@@ -52,7 +52,7 @@
 
 /* Cancels a planned stop. */
 void
-home_serve_again (struct Home *home);
+home_cancel_hand_off (struct Home *home);
 /* Hands off every partition for a planned stop; calls done (data, 0) when this instance has none
  * left. */
 void
--- a/include/buckthornhead/homes.h
+++ b/include/buckthornhead/homes.h
@@ -46,7 +46,7 @@
       void *data, TALLOC_CTX *ctx, const char *incarnation, HomesSpoolDone done, void *done_data);
   /* Whether a partition that waits for its hand-off may be handed off now. Polled, and only while
    * the ledger has no calls of the partition in flight. NULL: always. */
-  bool (*may_leave) (void *data, uint32_t partition);
+  bool (*may_hand_off) (void *data, uint32_t partition);
   void (*gained) (void *data, uint32_t partition); /* replayed and adopted; ready to serve */
   void (*lost) (void *data, uint32_t partition);
   void (*map_changed) (void *data); /* an entry changed; homes have to be looked up again */
@@ -84,7 +84,7 @@
 /* Returns true while partition is being handed off. New calls have to wait for the new home or to
  * be refused as not run. */
 bool
-homes_is_leaving (const struct Homes *homes, uint32_t partition);
+homes_is_handing_off (const struct Homes *homes, uint32_t partition);
 
 /* Reads the map now, for example after a peer reported that an entry is out of date. */
 void
@@ -93,7 +93,7 @@
 /* Cancels homes_hand_off_all: after the next homes_set_members this incarnation may get partitions
  * again. */
 void
-homes_serve_again (struct Homes *homes);
+homes_cancel_hand_off (struct Homes *homes);
 /* Hands every partition off to its next home, for a planned stop. Calls done with ERROR_NONE once
  * none is left here. */
 void
--- a/tests/test_homes.c
+++ b/tests/test_homes.c
@@ -35,7 +35,7 @@
   struct Ledger *ledger;
   struct Homes *homes;
   int n_gained, n_lost, n_stopped, n_fenced;
-  bool may_leave;
+  bool may_hand_off;
   uint32_t checkpoint_slots;
 };
 
@@ -85,10 +85,10 @@
 }
 
 static bool
-may_leave (void *data, uint32_t partition)
+may_hand_off (void *data, uint32_t partition)
 {
   (void)partition;
-  return ((struct Node *)data)->may_leave;
+  return ((struct Node *)data)->may_hand_off;
 }
 
 static struct Node *
@@ -107,14 +107,14 @@
                                 .group_size = 4,
                                 .poll_ms = POLL_MS,
                                 .checkpoint_slots = 8,
-                                .may_leave = may_leave,
+                                .may_hand_off = may_hand_off,
                                 .gained = on_gained,
                                 .lost = on_lost,
                                 .data = node };
 
   node->f = f;
   node->incarnation = incarnation;
-  node->may_leave = true;
+  node->may_hand_off = true;
   node->port = fake_kv_port_new (node, f->kv);
   node->journal = journal_new (node, node->port, f->timers, &journal);
   node->ledger = ledger_new (node);
@@ -530,14 +530,14 @@
   SET_MEMBERS (b, "a.1!", "b.1");
   advance (f, LONG_MS);
   CU_ASSERT_FALSE (owns (a));
-  CU_ASSERT (homes_is_leaving (a->homes, partition_here ()));
+  CU_ASSERT (homes_is_handing_off (a->homes, partition_here ()));
   CU_ASSERT_EQUAL (homes_n_owned (a->homes), 1);
   finish (a, 3, "three", NULL);
-  a->may_leave = false;
+  a->may_hand_off = false;
   advance (f, LONG_MS);
-  CU_ASSERT (homes_is_leaving (a->homes, partition_here ()));
+  CU_ASSERT (homes_is_handing_off (a->homes, partition_here ()));
   charged = view_of (a).charged_tokens;
-  a->may_leave = true;
+  a->may_hand_off = true;
   advance (f, LONG_MS);
   CU_ASSERT (owns (b));
   CU_ASSERT (is_stored (b, 3, "three"));
@@ -643,7 +643,7 @@
     {
       advance (f, LONG_MS);
       CU_ASSERT (owns (a));
-      CU_ASSERT_FALSE (homes_is_leaving (a->homes, partition_here ()));
+      CU_ASSERT_FALSE (homes_is_handing_off (a->homes, partition_here ()));
       CU_ASSERT (homes_may_write (a->homes, partition_here (), &epoch));
     }
   finish (a, 3, "three", NULL);
