--- a/core/journal.c
+++ b/core/journal.c
@@ -102,7 +102,7 @@
 }
 
 /* Stops the journal after another incarnation has sealed it: no further record can become durable.
- * Each unacknowledged record is either in the slots that the taker read or was not written. */
+ * Each unacknowledged record is either in the slots that the sealer read or was not written. */
 static void
 journal_fence (struct Journal *journal)
 {
--- a/core/replay.c
+++ b/core/replay.c
@@ -33,7 +33,7 @@
   const char *incarnation;
   const char *folder; /* prefix of the keys of all slots of the journal */
   const char *prefix;
-  char taker[NAME_MAX_BYTES + 24];
+  char sealer[NAME_MAX_BYTES + 24];
   bool must_seal;
   bool must_read;
   JournalReplayDone done;
@@ -353,7 +353,7 @@
       request.get.key = replay_key (session, scratch, session->last_slot);
       break;
     case REPLAY_PUT_SEAL:
-      snprintf (seal.writer, sizeof seal.writer, "%s", session->taker);
+      snprintf (seal.writer, sizeof seal.writer, "%s", session->sealer);
       error = slot_pack (scratch, &seal, &packed, &packed_bytes);
       request.op = KV_OP_PUT;
       request.put.key = replay_key (session, scratch, session->end_slot);
@@ -393,7 +393,7 @@
               struct TimerService *timers,
               const char *prefix,
               const char *incarnation,
-              const char *taker,
+              const char *sealer,
               bool must_read,
               JournalReplayDone done,
               void *data)
@@ -406,9 +406,9 @@
   session->timers = timers;
   session->done = done;
   session->data = data;
-  session->must_seal = taker != NULL;
+  session->must_seal = sealer != NULL;
   session->must_read = must_read;
-  snprintf (session->taker, sizeof session->taker, "%s", taker != NULL ? taker : "");
+  snprintf (session->sealer, sizeof session->sealer, "%s", sealer != NULL ? sealer : "");
   session->prefix = talloc_strdup (session, prefix);
   session->incarnation = talloc_strdup (session, incarnation);
   session->folder = talloc_asprintf (session, "%sjournal/%s/", prefix, incarnation);
@@ -430,11 +430,11 @@
                        struct TimerService *timers,
                        const char *prefix,
                        const char *incarnation,
-                       const char *taker,
+                       const char *sealer,
                        JournalReplayDone done,
                        void *data)
 {
-  return replay_start (ctx, kv, timers, prefix, incarnation, taker, true, done, data);
+  return replay_start (ctx, kv, timers, prefix, incarnation, sealer, true, done, data);
 }
 
 int32_t
@@ -455,9 +455,9 @@
               struct TimerService *timers,
               const char *prefix,
               const char *incarnation,
-              const char *taker,
+              const char *sealer,
               JournalReplayDone done,
               void *data)
 {
-  return replay_start (ctx, kv, timers, prefix, incarnation, taker, false, done, data);
+  return replay_start (ctx, kv, timers, prefix, incarnation, sealer, false, done, data);
 }
--- a/include/buckthornhead/journal.h
+++ b/include/buckthornhead/journal.h
@@ -118,26 +118,26 @@
 };
 typedef void (*JournalReplayDone) (void *data, const struct JournalReplay *replay);
 
-/* Seals incarnation's journal in the name of taker, then reads the slots before the seal. A journal
- * that is already sealed is only read. */
+/* Seals incarnation's journal in the name of sealer, then reads the slots before the seal. A
+ * journal that is already sealed is only read. */
 int32_t
 journal_seal_and_read (TALLOC_CTX *ctx,
                        struct KvPort *kv,
                        struct TimerService *timers,
                        const char *prefix,
                        const char *incarnation,
-                       const char *taker,
+                       const char *sealer,
                        JournalReplayDone done,
                        void *data);
 
-/* Seals incarnation's journal in the name of taker without reading it: n_slots is 0. */
+/* Seals incarnation's journal in the name of sealer without reading it: n_slots is 0. */
 int32_t
 journal_seal (TALLOC_CTX *ctx,
               struct KvPort *kv,
               struct TimerService *timers,
               const char *prefix,
               const char *incarnation,
-              const char *taker,
+              const char *sealer,
               JournalReplayDone done,
               void *data);
 
--- a/include/buckthornhead/record.h
+++ b/include/buckthornhead/record.h
@@ -101,7 +101,7 @@
 struct Slot
 {
   enum SlotKind kind;
-  char writer[NAME_MAX_BYTES + 24]; /* incarnation that wrote it; for a seal, the taker */
+  char writer[NAME_MAX_BYTES + 24]; /* incarnation that wrote it; for a seal, the sealer */
   uint64_t batch_id;                /* unique per writer */
   uint64_t replay_from; /* oldest slot that a replay needs; in a seal: the seal's own number once
                            no earlier slot is needed, else 0 */
--- a/tests/test_journal.c
+++ b/tests/test_journal.c
@@ -280,8 +280,8 @@
   talloc_free (f->ctx);
 }
 
-/* An append is lost before it takes effect, and a taker seals the slot before the retry. The
- * records must be reported as fenced, not as durable. */
+/* An append is lost before it takes effect, and another incarnation seals the slot before the
+ * retry. The records must be reported as fenced, not as durable. */
 static void
 test_seal_resolves_a_lost_request (void)
 {
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -76,10 +76,10 @@
 }
 
 static void
-seal (struct Fixture *f, const char *taker, struct Reading *reading)
+seal (struct Fixture *f, const char *sealer, struct Reading *reading)
 {
   CU_ASSERT_EQUAL (
-      journal_seal_and_read (f->ctx, f->port, f->timers, "b/", "old.1", taker, on_read, reading),
+      journal_seal_and_read (f->ctx, f->port, f->timers, "b/", "old.1", sealer, on_read, reading),
       ERROR_NONE);
 }
 
@@ -283,13 +283,13 @@
 {
   struct Fixture *f = fixture_new ();
   struct Reading reading = { 0 };
-  TALLOC_CTX *taker = talloc_new (f->ctx);
+  TALLOC_CTX *sealer = talloc_new (f->ctx);
 
   put_slot (f, 1, SLOT_RECORDS, 1);
   fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_HOLD_ANSWER, 1);
-  journal_seal_and_read (taker, f->port, f->timers, "b/", "old.1", "new.1", on_read, &reading);
+  journal_seal_and_read (sealer, f->port, f->timers, "b/", "old.1", "new.1", on_read, &reading);
   fake_timer_advance (f->timers, 5);
-  talloc_free (taker);
+  talloc_free (sealer);
   fake_kv_release (f->kv);
   fake_timer_advance (f->timers, LONG_MS);
   CU_ASSERT_EQUAL (reading.n_calls, 0);
