--- a/core/config_reader.c
+++ b/core/config_reader.c
@@ -91,8 +91,8 @@
   options.read_limit = READ_LIMIT;
   options.seed = log->jitter;
   options.start = reader_start_key;
-  options.take = reader_add_entry;
-  options.taken = reader_on_batch;
+  options.on_entry = reader_add_entry;
+  options.on_page = reader_on_batch;
   options.data = log;
   log->follow = kv_follow_new (log, log->kv, log->timers, &options);
   if (log->follow == NULL)
--- a/core/kv_follow.c
+++ b/core/kv_follow.c
@@ -64,12 +64,12 @@
 
   follow_report_availability (follow, error);
   for (size_t i = 0; i < result->n_entries && error == ERROR_NONE; i++)
-    if (!follow->options.take (follow->options.data, &result->entries[i]))
+    if (!follow->options.on_entry (follow->options.data, &result->entries[i]))
       error = ERROR_OUT_OF_ORDER;
   if (read->revision == 0)
     read->revision = result->revision;
   if (error == ERROR_NONE)
-    follow->options.taken (follow->options.data, !result->more, read->revision);
+    follow->options.on_page (follow->options.data, !result->more, read->revision);
   if (error == ERROR_NONE && result->more && result->n_entries > 0)
     {
       talloc_free (read->next_key);
@@ -170,8 +170,8 @@
       return;
     }
   for (size_t i = 0; i < result->n_entries && in_order; i++)
-    in_order = follow->options.take (follow->options.data, &result->entries[i]);
-  follow->options.taken (follow->options.data, false, result->revision);
+    in_order = follow->options.on_entry (follow->options.data, &result->entries[i]);
+  follow->options.on_page (follow->options.data, false, result->revision);
   follow->watch_from = result->revision + 1;
   if (in_order)
     follow_watch (follow);
--- a/core/kv_follow.h
+++ b/core/kv_follow.h
@@ -24,10 +24,10 @@
   void (*begin) (void *data);
   /* Called for each key, in key order during a read and in order of change during a watch.
    * Returning false ends a read with ERROR_OUT_OF_ORDER, and a watch with a new read. */
-  bool (*take) (void *data, const struct KvEntry *entry);
+  bool (*on_entry) (void *data, const struct KvEntry *entry);
   /* Called after all keys of one response, which include the changes up to revision. whole is true
    * after the last response of a read. */
-  void (*taken) (void *data, bool whole, int64_t revision);
+  void (*on_page) (void *data, bool whole, int64_t revision);
   /* Called after each response with whether the service is available. May be NULL. */
   void (*availability) (void *data, bool available);
   void *data;
--- a/core/membership.c
+++ b/core/membership.c
@@ -245,8 +245,8 @@
   options.read_limit = READ_LIMIT;
   options.seed = m->options.seed + 1;
   options.begin = membership_on_read_begin;
-  options.take = membership_on_entry;
-  options.taken = membership_on_page;
+  options.on_entry = membership_on_entry;
+  options.on_page = membership_on_page;
   options.availability = membership_on_availability;
   options.data = m;
   m->follow = kv_follow_new (m, kv, timers, &options);
