--- a/core/homes_takeover.c
+++ b/core/homes_takeover.c
@@ -311,7 +311,7 @@
 /* Appends the spooled records to the slots: the writer spooled in journal order, and only records
  * that it did not know to be in the journal. Applying a record twice has no effect. */
 static void
-adoption_on_spool (void *data, const struct HomesSpooled *spooled, size_t n_spooled)
+adoption_on_spool (void *data, const struct HomesSpoolSlot *spooled, size_t n_spooled)
 {
   struct HomesAdoption *adoption = data;
   struct JournalReplay *replay = &adoption->replays[adoption->n_read];
--- a/daemon/spooler_collect.c
+++ b/daemon/spooler_collect.c
@@ -32,7 +32,7 @@
   int64_t next_request_ms;
   struct CollectDisk *disks;
   size_t n_disks;
-  struct HomesSpooled *records;
+  struct HomesSpoolSlot *records;
   size_t n_records;
   HomesSpoolDone done;
   void *data;
@@ -115,8 +115,8 @@
 static int
 record_compare (const void *a, const void *b)
 {
-  const struct HomesSpooled *x = a;
-  const struct HomesSpooled *y = b;
+  const struct HomesSpoolSlot *x = a;
+  const struct HomesSpoolSlot *y = b;
 
   return (x->number > y->number) - (x->number < y->number);
 }
@@ -203,12 +203,12 @@
 spooler_collect_record (struct Spooler *spooler, const struct PeerMessage *message)
 {
   struct SpoolerCollect *collect;
-  struct HomesSpooled *record;
+  struct HomesSpoolSlot *record;
 
   if (collect_find_disk (spooler, message->spool.id, &collect) == NULL)
     return;
   collect->records =
-      talloc_realloc (collect, collect->records, struct HomesSpooled, collect->n_records + 1);
+      talloc_realloc (collect, collect->records, struct HomesSpoolSlot, collect->n_records + 1);
   record = &collect->records[collect->n_records++];
   record->number = message->spool.number;
   record->n_bytes = message->spool.n_bytes;
--- a/include/buckthornhead/homes.h
+++ b/include/buckthornhead/homes.h
@@ -23,13 +23,13 @@
 
 /* Slot with records that a sealed writer's spool acknowledged while the platform was down. Arrays
  * of these are in ascending order of number, without duplicates. */
-struct HomesSpooled
+struct HomesSpoolSlot
 {
   uint64_t number;
   const uint8_t *slot; /* as packed by slot_pack */
   size_t n_bytes;
 };
-typedef void (*HomesSpoolDone) (void *data, const struct HomesSpooled *spooled, size_t n_spooled);
+typedef void (*HomesSpoolDone) (void *data, const struct HomesSpoolSlot *spooled, size_t n_spooled);
 
 struct HomesOptions
 {
