--- a/bench/ledger_bench.c
+++ b/bench/ledger_bench.c
@@ -122,7 +122,7 @@
   ledger_each_program (ledger, count_turns, &n_turns);
   sweep_us = now_us () - start_us;
   start_us = now_us ();
-  ledger_each_held (ledger, count_held, &n_held);
+  ledger_each_unreleased_server (ledger, count_held, &n_held);
   held_us = now_us () - start_us;
   printf ("{\"programs\":%u,\"error\":\"%s\",\"bytes_a_program\":%zu,\"bytes_a_turn\":%zu,"
           "\"create_us\":%.2f,\"turn_us\":%.2f,\"sweep_programs_us\":%" PRId64
--- a/core/ledger_view.c
+++ b/core/ledger_view.c
@@ -24,7 +24,7 @@
   view->ended = program->ended;
   view->end_reason = program->end_reason;
   memcpy (view->history_digest, program->history_digest, DIGEST_BYTES);
-  view->n_held_backends = program->ended ? (uint32_t)program->n_holders : 0;
+  view->n_unreleased_servers = program->ended ? (uint32_t)program->n_holders : 0;
 }
 
 bool
@@ -69,7 +69,7 @@
 }
 
 void
-ledger_each_held (const struct Ledger *ledger, LedgerHeldFn fn, void *data)
+ledger_each_unreleased_server (const struct Ledger *ledger, LedgerServerFn fn, void *data)
 {
   struct LedgerProgram *program, *next;
 
--- a/daemon/home.c
+++ b/daemon/home.c
@@ -237,7 +237,7 @@
   int64_t now_ms = timer_now_ms (home->core->timers);
 
   HASH_FIND (by_program, home->ended, view->program, strlen (view->program), ended);
-  if (ended != NULL || view->n_held_backends > 0)
+  if (ended != NULL || view->n_unreleased_servers > 0)
     return;
   ended = talloc_zero (home->incarnation_ctx, struct HomeEndedProgram);
   if (ended == NULL)
--- a/daemon/home_program.c
+++ b/daemon/home_program.c
@@ -45,8 +45,8 @@
                     (json_int_t)view->created_unix_ms, "history_digest", digest);
   if (view->deadline_unix_ms > 0)
     json_object_set_new (json, "deadline_unix_ms", json_integer (view->deadline_unix_ms));
-  if (view->n_held_backends > 0)
-    json_object_set_new (json, "backends_to_release", json_integer (view->n_held_backends));
+  if (view->n_unreleased_servers > 0)
+    json_object_set_new (json, "backends_to_release", json_integer (view->n_unreleased_servers));
   return json;
 }
 
--- a/daemon/home_release.c
+++ b/daemon/home_release.c
@@ -164,7 +164,7 @@
 {
   struct Home *home = data;
 
-  ledger_each_held (home->ledger, release_on_held, home);
+  ledger_each_unreleased_server (home->ledger, release_on_held, home);
 }
 
 void
--- a/include/buckthornhead/ledger.h
+++ b/include/buckthornhead/ledger.h
@@ -122,7 +122,7 @@
   bool ended;
   enum EndReason end_reason;
   uint8_t history_digest[DIGEST_BYTES]; /* hash chain over all turns of all branches */
-  uint32_t n_held_backends;             /* after the end: servers that may still hold memory */
+  uint32_t n_unreleased_servers;        /* after the end: servers that may still hold memory */
 };
 
 bool
@@ -145,9 +145,9 @@
 ledger_each_program (const struct Ledger *ledger, LedgerProgramFn fn, void *data);
 
 /* Calls fn for each ended program and backend server that may still hold memory for it. */
-typedef void (*LedgerHeldFn) (void *data, const char *program, const char *backend);
+typedef void (*LedgerServerFn) (void *data, const char *program, const char *backend);
 void
-ledger_each_held (const struct Ledger *ledger, LedgerHeldFn fn, void *data);
+ledger_each_unreleased_server (const struct Ledger *ledger, LedgerServerFn fn, void *data);
 
 /* Returns true while partition has a call in flight, or a creation, outcome or end that is not
  * applied yet. */
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -337,12 +337,12 @@
   outcome = end_record (ledger, call_of (MAIN_BRANCH, 1, 1, 10), "one", 7);
   ledger_apply (ledger, &outcome);
   CU_ASSERT_EQUAL (accept (ledger, call_of (MAIN_BRANCH, 1, 1, 10)).verdict, LEDGER_STORED);
-  CU_ASSERT_EQUAL (view_of (ledger).n_held_backends, 1);
+  CU_ASSERT_EQUAL (view_of (ledger).n_unreleased_servers, 1);
   CU_ASSERT_FALSE (ledger_forget_program (ledger, "p"));
   snprintf (released.released.program, sizeof released.released.program, "p");
   snprintf (released.released.backend, sizeof released.released.backend, "engine-1");
   ledger_apply (ledger, &released);
-  CU_ASSERT_EQUAL (view_of (ledger).n_held_backends, 0);
+  CU_ASSERT_EQUAL (view_of (ledger).n_unreleased_servers, 0);
   CU_ASSERT (ledger_forget_program (ledger, "p"));
   talloc_free (ctx);
 }
@@ -367,11 +367,11 @@
   CU_ASSERT_EQUAL (ledger_end_program (ledger, "p", END_DONE, &end), ERROR_NONE);
   end.epoch = 2;
   CU_ASSERT_EQUAL (ledger_apply (ledger, &end), ERROR_NONE);
-  CU_ASSERT_EQUAL (view_of (ledger).n_held_backends, 2);
+  CU_ASSERT_EQUAL (view_of (ledger).n_unreleased_servers, 2);
   snprintf (released.released.program, sizeof released.released.program, "p");
   snprintf (released.released.backend, sizeof released.released.backend, "engine-2");
   CU_ASSERT_EQUAL (ledger_apply (ledger, &released), ERROR_NONE);
-  CU_ASSERT_EQUAL (view_of (ledger).n_held_backends, 1);
+  CU_ASSERT_EQUAL (view_of (ledger).n_unreleased_servers, 1);
   talloc_free (ctx);
 }
 
