--- a/core/ledger.c
+++ b/core/ledger.c
@@ -234,7 +234,7 @@
     }
   if (!decide_limits (program, reservation_tokens, now_unix_ms, decision))
     return;
-  branch = program_need_branch (program, call->key.branch);
+  branch = program_get_or_add_branch (program, call->key.branch);
   if (branch == NULL)
     fault_set (&decision->fault, ERROR_NO_MEMORY, NULL, "out of memory for branch %s",
                call->key.branch);
--- a/core/ledger_apply.c
+++ b/core/ledger_apply.c
@@ -19,7 +19,7 @@
 static int32_t
 apply_intent (struct LedgerProgram *program, const struct Record *record)
 {
-  struct LedgerBranch *branch = program_need_branch (program, record->intent.key.branch);
+  struct LedgerBranch *branch = program_get_or_add_branch (program, record->intent.key.branch);
   struct LedgerInFlight *in_flight;
 
   if (branch == NULL)
@@ -57,7 +57,7 @@
 apply_outcome (struct LedgerProgram *program, const struct Record *record)
 {
   const struct CallKey *key = &record->outcome.key;
-  struct LedgerBranch *branch = program_need_branch (program, key->branch);
+  struct LedgerBranch *branch = program_get_or_add_branch (program, key->branch);
   struct LedgerTurn turn = {
     .key = *key,
     .idempotent = record->outcome.idempotent,
--- a/core/ledger_pack.c
+++ b/core/ledger_pack.c
@@ -80,7 +80,7 @@
 
   read_array (reader, &fields);
   read_string (&fields, name, sizeof name);
-  branch = program_need_branch (program, name);
+  branch = program_get_or_add_branch (program, name);
   if (branch == NULL)
     {
       reader->failed = true;
--- a/core/ledger_state.c
+++ b/core/ledger_state.c
@@ -45,7 +45,7 @@
     return NULL;
   program->created = *created;
   /* Every program has a main branch, so a replay recreates it from RECORD_PROGRAM alone. */
-  if (program_need_branch (program, MAIN_BRANCH) == NULL)
+  if (program_get_or_add_branch (program, MAIN_BRANCH) == NULL)
     {
       talloc_free (program);
       return NULL;
@@ -79,7 +79,7 @@
 }
 
 struct LedgerBranch *
-program_need_branch (struct LedgerProgram *program, const char *name)
+program_get_or_add_branch (struct LedgerProgram *program, const char *name)
 {
   struct LedgerBranch *branch = program_find_branch (program, name);
   struct LedgerBranch **resized;
--- a/core/ledger_state.h
+++ b/core/ledger_state.h
@@ -86,7 +86,7 @@
 program_find_branch (const struct LedgerProgram *program, const char *name);
 /* Finds or adds the branch. Returns NULL when out of memory. */
 struct LedgerBranch *
-program_need_branch (struct LedgerProgram *program, const char *name);
+program_get_or_add_branch (struct LedgerProgram *program, const char *name);
 struct LedgerTurn *
 program_find_turn (const struct LedgerProgram *program, const struct CallKey *key);
 /* Appends a copy of turn to the history and extends the digest chain. */
--- a/tests/fuzz/make_seeds.c
+++ b/tests/fuzz/make_seeds.c
@@ -187,7 +187,7 @@
   fill_key (&turn.key);
   turn.outcome.answer = (const uint8_t *)"answer";
   turn.outcome.answer_bytes = strlen ("answer");
-  if (program == NULL || program_need_branch (program, MAIN_BRANCH) == NULL
+  if (program == NULL || program_get_or_add_branch (program, MAIN_BRANCH) == NULL
       || program_add_turn (program, &turn) != ERROR_NONE
       || ledger_add_snapshots (ledger, ctx, program, &records, &n_records) != ERROR_NONE
       || n_records != 1)
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -1062,10 +1062,10 @@
   CU_ASSERT_PTR_NOT_NULL_FATAL (program);
   if (program == NULL)
     return;
-  branch = program_need_branch (program, MAIN_BRANCH);
+  branch = program_get_or_add_branch (program, MAIN_BRANCH);
   branch->last_sequence = 822;
   branch->journaled = true;
-  branch = program_need_branch (program, "branch-2");
+  branch = program_get_or_add_branch (program, "branch-2");
   branch->last_sequence = 823;
   branch->in_flight.active = true;
   branch->in_flight.intent_applied = true;
