--- a/core/ledger.c
+++ b/core/ledger.c
@@ -333,7 +333,7 @@
 }
 
 bool
-ledger_forget_program (struct Ledger *ledger, const char *program)
+ledger_remove_program (struct Ledger *ledger, const char *program)
 {
   struct LedgerProgram *p = ledger_find (ledger, program);
 
--- a/daemon/home.c
+++ b/daemon/home.c
@@ -257,7 +257,7 @@
   {
     if (now_ms - ended->since_ms < RETAIN_ENDED_MS)
       continue;
-    ledger_forget_program (home->ledger, ended->program);
+    ledger_remove_program (home->ledger, ended->program);
     HASH_DELETE (by_program, home->ended, ended);
     talloc_free (ended);
   }
--- a/include/buckthornhead/ledger.h
+++ b/include/buckthornhead/ledger.h
@@ -157,7 +157,7 @@
 /* Removes an ended program for which no backend server holds memory. Resent calls of it then fail
  * with ERROR_NOT_FOUND. Returns false if it does not exist or may not be removed yet. */
 bool
-ledger_forget_program (struct Ledger *ledger, const char *program);
+ledger_remove_program (struct Ledger *ledger, const char *program);
 
 /* Returns RECORD_SNAPSHOTs of the applied state of every program of partition, to journal ahead of
  * the queued records. The writer does not apply them. */
--- a/tests/test_homes.c
+++ b/tests/test_homes.c
@@ -726,7 +726,7 @@
   ledger_end_program (b->ledger, "p", END_DONE, &end);
   queue_record (b, &end, NULL);
   advance (f, 50);
-  CU_ASSERT (ledger_forget_program (b->ledger, "p"));
+  CU_ASSERT (ledger_remove_program (b->ledger, "p"));
   write_slots (b, 30);
   SET_MEMBERS (a, "a.1", "b.1!");
   SET_MEMBERS (b, "a.1", "b.1!");
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -338,12 +338,12 @@
   ledger_apply (ledger, &outcome);
   CU_ASSERT_EQUAL (accept (ledger, call_of (MAIN_BRANCH, 1, 1, 10)).verdict, LEDGER_STORED);
   CU_ASSERT_EQUAL (view_of (ledger).n_unreleased_servers, 1);
-  CU_ASSERT_FALSE (ledger_forget_program (ledger, "p"));
+  CU_ASSERT_FALSE (ledger_remove_program (ledger, "p"));
   snprintf (released.released.program, sizeof released.released.program, "p");
   snprintf (released.released.backend, sizeof released.released.backend, "engine-1");
   ledger_apply (ledger, &released);
   CU_ASSERT_EQUAL (view_of (ledger).n_unreleased_servers, 0);
-  CU_ASSERT (ledger_forget_program (ledger, "p"));
+  CU_ASSERT (ledger_remove_program (ledger, "p"));
   talloc_free (ctx);
 }
 
