--- a/core/journal.c
+++ b/core/journal.c
@@ -176,7 +176,8 @@
   journal_schedule (journal);
 }
 
-/* Fails the waiting records that were queued by journal_append_unless_down or journal_confirm. */
+/* Fails the waiting records that were queued by journal_append_unless_down or
+ * journal_confirm_not_fenced. */
 static void
 journal_fail_unless_down (struct Journal *journal)
 {
@@ -351,7 +352,7 @@
       n_bytes += entry->n_bytes;
       records[n].bytes = entry->bytes;
       records[n].n_bytes = entry->n_bytes;
-      n += entry->n_bytes > 0; /* journal_confirm queues an entry without a record */
+      n += entry->n_bytes > 0; /* journal_confirm_not_fenced queues an entry without a record */
       journal_queue_push (&batch->entries, entry);
     }
   batch->id = ++journal->last_batch_id;
@@ -507,7 +508,7 @@
 }
 
 int32_t
-journal_confirm (struct Journal *journal, JournalDone done, void *data)
+journal_confirm_not_fenced (struct Journal *journal, JournalDone done, void *data)
 {
   struct JournalEntry *entry;
 
--- a/daemon/home_reply.c
+++ b/daemon/home_reply.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* A refusal that waits for journal_confirm. */
+/* A refusal that waits for journal_confirm_not_fenced. */
 struct PendingRefusal
 {
   struct Home *home;
@@ -92,6 +92,6 @@
     refusal_on_confirmed (refusal, ERROR_NONE);
   else if (home->journal == NULL || !journal_is_writable (home->journal))
     refusal_on_confirmed (refusal, ERROR_PLATFORM_DOWN);
-  else if (journal_confirm (home->journal, refusal_on_confirmed, refusal) != ERROR_NONE)
+  else if (journal_confirm_not_fenced (home->journal, refusal_on_confirmed, refusal) != ERROR_NONE)
     refusal_on_confirmed (refusal, ERROR_NO_MEMORY);
 }
--- a/include/buckthornhead/journal.h
+++ b/include/buckthornhead/journal.h
@@ -59,7 +59,7 @@
  * started after this call is durable, which a seal would have prevented. Errors are those of
  * journal_append_unless_down. */
 int32_t
-journal_confirm (struct Journal *journal, JournalDone done, void *data);
+journal_confirm_not_fenced (struct Journal *journal, JournalDone done, void *data);
 
 /* Calls fn once, now or later, when no slot is being written and done was called for every record
  * of the earlier slots. journal_prepend may queue records ahead of the queue only then: a snapshot
--- a/tests/test_homes_chaos.c
+++ b/tests/test_homes_chaos.c
@@ -227,7 +227,7 @@
     case LEDGER_REFUSE:
       /* A replaced home may not have the program. As in the daemon, its refusal is valid only once
        * the journal confirms that it is still the home. */
-      journal_confirm (node->journal, on_refusal_confirmed, node);
+      journal_confirm_not_fenced (node->journal, on_refusal_confirmed, node);
       break;
     case LEDGER_JOIN:
       break;
