--- a/core/ledger.c
+++ b/core/ledger.c
@@ -122,7 +122,7 @@
       && program->n_turns + n_in_flight >= created->program.turn_limit)
     {
       if (n_in_flight == 0)
-        decision->end_reason = END_LOOPING;
+        decision->end_reason = END_TURN_LIMIT;
       fault_set (fault, ERROR_BUDGET,
                  "check the program for an endless loop, or raise the profile's turn limit",
                  "the program has reached its limit of %u turns", created->program.turn_limit);
--- a/core/ledger_pack.c
+++ b/core/ledger_pack.c
@@ -48,7 +48,7 @@
   created->program.grant_tokens = read_u64 (reader, UINT64_MAX);
   read_fixed (reader, created->program.create_digest, DIGEST_BYTES);
   program->charged_tokens = read_u64 (reader, created->program.budget_tokens);
-  program->end_reason = (enum EndReason)read_u64 (reader, END_CALLER_GONE);
+  program->end_reason = (enum EndReason)read_u64 (reader, END_CALLER_DISCONNECTED);
   program->ended = program->end_reason != 0;
   read_fixed (reader, program->history_digest, DIGEST_BYTES);
 }
--- a/core/record.c
+++ b/core/record.c
@@ -175,7 +175,7 @@
       break;
     case RECORD_END:
       read_string (&fields, record->end.program, sizeof record->end.program);
-      record->end.reason = (enum EndReason)read_u64 (&fields, END_CALLER_GONE);
+      record->end.reason = (enum EndReason)read_u64 (&fields, END_CALLER_DISCONNECTED);
       if (record->end.reason < END_DONE)
         fields.failed = true;
       break;
--- a/daemon/home_program.c
+++ b/daemon/home_program.c
@@ -315,7 +315,7 @@
       counter_add (COUNTER_PROGRAM_MS, duration_ms);
       break;
     case END_OVER_BUDGET:
-    case END_LOOPING:
+    case END_TURN_LIMIT:
       outcomes->over_budget++;
       counter_add (COUNTER_PROGRAMS_OVER_BUDGET, 1);
       break;
@@ -324,7 +324,7 @@
       counter_add (COUNTER_PROGRAMS_LATE, 1);
       break;
     case END_CANCELLED:
-    case END_CALLER_GONE:
+    case END_CALLER_DISCONNECTED:
       outcomes->cancelled++;
       counter_add (COUNTER_PROGRAMS_CANCELLED, 1);
       break;
--- a/include/buckthornhead/record.h
+++ b/include/buckthornhead/record.h
@@ -27,8 +27,8 @@
   END_CANCELLED = 2,
   END_OVER_BUDGET = 3,
   END_DEADLINE = 4,
-  END_LOOPING = 5,
-  END_CALLER_GONE = 6
+  END_TURN_LIMIT = 5,
+  END_CALLER_DISCONNECTED = 6
 };
 
 /* Every record contains its partition and the epoch under which its writer owned the partition. A
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -383,7 +383,7 @@
 
   for (uint64_t n = 1; n <= 2; n++)
     run (ledger, call_of (MAIN_BRANCH, n, (uint8_t)n, 10), "again", 1);
-  CU_ASSERT_EQUAL (accept (ledger, call_of (MAIN_BRANCH, 3, 3, 10)).end_reason, END_LOOPING);
+  CU_ASSERT_EQUAL (accept (ledger, call_of (MAIN_BRANCH, 3, 3, 10)).end_reason, END_TURN_LIMIT);
   talloc_free (ctx);
 }
 
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -53,7 +53,7 @@
   records[2].outcome.request = body;
   records[2].outcome.request_bytes = 3;
   snprintf (records[3].end.program, sizeof records[3].end.program, "%s", "p");
-  records[3].end.reason = END_LOOPING;
+  records[3].end.reason = END_TURN_LIMIT;
   snprintf (records[4].released.backend, sizeof records[4].released.backend, "%s", "engine-1");
   snprintf (records[8].released.backend, sizeof records[8].released.backend, "%s", "engine-2");
   records[5].snapshot.state = body;
@@ -80,7 +80,7 @@
   CU_ASSERT_EQUAL_FATAL (unpacked->n_records, N_KINDS);
   CU_ASSERT_EQUAL (unpacked->records[0].program.created_unix_ms, -1);
   CU_ASSERT_EQUAL (unpacked->records[2].outcome.outcome.error, ERROR_BACKEND);
-  CU_ASSERT_EQUAL (unpacked->records[3].end.reason, END_LOOPING);
+  CU_ASSERT_EQUAL (unpacked->records[3].end.reason, END_TURN_LIMIT);
   CU_ASSERT_EQUAL_FATAL (slot_pack (ctx, unpacked, &repacked, &repacked_bytes), ERROR_NONE);
   CU_ASSERT_EQUAL_FATAL (repacked_bytes, bytes);
   CU_ASSERT_EQUAL (memcmp (repacked, packed, bytes), 0);
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -824,8 +824,8 @@
                                            RECORD_NOT_SENT, RECORD_HELD,     RECORD_END,
                                            RECORD_END,      RECORD_END,      RECORD_END,
                                            RECORD_END,      RECORD_END };
-  static const enum EndReason reasons[] = { END_DONE,     END_CANCELLED, END_OVER_BUDGET,
-                                            END_DEADLINE, END_LOOPING,   END_CALLER_GONE };
+  static const enum EndReason reasons[] = { END_DONE,     END_CANCELLED,  END_OVER_BUDGET,
+                                            END_DEADLINE, END_TURN_LIMIT, END_CALLER_DISCONNECTED };
   enum
   {
     N_RECORDS = sizeof kinds / sizeof kinds[0]
@@ -1077,7 +1077,7 @@
   CU_ASSERT_EQUAL (program_add_holder (program, "server-2"), ERROR_NONE);
   program->charged_tokens = 825;
   program->ended = true;
-  program->end_reason = END_LOOPING;
+  program->end_reason = END_TURN_LIMIT;
   error = ledger_pack_program (ledger, ctx, "program-1", &bytes, &n_bytes);
   check_stored ("ledger_program", error, bytes, n_bytes, repack_program);
   talloc_free (ctx);
