--- a/daemon/drain.c
+++ b/daemon/drain.c
@@ -20,7 +20,7 @@
 {
   struct Core *core;
   bool handing_off;
-  uint64_t era;          /* of the home that was requested to hand off its programs */
+  uint64_t home_starts;  /* of the home that was requested to hand off its programs */
   int64_t idle_since_ms; /* 0: not idle */
   void (*stopped) (void *data);
   void *data;
@@ -56,9 +56,9 @@
   home_count (drain->core->home, &partitions, &programs);
   /* An instance that is fenced during a drain gets a new incarnation, which is not registered as
    * draining. Without this it would be assigned partitions, and the drain would never complete. */
-  if (drain->era != home_era (drain->core->home))
+  if (drain->home_starts != home_n_starts (drain->core->home))
     {
-      drain->era = home_era (drain->core->home);
+      drain->home_starts = home_n_starts (drain->core->home);
       drain->handing_off = false;
       membership_set_draining (drain->core->membership, true);
     }
--- a/daemon/home.c
+++ b/daemon/home.c
@@ -370,7 +370,7 @@
 }
 
 uint64_t
-home_era (const struct Home *home)
+home_n_starts (const struct Home *home)
 {
   return home->n_starts;
 }
--- a/daemon/home.h
+++ b/daemon/home.h
@@ -48,7 +48,7 @@
 
 /* Returns the number of home_start calls. A request made under an earlier number is void. */
 uint64_t
-home_era (const struct Home *home);
+home_n_starts (const struct Home *home);
 
 /* Cancels a planned stop. */
 void
