--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -431,7 +431,7 @@
                    sim_clock (sim));
   sim_digest_of (event->call, digest);
   if (ran
-      && quarantine_record_death (sim->quarantine, digest, sim->digests[server->index].name,
+      && quarantine_record_crash (sim->quarantine, digest, sim->digests[server->index].name,
                                   sim_clock (sim)))
     sim->result->quarantined++;
   branch->state = CALL_IDLE;
--- a/core/peer_message.c
+++ b/core/peer_message.c
@@ -186,7 +186,7 @@
   pack_u64 (p, answer->retry_after_ms);
   pack_u64 (p, answer->expected_sequence);
   pack_u64 (p, answer->event_stream);
-  pack_u64 (p, answer->server_died);
+  pack_u64 (p, answer->server_crashed);
 }
 
 static void
@@ -204,7 +204,7 @@
   answer->retry_after_ms = (uint32_t)read_u64 (r, UINT32_MAX);
   answer->expected_sequence = read_u64 (r, UINT64_MAX);
   answer->event_stream = read_u64 (r, 1) != 0;
-  answer->server_died = read_u64 (r, 1) != 0;
+  answer->server_crashed = read_u64 (r, 1) != 0;
 }
 
 static void
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -192,7 +192,7 @@
                              message->config_entry.n_bytes);
       break;
     case PEER_QUARANTINE:
-      home_on_death (core->home, message->quarantine.digest, message->quarantine.server);
+      home_on_server_crash (core->home, message->quarantine.digest, message->quarantine.server);
       break;
     case PEER_MAP_CHANGED:
       home_on_map_hint (core->home);
--- a/daemon/home.h
+++ b/daemon/home.h
@@ -34,7 +34,7 @@
 /* Handles the crash of a backend server, seen by any instance, while it ran a request with this
  * digest. */
 void
-home_on_death (struct Home *home, const uint8_t digest[DIGEST_BYTES], const char *server);
+home_on_server_crash (struct Home *home, const uint8_t digest[DIGEST_BYTES], const char *server);
 
 /* Handles a peer's report that the partition map has changed. */
 void
--- a/daemon/home_dispatch.c
+++ b/daemon/home_dispatch.c
@@ -199,14 +199,14 @@
 
   memcpy (message.quarantine.digest, call->call.digest, DIGEST_BYTES);
   snprintf (message.quarantine.server, sizeof message.quarantine.server, "%s", call->backend);
-  home_on_death (home, call->call.digest, call->backend);
+  home_on_server_crash (home, call->call.digest, call->backend);
   fleet_broadcast (home->core->fleet, &message);
 }
 
 void
-home_on_death (struct Home *home, const uint8_t digest[DIGEST_BYTES], const char *server)
+home_on_server_crash (struct Home *home, const uint8_t digest[DIGEST_BYTES], const char *server)
 {
-  if (!quarantine_record_death (home->quarantine, digest, server,
+  if (!quarantine_record_crash (home->quarantine, digest, server,
                                 timer_now_ms (home->core->timers)))
     return;
   counter_add (COUNTER_QUARANTINED, 1);
@@ -245,7 +245,7 @@
   HASH_FIND (by_dispatch, home->dispatches, &reply->id, sizeof reply->id, call);
   if (call == NULL)
     return home_release_on_answer (home, reply);
-  if (reply->server_died)
+  if (reply->server_crashed)
     home_announce_crash (home, call);
   if (reply->outcome.ran != RAN_NO)
     call->may_have_run = true;
--- a/daemon/owner_watch.c
+++ b/daemon/owner_watch.c
@@ -64,7 +64,7 @@
   owner_job_free (probe);
   if (interrupted == NULL)
     return;
-  interrupted->pending.server_died = crashed;
+  interrupted->pending.server_crashed = crashed;
   if (crashed)
     log_event (LOG_LEVEL_WARNING, "backend_server_died", interrupted->call.key.program,
                "check the server; a request that crashes two servers is quarantined",
--- a/include/buckthornhead/peer_message.h
+++ b/include/buckthornhead/peer_message.h
@@ -105,8 +105,8 @@
   struct Fault fault;     /* .error equals outcome.error */
   uint32_t retry_after_ms;
   uint64_t expected_sequence;
-  bool event_stream; /* the response consists of server-sent events */
-  bool server_died;  /* the backend server failed while it ran the call */
+  bool event_stream;   /* the response consists of server-sent events */
+  bool server_crashed; /* the backend server failed while it ran the call */
 };
 
 struct PeerMessage
--- a/include/buckthornhead/policy.h
+++ b/include/buckthornhead/policy.h
@@ -169,7 +169,7 @@
 /* Records that server crashed while running digest. Returns true if this puts the request in
  * quarantine (second server). */
 bool
-quarantine_record_death (struct Quarantine *quarantine,
+quarantine_record_crash (struct Quarantine *quarantine,
                          const uint8_t digest[DIGEST_BYTES],
                          const char *server,
                          int64_t now_ms);
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -14,13 +14,13 @@
 {
   struct Quarantine *quarantine = quarantine_new (NULL);
 
-  CU_ASSERT_FALSE (quarantine_record_death (quarantine, crashing, "engine-1", 0));
-  CU_ASSERT_FALSE (quarantine_record_death (quarantine, healthy, "engine-1", 0));
+  CU_ASSERT_FALSE (quarantine_record_crash (quarantine, crashing, "engine-1", 0));
+  CU_ASSERT_FALSE (quarantine_record_crash (quarantine, healthy, "engine-1", 0));
   CU_ASSERT_FALSE (quarantine_holds (quarantine, crashing));
-  CU_ASSERT_TRUE (quarantine_record_death (quarantine, crashing, "engine-2", 1));
+  CU_ASSERT_TRUE (quarantine_record_crash (quarantine, crashing, "engine-2", 1));
   CU_ASSERT_TRUE (quarantine_holds (quarantine, crashing));
   CU_ASSERT_FALSE (quarantine_holds (quarantine, healthy));
-  CU_ASSERT_FALSE (quarantine_record_death (quarantine, crashing, "engine-3", 2));
+  CU_ASSERT_FALSE (quarantine_record_crash (quarantine, crashing, "engine-3", 2));
   talloc_free (quarantine);
 }
 
@@ -31,7 +31,7 @@
   struct Quarantine *quarantine = quarantine_new (NULL);
 
   for (int i = 0; i < 5; i++)
-    CU_ASSERT_FALSE (quarantine_record_death (quarantine, crashing, "engine-1", i));
+    CU_ASSERT_FALSE (quarantine_record_crash (quarantine, crashing, "engine-1", i));
   CU_ASSERT_FALSE (quarantine_holds (quarantine, crashing));
   talloc_free (quarantine);
 }
@@ -42,12 +42,12 @@
 {
   struct Quarantine *quarantine = quarantine_new (NULL);
 
-  quarantine_record_death (quarantine, crashing, "engine-1", 0);
+  quarantine_record_crash (quarantine, crashing, "engine-1", 0);
   CU_ASSERT_TRUE (quarantine_suspects (quarantine, crashing));
   quarantine_clear (quarantine, crashing);
   quarantine_clear (quarantine, crashing);
   CU_ASSERT_FALSE (quarantine_suspects (quarantine, crashing));
-  CU_ASSERT_FALSE (quarantine_record_death (quarantine, crashing, "engine-2", 1));
+  CU_ASSERT_FALSE (quarantine_record_crash (quarantine, crashing, "engine-2", 1));
   talloc_free (quarantine);
 }
 
@@ -73,12 +73,12 @@
   for (uint32_t i = 0; i < 20000; i++)
     {
       memcpy (digest, &i, sizeof i);
-      quarantine_record_death (quarantine, digest, "engine-1", 0);
+      quarantine_record_crash (quarantine, digest, "engine-1", 0);
       if (i == 9999)
         blocks = talloc_total_blocks (quarantine);
     }
   CU_ASSERT_EQUAL (talloc_total_blocks (quarantine), blocks);
-  CU_ASSERT_TRUE (quarantine_record_death (quarantine, digest, "engine-2", 0));
+  CU_ASSERT_TRUE (quarantine_record_crash (quarantine, digest, "engine-2", 0));
   talloc_free (quarantine);
 }
 
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -605,7 +605,7 @@
   answer->retry_after_ms = 666;
   answer->expected_sequence = 667;
   answer->event_stream = flag (variant, 1);
-  answer->server_died = flag (variant, 2);
+  answer->server_crashed = flag (variant, 2);
 }
 
 static void
