--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -254,7 +254,7 @@
   if (sim->options->deadlines)
     item.deadline_ms = (int64_t)(program->work->arrival_ms + program->work->time_limit_ms);
   sim_digest_of (id, digest);
-  item.suspect = quarantine_suspects (sim->quarantine, digest);
+  item.suspect = quarantine_is_suspect (sim->quarantine, digest);
   branch->server = server->index;
   branch->call = id;
   error = dispatch_queue_push (server->queue, sim_weights (sim, program), &item, (uint32_t)id,
@@ -280,7 +280,7 @@
   if (program->ended)
     return;
   sim_digest_of (id, digest);
-  if (quarantine_holds (sim->quarantine, digest))
+  if (quarantine_contains (sim->quarantine, digest))
     {
       sim_refused (sim, id, ERROR_QUARANTINED, 0);
       return;
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -108,7 +108,7 @@
   struct QuarantineEntry *suspect = ring_find (&quarantine->suspects, digest);
 
   (void)now_ms;
-  if (quarantine_holds (quarantine, digest))
+  if (quarantine_contains (quarantine, digest))
     return false;
   if (suspect == NULL)
     {
@@ -123,13 +123,13 @@
 }
 
 bool
-quarantine_holds (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES])
+quarantine_contains (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES])
 {
   return ring_find (&quarantine->quarantined, digest) != NULL;
 }
 
 bool
-quarantine_suspects (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES])
+quarantine_is_suspect (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES])
 {
   return ring_find (&quarantine->suspects, digest) != NULL;
 }
@@ -146,6 +146,6 @@
 void
 quarantine_add (struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES])
 {
-  if (!quarantine_holds (quarantine, digest))
+  if (!quarantine_contains (quarantine, digest))
     ring_add (quarantine, &quarantine->quarantined, digest, "");
 }
--- a/daemon/home_accept.c
+++ b/daemon/home_accept.c
@@ -71,7 +71,7 @@
                        const struct LedgerDecision *decision,
                        struct Fault *fault)
 {
-  if (quarantine_holds (home->quarantine, call->digest))
+  if (quarantine_contains (home->quarantine, call->digest))
     return fault_set (fault, ERROR_QUARANTINED, NULL,
                       "two backend servers died while they ran this request");
   if (decision->verdict == LEDGER_JOURNAL_FIRST && !journal_is_writable (home->journal))
--- a/daemon/home_dispatch.c
+++ b/daemon/home_dispatch.c
@@ -138,7 +138,7 @@
   message.dispatch.call = call->call;
   message.dispatch.call.deadline_ms = home_call_time_left_ms (call);
   message.dispatch.cached_tokens_hint = cached_tokens_hint;
-  message.dispatch.suspect = quarantine_suspects (home->quarantine, call->call.digest);
+  message.dispatch.suspect = quarantine_is_suspect (home->quarantine, call->call.digest);
   message.dispatch.timeout_ms = profile->call_timeout_ms;
   if (ledger_view_program (home->ledger, call->call.key.program, &view))
     message.dispatch.attained_tokens = view.charged_tokens - view.cached_tokens;
@@ -220,7 +220,7 @@
 {
   struct Fault fault;
 
-  if (quarantine_holds (call->home->quarantine, call->call.digest))
+  if (quarantine_contains (call->home->quarantine, call->call.digest))
     {
       fault_set (&fault, ERROR_QUARANTINED, NULL,
                  "two backend servers died while they ran this request");
--- a/include/buckthornhead/policy.h
+++ b/include/buckthornhead/policy.h
@@ -93,7 +93,7 @@
   uint32_t prompt_tokens, cached_tokens_hint, max_tokens;
   uint64_t attained_tokens; /* received by the program so far, as counted by its home */
   int64_t deadline_ms;      /* absolute on the queue's clock; 0: none */
-  bool suspect; /* set from quarantine_suspects; never runs at the same time as another suspect */
+  bool suspect; /* set from quarantine_is_suspect; never runs at the same time as another suspect */
 };
 
 struct DispatchQueue *
@@ -174,12 +174,12 @@
                          const char *server,
                          int64_t now_ms);
 bool
-quarantine_holds (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
+quarantine_contains (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
 /* Returns whether the request was running on one server when that crashed. So were all requests
  * that ran at the same time: they are retried one at a time (DispatchItem.suspect), so that a
  * second crash identifies one of them. */
 bool
-quarantine_suspects (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
+quarantine_is_suspect (const struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
 /* The request ran to its end and is no longer a suspect. */
 void
 quarantine_clear (struct Quarantine *quarantine, const uint8_t digest[DIGEST_BYTES]);
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -16,10 +16,10 @@
 
   CU_ASSERT_FALSE (quarantine_record_crash (quarantine, crashing, "engine-1", 0));
   CU_ASSERT_FALSE (quarantine_record_crash (quarantine, healthy, "engine-1", 0));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, crashing));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, crashing));
   CU_ASSERT_TRUE (quarantine_record_crash (quarantine, crashing, "engine-2", 1));
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, crashing));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, healthy));
+  CU_ASSERT_TRUE (quarantine_contains (quarantine, crashing));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, healthy));
   CU_ASSERT_FALSE (quarantine_record_crash (quarantine, crashing, "engine-3", 2));
   talloc_free (quarantine);
 }
@@ -32,7 +32,7 @@
 
   for (int i = 0; i < 5; i++)
     CU_ASSERT_FALSE (quarantine_record_crash (quarantine, crashing, "engine-1", i));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, crashing));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, crashing));
   talloc_free (quarantine);
 }
 
@@ -43,10 +43,10 @@
   struct Quarantine *quarantine = quarantine_new (NULL);
 
   quarantine_record_crash (quarantine, crashing, "engine-1", 0);
-  CU_ASSERT_TRUE (quarantine_suspects (quarantine, crashing));
+  CU_ASSERT_TRUE (quarantine_is_suspect (quarantine, crashing));
   quarantine_clear (quarantine, crashing);
   quarantine_clear (quarantine, crashing);
-  CU_ASSERT_FALSE (quarantine_suspects (quarantine, crashing));
+  CU_ASSERT_FALSE (quarantine_is_suspect (quarantine, crashing));
   CU_ASSERT_FALSE (quarantine_record_crash (quarantine, crashing, "engine-2", 1));
   talloc_free (quarantine);
 }
@@ -58,7 +58,7 @@
 
   quarantine_add (quarantine, crashing);
   quarantine_add (quarantine, crashing);
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, crashing));
+  CU_ASSERT_TRUE (quarantine_contains (quarantine, crashing));
   talloc_free (quarantine);
 }
 
