--- a/core/peer_message.c
+++ b/core/peer_message.c
@@ -175,36 +175,36 @@
 }
 
 static void
-answer_pack (struct PackWriter *p, const struct PeerAnswer *answer)
+response_pack (struct PackWriter *p, const struct PeerResponse *response)
 {
-  pack_u64 (p, answer->id);
+  pack_u64 (p, response->id);
   pack_array (p, OUTCOME_FIELDS);
-  outcome_pack (p, &answer->outcome);
-  pack_i64 (p, answer->fault.error);
-  pack_string (p, answer->fault.message);
-  pack_string (p, answer->fault.remedy);
-  pack_u64 (p, answer->retry_after_ms);
-  pack_u64 (p, answer->expected_sequence);
-  pack_u64 (p, answer->event_stream);
-  pack_u64 (p, answer->server_crashed);
+  outcome_pack (p, &response->outcome);
+  pack_i64 (p, response->fault.error);
+  pack_string (p, response->fault.message);
+  pack_string (p, response->fault.remedy);
+  pack_u64 (p, response->retry_after_ms);
+  pack_u64 (p, response->expected_sequence);
+  pack_u64 (p, response->event_stream);
+  pack_u64 (p, response->server_crashed);
 }
 
 static void
-answer_unpack (struct PackReader *r, TALLOC_CTX *ctx, struct PeerAnswer *answer)
+response_unpack (struct PackReader *r, TALLOC_CTX *ctx, struct PeerResponse *response)
 {
   struct PackReader outcome;
 
-  answer->id = read_u64 (r, UINT64_MAX);
+  response->id = read_u64 (r, UINT64_MAX);
   read_array (r, &outcome);
-  outcome_read (&outcome, ctx, &answer->outcome);
+  outcome_read (&outcome, ctx, &response->outcome);
   r->failed = r->failed || read_end (&outcome) != ERROR_NONE;
-  answer->fault.error = (int32_t)read_i64 (r);
-  read_string (r, answer->fault.message, sizeof answer->fault.message);
-  read_string (r, answer->fault.remedy, sizeof answer->fault.remedy);
-  answer->retry_after_ms = (uint32_t)read_u64 (r, UINT32_MAX);
-  answer->expected_sequence = read_u64 (r, UINT64_MAX);
-  answer->event_stream = read_u64 (r, 1) != 0;
-  answer->server_crashed = read_u64 (r, 1) != 0;
+  response->fault.error = (int32_t)read_i64 (r);
+  read_string (r, response->fault.message, sizeof response->fault.message);
+  read_string (r, response->fault.remedy, sizeof response->fault.remedy);
+  response->retry_after_ms = (uint32_t)read_u64 (r, UINT32_MAX);
+  response->expected_sequence = read_u64 (r, UINT64_MAX);
+  response->event_stream = read_u64 (r, 1) != 0;
+  response->server_crashed = read_u64 (r, 1) != 0;
 }
 
 static void
@@ -282,7 +282,7 @@
     case PEER_CHUNK:
     case PEER_RELEASE:
       return 4;
-    case PEER_ANSWER:
+    case PEER_RESPONSE:
       return 10;
     }
   return 0;
@@ -317,8 +317,8 @@
       pack_u64 (p, message->chunk.status);
       pack_bytes (p, message->chunk.bytes, message->chunk.n_bytes);
       break;
-    case PEER_ANSWER:
-      answer_pack (p, &message->answer);
+    case PEER_RESPONSE:
+      response_pack (p, &message->response);
       break;
     case PEER_RELEASE:
       pack_u64 (p, message->release.id);
@@ -379,8 +379,8 @@
       message->chunk.status = (uint32_t)read_u64 (r, UINT32_MAX);
       message->chunk.bytes = read_bytes (r, ctx, &message->chunk.n_bytes);
       break;
-    case PEER_ANSWER:
-      answer_unpack (r, ctx, &message->answer);
+    case PEER_RESPONSE:
+      response_unpack (r, ctx, &message->response);
       break;
     case PEER_RELEASE:
       message->release.id = read_u64 (r, UINT64_MAX);
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -133,16 +133,16 @@
 }
 
 static void
-daemon_on_answer (struct Core *core, uint64_t link, const struct PeerAnswer *answer)
+daemon_on_response (struct Core *core, uint64_t link, const struct PeerResponse *response)
 {
-  if (answer->id >= ENTRY_ID_BASE)
-    entry_on_answer (core->entry, link, answer);
-  else if (answer->id >= OPERATOR_ID_BASE)
-    operator_on_answer (core->operators, answer);
-  else if (answer->id >= SPOOLER_ID_BASE)
-    spooler_on_answer (core->spooler, link, answer);
+  if (response->id >= ENTRY_ID_BASE)
+    entry_on_response (core->entry, link, response);
+  else if (response->id >= OPERATOR_ID_BASE)
+    operator_on_response (core->operators, response);
+  else if (response->id >= SPOOLER_ID_BASE)
+    spooler_on_response (core->spooler, link, response);
   else
-    home_on_answer (core->home, answer);
+    home_on_response (core->home, response);
 }
 
 static void
@@ -177,8 +177,8 @@
     case PEER_CHUNK:
       daemon_on_chunk (core, link, &message->chunk);
       break;
-    case PEER_ANSWER:
-      daemon_on_answer (core, link, &message->answer);
+    case PEER_RESPONSE:
+      daemon_on_response (core, link, &message->response);
       break;
     case PEER_RELEASE:
       owner_on_release (core->owner, link, message->release.id, message->release.program,
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -28,9 +28,9 @@
   uint64_t id, link;
   int64_t retry_until_ms;
   struct Timer *timer;
-  bool sent;                      /* the request left this instance: it may have run */
-  bool head_sent;                 /* the caller has the response's head */
-  struct PeerAnswer last_failure; /* why the last send failed */
+  bool sent;                        /* the request left this instance: it may have run */
+  bool head_sent;                   /* the caller has the response's head */
+  struct PeerResponse last_failure; /* why the last send failed */
   /* Streams: length and hash of what the caller has received, and of the response to the last send.
    * A repeated response continues where the first one stopped if the two match. */
   size_t delivered_bytes, response_bytes;
@@ -78,25 +78,25 @@
 }
 
 static void
-entry_add_headers (struct EntryCall *call, const struct PeerAnswer *answer)
+entry_add_headers (struct EntryCall *call, const struct PeerResponse *response)
 {
   struct Exchange *exchange = call->exchange;
 
-  exchange_header (exchange, "X-Ran: %s", ran_name (answer->outcome.ran));
-  if (answer->retry_after_ms > 0)
-    exchange_header (exchange, "Retry-After: %u", (answer->retry_after_ms + 999) / 1000);
-  if (answer->outcome.charge_tokens > 0)
+  exchange_header (exchange, "X-Ran: %s", ran_name (response->outcome.ran));
+  if (response->retry_after_ms > 0)
+    exchange_header (exchange, "Retry-After: %u", (response->retry_after_ms + 999) / 1000);
+  if (response->outcome.charge_tokens > 0)
     exchange_header (exchange, "X-Charge-Tokens: %llu",
-                     (unsigned long long)answer->outcome.charge_tokens);
+                     (unsigned long long)response->outcome.charge_tokens);
 }
 
 /* Ends a request with an error instead of the response of a backend server. */
 static void
-entry_fail (struct EntryCall *call, const struct PeerAnswer *answer)
+entry_fail (struct EntryCall *call, const struct PeerResponse *response)
 {
   struct Exchange *exchange = call->exchange;
-  char *json = error_json (NULL, &answer->fault, answer->outcome.ran, answer->retry_after_ms,
-                           answer->expected_sequence);
+  char *json = error_json (NULL, &response->fault, response->outcome.ran, response->retry_after_ms,
+                           response->expected_sequence);
 
   if (call->head_sent)
     {
@@ -107,9 +107,9 @@
     }
   else
     {
-      entry_add_headers (call, answer);
+      entry_add_headers (call, response);
       exchange_chunk (exchange, json, strlen (json));
-      exchange_begin (exchange, error_http_status (answer->fault.error), false);
+      exchange_begin (exchange, error_http_status (response->fault.error), false);
     }
   talloc_free (json);
   entry_finish (call);
@@ -119,18 +119,18 @@
 static void
 entry_abandon (struct EntryCall *call)
 {
-  struct PeerAnswer answer = call->last_failure;
+  struct PeerResponse response = call->last_failure;
 
-  if (answer.fault.error == ERROR_NONE)
-    fault_set (&answer.fault, ERROR_UNREACHABLE, "send the same call again",
+  if (response.fault.error == ERROR_NONE)
+    fault_set (&response.fault, ERROR_UNREACHABLE, "send the same call again",
                "the program's home cannot be reached");
-  answer.outcome.error = answer.fault.error;
+  response.outcome.error = response.fault.error;
   /* A first attempt that was not sent did not run. Whether a caller's earlier attempt ran is
    * unknown here. */
-  answer.outcome.ran = call->sent || !call->exchange->request.first_attempt ? RAN_MAYBE : RAN_NO;
-  if (answer.retry_after_ms == 0)
-    answer.retry_after_ms = RETRY_AFTER_MS + (uint32_t)(call->id % RETRY_AFTER_MS);
-  entry_fail (call, &answer);
+  response.outcome.ran = call->sent || !call->exchange->request.first_attempt ? RAN_MAYBE : RAN_NO;
+  if (response.retry_after_ms == 0)
+    response.retry_after_ms = RETRY_AFTER_MS + (uint32_t)(call->id % RETRY_AFTER_MS);
+  entry_fail (call, &response);
 }
 
 static void
@@ -256,16 +256,16 @@
 static void
 entry_fail_stream (struct EntryCall *call)
 {
-  struct PeerAnswer answer = { 0 };
+  struct PeerResponse response = { 0 };
   struct PeerMessage cancel = { .kind = PEER_CANCEL };
 
   cancel.cancel.id = call->id;
   peer_net_send (call->entry->core->net, call->link, &cancel);
-  answer.outcome.ran = RAN_MAYBE;
-  answer.retry_after_ms = 1;
-  fault_set (&answer.fault, ERROR_BACKEND, "send the same call again to get its whole answer",
+  response.outcome.ran = RAN_MAYBE;
+  response.retry_after_ms = 1;
+  fault_set (&response.fault, ERROR_BACKEND, "send the same call again to get its whole answer",
              "the stream was interrupted, and the repeated response differs from its start");
-  entry_fail (call, &answer);
+  entry_fail (call, &response);
 }
 
 static void
@@ -326,45 +326,45 @@
 }
 
 static void
-entry_succeed (struct EntryCall *call, const struct PeerAnswer *answer)
+entry_succeed (struct EntryCall *call, const struct PeerResponse *response)
 {
   if (!call->head_sent)
     {
-      entry_add_headers (call, answer);
+      entry_add_headers (call, response);
       exchange_chunk (call->exchange, call->body, call->body_bytes);
-      exchange_begin (call->exchange, answer->outcome.status != 0 ? answer->outcome.status : 200,
-                      false);
+      exchange_begin (call->exchange,
+                      response->outcome.status != 0 ? response->outcome.status : 200, false);
     }
   entry_finish (call);
 }
 
 bool
-entry_on_answer (struct Entry *entry, uint64_t link, const struct PeerAnswer *answer)
+entry_on_response (struct Entry *entry, uint64_t link, const struct PeerResponse *response)
 {
-  struct EntryCall *call = entry_find_call (entry, link, answer->id);
+  struct EntryCall *call = entry_find_call (entry, link, response->id);
 
   if (call == NULL)
     return false;
-  if (answer->outcome.error == ERROR_NONE)
+  if (response->outcome.error == ERROR_NONE)
     {
       /* A second response that is shorter than what the caller has, or no stream, ends before the
        * two were compared. Without this the stream would end without an error. */
       if (call->head_sent && (call->response_bytes < call->delivered_bytes || call->body_bytes > 0))
         entry_fail_stream (call);
       else
-        entry_succeed (call, answer);
+        entry_succeed (call, response);
       return true;
     }
-  if (!entry_error_is_transient (answer->outcome.error))
+  if (!entry_error_is_transient (response->outcome.error))
     {
-      entry_fail (call, answer);
+      entry_fail (call, response);
       return true;
     }
   /* For a first attempt, RAN_NO means that this send had no effect: the next one counts as the
    * first attempt again. */
-  if (answer->outcome.ran == RAN_NO)
+  if (response->outcome.ran == RAN_NO)
     call->sent = false;
-  call->last_failure = *answer;
+  call->last_failure = *response;
   entry_retry_later (call);
   return true;
 }
--- a/daemon/entry.h
+++ b/daemon/entry.h
@@ -23,7 +23,7 @@
 bool
 entry_on_chunk (struct Entry *entry, uint64_t link, const struct PeerChunk *chunk);
 bool
-entry_on_answer (struct Entry *entry, uint64_t link, const struct PeerAnswer *answer);
+entry_on_response (struct Entry *entry, uint64_t link, const struct PeerResponse *response);
 void
 entry_on_link_closed (struct Entry *entry, uint64_t link);
 
--- a/daemon/home.c
+++ b/daemon/home.c
@@ -31,7 +31,7 @@
 static void
 home_refuse_not_owner (struct Home *home, uint64_t link, const struct PeerRequest *request)
 {
-  struct PeerAnswer reply = { .id = request->id };
+  struct PeerResponse reply = { .id = request->id };
 
   reply.outcome.error = fault_set (&reply.fault, ERROR_NOT_OWNER, NULL,
                                    "%s is not the program's home", home->core->settings->instance);
--- a/daemon/home.h
+++ b/daemon/home.h
@@ -1,7 +1,7 @@
 /* Home of programs: the one instance that orders a program's calls, charges its budget and writes
  * to the journal.
  *
- * Entries send PEER_REQUEST; the home responds with PEER_CHUNKs and one PEER_ANSWER over the same
+ * Entries send PEER_REQUEST; the home responds with PEER_CHUNKs and one PEER_RESPONSE over the same
  * link. It sends calls to the owners of backend servers as PEER_DISPATCH. */
 #pragma once
 
@@ -28,7 +28,7 @@
 bool
 home_on_chunk (struct Home *home, const struct PeerChunk *chunk);
 bool
-home_on_answer (struct Home *home, const struct PeerAnswer *reply);
+home_on_response (struct Home *home, const struct PeerResponse *reply);
 void
 home_on_link_closed (struct Home *home, uint64_t link);
 /* Handles the crash of a backend server, seen by any instance, while it ran a request with this
--- a/daemon/home_accept.c
+++ b/daemon/home_accept.c
@@ -128,7 +128,7 @@
                         const struct PeerRequest *request,
                         const struct Outcome *stored)
 {
-  struct PeerAnswer reply = { .id = request->id };
+  struct PeerResponse reply = { .id = request->id };
 
   counter_add (COUNTER_CALLS_STORED, 1);
   reply.outcome = *stored;
--- a/daemon/home_call.c
+++ b/daemon/home_call.c
@@ -125,9 +125,9 @@
 }
 
 void
-home_call_reply_all (struct HomeCall *call, const struct PeerAnswer *reply)
+home_call_reply_all (struct HomeCall *call, const struct PeerResponse *reply)
 {
-  struct PeerAnswer own = *reply;
+  struct PeerResponse own = *reply;
 
   for (struct HomeWaiter *w = call->waiters; w != NULL; w = w->next)
     {
@@ -240,7 +240,7 @@
 {
   struct HomeCall *call = data;
   struct Home *home = call->home;
-  struct PeerAnswer reply = { 0 };
+  struct PeerResponse reply = { 0 };
   bool lone = program_is_lone (call->call.key.program);
 
   reply.outcome = call->outcome;
@@ -336,7 +336,7 @@
 home_on_link_closed (struct Home *home, uint64_t link)
 {
   struct HomeCall *call, *next;
-  struct PeerAnswer lost = { 0 };
+  struct PeerResponse lost = { 0 };
 
   lost.outcome.error = fault_set (&lost.fault, ERROR_UNKNOWN_EFFECT, NULL,
                                   "the connection to the backend server's owner was lost");
@@ -347,7 +347,7 @@
     if (call->owner_link != link)
       continue;
     lost.id = call->dispatch_id;
-    home_on_answer (home, &lost);
+    home_on_response (home, &lost);
   }
   home_release_on_link_closed (home, link);
 }
@@ -391,7 +391,7 @@
 home_fail_all (struct Home *home, int32_t error)
 {
   struct HomeCall *call, *next;
-  struct PeerAnswer reply = { 0 };
+  struct PeerResponse reply = { 0 };
 
   reply.outcome.error =
       fault_set (&reply.fault, error, NULL, "this instance is no longer the program's home");
--- a/daemon/home_dispatch.c
+++ b/daemon/home_dispatch.c
@@ -38,7 +38,7 @@
 /* Retries a call of which no response bytes were forwarded and which is safe to send again, at
  * another backend server if there is one, within the retry budget. */
 static void
-home_call_retry (struct HomeCall *call, const struct PeerAnswer *reply)
+home_call_retry (struct HomeCall *call, const struct PeerResponse *reply)
 {
   struct Home *home = call->home;
   struct Fault fault;
@@ -160,7 +160,7 @@
 {
   struct Home *home = call->home;
   struct Fleet *fleet = home->core->fleet;
-  struct PeerAnswer failed = { 0 };
+  struct PeerResponse failed = { 0 };
   struct Profile profile;
   struct PolicyServer *servers;
   const struct FleetBackend *backend;
@@ -216,7 +216,7 @@
 
 /* Handles the failure of an idempotent call after it was sent. */
 static void
-home_call_on_failed (struct HomeCall *call, const struct PeerAnswer *reply)
+home_call_on_failed (struct HomeCall *call, const struct PeerResponse *reply)
 {
   struct Fault fault;
 
@@ -238,13 +238,13 @@
 }
 
 bool
-home_on_answer (struct Home *home, const struct PeerAnswer *reply)
+home_on_response (struct Home *home, const struct PeerResponse *reply)
 {
   struct HomeCall *call;
 
   HASH_FIND (by_dispatch, home->dispatches, &reply->id, sizeof reply->id, call);
   if (call == NULL)
-    return home_release_on_answer (home, reply);
+    return home_release_on_response (home, reply);
   if (reply->server_crashed)
     home_announce_crash (home, call);
   if (reply->outcome.ran != RAN_NO)
--- a/daemon/home_internal.h
+++ b/daemon/home_internal.h
@@ -53,7 +53,7 @@
   size_t forwardable_bytes; /* part of response that may be sent before the outcome is durable */
   bool forwarded_any;
   struct Outcome outcome;
-  struct PeerAnswer failure; /* sent to the waiters once RECORD_NOT_SENT is durable */
+  struct PeerResponse failure; /* sent to the waiters once RECORD_NOT_SENT is durable */
   UT_hash_handle by_key, by_dispatch;
 };
 
@@ -146,7 +146,7 @@
 
 /* home_reply.c */
 void
-home_reply (struct Home *home, uint64_t link, const struct PeerAnswer *reply);
+home_reply (struct Home *home, uint64_t link, const struct PeerResponse *reply);
 void
 home_reply_bytes (struct Home *home,
                   uint64_t link,
@@ -208,7 +208,7 @@
                    const struct Fault *fault,
                    uint32_t retry_after_ms);
 void
-home_call_reply_all (struct HomeCall *call, const struct PeerAnswer *reply);
+home_call_reply_all (struct HomeCall *call, const struct PeerResponse *reply);
 /* Reports to all waiters that the call did not run. */
 void
 home_call_refuse_all (struct HomeCall *call, const struct Fault *fault, uint32_t retry_after_ms);
@@ -240,7 +240,7 @@
 void
 home_release_start (struct Home *home);
 bool
-home_release_on_answer (struct Home *home, const struct PeerAnswer *reply);
+home_release_on_response (struct Home *home, const struct PeerResponse *reply);
 void
 home_release_on_link_closed (struct Home *home, uint64_t link);
 /* Journals that backend may hold memory of program: a call sent to it failed, so that no outcome
--- a/daemon/home_program.c
+++ b/daemon/home_program.c
@@ -86,7 +86,7 @@
 static void
 home_pending_fail (struct HomePending *pending, int32_t error)
 {
-  struct PeerAnswer reply = { .id = pending->id };
+  struct PeerResponse reply = { .id = pending->id };
 
   reply.outcome.error =
       fault_set (&reply.fault, error, NULL, "the journal did not accept the record");
--- a/daemon/home_release.c
+++ b/daemon/home_release.c
@@ -175,7 +175,7 @@
 }
 
 bool
-home_release_on_answer (struct Home *home, const struct PeerAnswer *reply)
+home_release_on_response (struct Home *home, const struct PeerResponse *reply)
 {
   struct HomeRelease *release, *next;
 
--- a/daemon/home_reply.c
+++ b/daemon/home_reply.c
@@ -9,15 +9,15 @@
 {
   struct Home *home;
   uint64_t link;
-  struct PeerAnswer reply;
+  struct PeerResponse reply;
 };
 
 void
-home_reply (struct Home *home, uint64_t link, const struct PeerAnswer *reply)
+home_reply (struct Home *home, uint64_t link, const struct PeerResponse *reply)
 {
-  struct PeerMessage message = { .kind = PEER_ANSWER };
+  struct PeerMessage message = { .kind = PEER_RESPONSE };
 
-  message.answer = *reply;
+  message.response = *reply;
   peer_net_send (home->core->net, link, &message);
 }
 
@@ -43,7 +43,7 @@
 void
 home_reply_json (struct Home *home, uint64_t link, uint64_t id, uint32_t status, const char *json)
 {
-  struct PeerAnswer reply = { .id = id };
+  struct PeerResponse reply = { .id = id };
 
   reply.outcome.ran = RAN_YES;
   reply.outcome.status = status;
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -195,13 +195,13 @@
 }
 
 bool
-operator_on_answer (struct Operator *operators, const struct PeerAnswer *answer)
+operator_on_response (struct Operator *operators, const struct PeerResponse *response)
 {
   struct GatherPart *part;
   struct Gather *gather;
   json_t *body;
 
-  HASH_FIND (by_id, operators->parts, &answer->id, sizeof answer->id, part);
+  HASH_FIND (by_id, operators->parts, &response->id, sizeof response->id, part);
   if (part == NULL)
     return false;
   gather = part->gather;
--- a/daemon/operator.h
+++ b/daemon/operator.h
@@ -16,4 +16,4 @@
 bool
 operator_on_chunk (struct Operator *operators, const struct PeerChunk *chunk);
 bool
-operator_on_answer (struct Operator *operators, const struct PeerAnswer *answer);
+operator_on_response (struct Operator *operators, const struct PeerResponse *response);
--- a/daemon/owner.c
+++ b/daemon/owner.c
@@ -72,11 +72,11 @@
 }
 
 void
-owner_respond (struct Owner *owner, uint64_t link, const struct PeerAnswer *answer)
+owner_respond (struct Owner *owner, uint64_t link, const struct PeerResponse *response)
 {
-  struct PeerMessage message = { .kind = PEER_ANSWER };
+  struct PeerMessage message = { .kind = PEER_RESPONSE };
 
-  message.answer = *answer;
+  message.response = *response;
   peer_net_send (owner->core->net, link, &message);
 }
 
@@ -87,13 +87,13 @@
               const struct Fault *fault,
               uint32_t retry_after_ms)
 {
-  struct PeerAnswer answer = { .id = id };
+  struct PeerResponse response = { .id = id };
 
-  answer.fault = *fault;
-  answer.outcome.error = fault->error;
-  answer.outcome.ran = RAN_NO;
-  answer.retry_after_ms = retry_after_ms;
-  owner_respond (owner, link, &answer);
+  response.fault = *fault;
+  response.outcome.error = fault->error;
+  response.outcome.ran = RAN_NO;
+  response.retry_after_ms = retry_after_ms;
+  owner_respond (owner, link, &response);
 }
 
 /* Returns a waiting call, already removed from the queue, to its home as not run. */
@@ -221,15 +221,15 @@
 }
 
 void
-owner_finish_call (struct Owner *owner, struct OwnerJob *job, const struct PeerAnswer *answer)
+owner_finish_call (struct Owner *owner, struct OwnerJob *job, const struct PeerResponse *response)
 {
   struct OwnerServer *server = job->server;
 
   server->in_flight--;
-  server_health_ended (server->health, &answer->outcome, timer_now_ms (owner->core->timers));
-  dispatch_queue_finished (server->queue, job->id, &answer->outcome,
+  server_health_ended (server->health, &response->outcome, timer_now_ms (owner->core->timers));
+  dispatch_queue_finished (server->queue, job->id, &response->outcome,
                            timer_now_ms (owner->core->timers));
-  owner_respond (owner, job->link, answer);
+  owner_respond (owner, job->link, response);
   owner_job_free (job);
   owner_send_waiting (owner, server);
 }
@@ -237,8 +237,8 @@
 static void
 owner_on_call_end (struct Owner *owner, struct OwnerJob *job, const struct BackendEvent *event)
 {
-  struct PeerAnswer answer = { .id = job->peer_id };
-  struct Outcome *outcome = &answer.outcome;
+  struct PeerResponse response = { .id = job->peer_id };
+  struct Outcome *outcome = &response.outcome;
 
   outcome->error = event->end.error;
   outcome->ran = event->end.ran;
@@ -248,14 +248,14 @@
   outcome->cached_tokens = event->end.cached_tokens;
   snprintf (outcome->backend, sizeof outcome->backend, "%s", job->server->name);
   if (outcome->error != ERROR_NONE)
-    fault_set (&answer.fault, outcome->error, NULL, "backend server %s: %s", job->server->name,
+    fault_set (&response.fault, outcome->error, NULL, "backend server %s: %s", job->server->name,
                error_name (outcome->error));
   counter_add (COUNTER_PREFIX_TOKENS, event->end.prompt_tokens);
   counter_add (COUNTER_PREFIX_CACHED, event->end.cached_tokens);
   if (outcome->error == ERROR_UNKNOWN_EFFECT && !job->cancelled)
-    owner_probe (owner, job, &answer);
+    owner_probe (owner, job, &response);
   else
-    owner_finish_call (owner, job, &answer);
+    owner_finish_call (owner, job, &response);
 }
 
 static void
--- a/daemon/owner.h
+++ b/daemon/owner.h
@@ -1,7 +1,7 @@
 /* Owner of backend servers: each one's queue, its calls in flight and its cache memory.
  *
- * Homes send PEER_DISPATCH and PEER_RELEASE; chunks and one PEER_ANSWER are returned over the same
- * link. RAN_NO in it means that nothing was sent to the server and nothing will be. */
+ * Homes send PEER_DISPATCH and PEER_RELEASE; chunks and one PEER_RESPONSE are returned over the
+ * same link. RAN_NO in it means that nothing was sent to the server and nothing will be. */
 #pragma once
 
 #include "core.h"
--- a/daemon/owner_internal.h
+++ b/daemon/owner_internal.h
@@ -33,8 +33,8 @@
   bool cancelled;
   uint32_t timeout_ms;
   struct Call call;
-  struct PeerAnswer pending; /* of an interrupted call, while the probe runs */
-  uint64_t interrupted_job;  /* of a probe: the id of the interrupted call */
+  struct PeerResponse pending; /* of an interrupted call, while the probe runs */
+  uint64_t interrupted_job;    /* of a probe: the id of the interrupted call */
 };
 
 struct OwnerServer
@@ -70,7 +70,7 @@
 struct OwnerServer *
 owner_server (struct Owner *owner, const char *name);
 void
-owner_respond (struct Owner *owner, uint64_t link, const struct PeerAnswer *answer);
+owner_respond (struct Owner *owner, uint64_t link, const struct PeerResponse *response);
 /* Rejects a call or release as not run: it never left this instance. */
 void
 owner_reject (struct Owner *owner,
@@ -80,12 +80,14 @@
               uint32_t retry_after_ms);
 /* Ends a call that was sent: updates the server's queue and health, and responds to the home. */
 void
-owner_finish_call (struct Owner *owner, struct OwnerJob *job, const struct PeerAnswer *answer);
+owner_finish_call (struct Owner *owner, struct OwnerJob *job, const struct PeerResponse *response);
 
 /* owner_watch.c */
 /* Probes the server of a call that was interrupted after it was sent, then finishes the call. */
 void
-owner_probe (struct Owner *owner, struct OwnerJob *interrupted, const struct PeerAnswer *answer);
+owner_probe (struct Owner *owner,
+             struct OwnerJob *interrupted,
+             const struct PeerResponse *response);
 void
 owner_on_probe_end (struct Owner *owner, struct OwnerJob *probe, const struct BackendEvent *event);
 void
--- a/daemon/owner_watch.c
+++ b/daemon/owner_watch.c
@@ -17,7 +17,7 @@
 /* Whether the server crashed during the call decides whether the request counts towards quarantine,
  * so the server is probed before the home gets the response. */
 void
-owner_probe (struct Owner *owner, struct OwnerJob *interrupted, const struct PeerAnswer *answer)
+owner_probe (struct Owner *owner, struct OwnerJob *interrupted, const struct PeerResponse *response)
 {
   const struct FleetBackend *backend =
       fleet_backend (owner->core->fleet, interrupted->server->name);
@@ -27,17 +27,17 @@
 
   if (probe == NULL)
     {
-      owner_finish_call (owner, interrupted, answer);
+      owner_finish_call (owner, interrupted, response);
       return;
     }
   probe->interrupted_job = interrupted->id;
-  interrupted->pending = *answer;
+  interrupted->pending = *response;
   request.address = backend->setting.address;
   request.timeout_ms = PROBE_TIMEOUT_MS;
   if (backend_pool_submit (owner->core->pool, probe->id, &request) == ERROR_NONE)
     return;
   owner_job_free (probe);
-  owner_finish_call (owner, interrupted, answer);
+  owner_finish_call (owner, interrupted, response);
 }
 
 /* Stores the engine's incarnation. Returns whether it differs from the former one. */
@@ -99,15 +99,15 @@
 void
 owner_on_release_end (struct Owner *owner, struct OwnerJob *job, const struct BackendEvent *event)
 {
-  struct PeerAnswer answer = { .id = job->peer_id };
+  struct PeerResponse response = { .id = job->peer_id };
 
-  answer.outcome.error = event->end.error;
-  answer.outcome.ran = event->end.ran;
-  snprintf (answer.outcome.backend, sizeof answer.outcome.backend, "%s", job->server->name);
+  response.outcome.error = event->end.error;
+  response.outcome.ran = event->end.ran;
+  snprintf (response.outcome.backend, sizeof response.outcome.backend, "%s", job->server->name);
   if (event->end.error != ERROR_NONE)
-    fault_set (&answer.fault, event->end.error, NULL, "%s did not acknowledge a release",
+    fault_set (&response.fault, event->end.error, NULL, "%s did not acknowledge a release",
                job->server->name);
-  owner_respond (owner, job->link, &answer);
+  owner_respond (owner, job->link, &response);
 }
 
 void
--- a/daemon/spooler.c
+++ b/daemon/spooler.c
@@ -16,12 +16,12 @@
 static void
 spooler_respond (struct Spooler *spooler, uint64_t link, uint64_t id, int32_t error)
 {
-  struct PeerMessage message = { .kind = PEER_ANSWER };
+  struct PeerMessage message = { .kind = PEER_RESPONSE };
 
-  message.answer.id = id;
-  message.answer.outcome.error = error;
+  message.response.id = id;
+  message.response.outcome.error = error;
   if (error != ERROR_NONE)
-    fault_set (&message.answer.fault, error, NULL, "the spool rejected the request");
+    fault_set (&message.response.fault, error, NULL, "the spool rejected the request");
   peer_net_send (spooler->core->net, link, &message);
 }
 
@@ -171,10 +171,10 @@
 }
 
 bool
-spooler_on_answer (struct Spooler *spooler, uint64_t link, const struct PeerAnswer *answer)
+spooler_on_response (struct Spooler *spooler, uint64_t link, const struct PeerResponse *response)
 {
-  return spooler_writer_on_answer (spooler, link, answer)
-         || spooler_collect_on_answer (spooler, answer);
+  return spooler_writer_on_response (spooler, link, response)
+         || spooler_collect_on_response (spooler, response);
 }
 
 void
--- a/daemon/spooler.h
+++ b/daemon/spooler.h
@@ -60,6 +60,6 @@
 
 /* Handles a response to a message of this module. Returns false when the id is not its own. */
 bool
-spooler_on_answer (struct Spooler *spooler, uint64_t link, const struct PeerAnswer *answer);
+spooler_on_response (struct Spooler *spooler, uint64_t link, const struct PeerResponse *response);
 void
 spooler_on_link_closed (struct Spooler *spooler, uint64_t link);
--- a/daemon/spooler_collect.c
+++ b/daemon/spooler_collect.c
@@ -216,15 +216,15 @@
 }
 
 bool
-spooler_collect_on_answer (struct Spooler *spooler, const struct PeerAnswer *answer)
+spooler_collect_on_response (struct Spooler *spooler, const struct PeerResponse *response)
 {
   struct SpoolerCollect *collect;
-  struct CollectDisk *disk = collect_find_disk (spooler, answer->id, &collect);
+  struct CollectDisk *disk = collect_find_disk (spooler, response->id, &collect);
 
   if (disk == NULL)
     return false;
   disk->requested = false;
-  disk->responded = answer->outcome.error == ERROR_NONE;
+  disk->responded = response->outcome.error == ERROR_NONE;
   return true;
 }
 
--- a/daemon/spooler_internal.h
+++ b/daemon/spooler_internal.h
@@ -61,7 +61,9 @@
 void
 spooler_writer_tick (struct Spooler *spooler);
 bool
-spooler_writer_on_answer (struct Spooler *spooler, uint64_t link, const struct PeerAnswer *answer);
+spooler_writer_on_response (struct Spooler *spooler,
+                            uint64_t link,
+                            const struct PeerResponse *response);
 void
 spooler_writer_on_closed (struct Spooler *spooler, uint64_t link);
 
@@ -70,6 +72,6 @@
 void
 spooler_collect_record (struct Spooler *spooler, const struct PeerMessage *message);
 bool
-spooler_collect_on_answer (struct Spooler *spooler, const struct PeerAnswer *answer);
+spooler_collect_on_response (struct Spooler *spooler, const struct PeerResponse *response);
 void
 spooler_collect_on_closed (struct Spooler *spooler, uint64_t link);
--- a/daemon/spooler_writer.c
+++ b/daemon/spooler_writer.c
@@ -159,20 +159,22 @@
 }
 
 bool
-spooler_writer_on_answer (struct Spooler *spooler, uint64_t link, const struct PeerAnswer *answer)
+spooler_writer_on_response (struct Spooler *spooler,
+                            uint64_t link,
+                            const struct PeerResponse *response)
 {
   for (struct SpoolerWrite *w = spooler->first; w != NULL; w = w->next)
     for (uint32_t i = 0; i < SPOOL_COPIES; i++)
       {
         struct SpoolerCopy *copy = &w->copies[i];
 
-        if (copy->id != answer->id || copy->link != link)
+        if (copy->id != response->id || copy->link != link)
           continue;
         copy->sent = false;
-        copy->durable = answer->outcome.error == ERROR_NONE;
+        copy->durable = response->outcome.error == ERROR_NONE;
         /* Sealed by a takeover: no record is acknowledged any more, and the journal will report the
          * same. */
-        spooler->sealed = spooler->sealed || answer->outcome.error == ERROR_FENCED;
+        spooler->sealed = spooler->sealed || response->outcome.error == ERROR_FENCED;
         if (!copy->durable)
           copy->zone[0] = '\0';
         writer_complete (spooler);
--- a/include/buckthornhead/peer_message.h
+++ b/include/buckthornhead/peer_message.h
@@ -24,7 +24,7 @@
   PEER_DISPATCH = 4, /* from the home to the owner of a backend server */
   PEER_CANCEL = 5,   /* cancels the request or dispatch .id */
   PEER_CHUNK = 6,    /* part of a response */
-  PEER_ANSWER = 7,   /* final response to a request, a dispatch or a release */
+  PEER_RESPONSE = 7, /* final response to a request, a dispatch or a release */
   PEER_RELEASE = 8,  /* from the home to the owner: release a program's memory */
   PEER_CONFIG_WANT = 9,
   PEER_CONFIG_ENTRY = 10,
@@ -98,7 +98,7 @@
   size_t n_bytes;
 };
 
-struct PeerAnswer
+struct PeerResponse
 {
   uint64_t id;
   struct Outcome outcome; /* .answer: the rest of the body, after the chunks */
@@ -128,7 +128,7 @@
       uint64_t id;
     } cancel;
     struct PeerChunk chunk;
-    struct PeerAnswer answer;
+    struct PeerResponse response;
     struct
     {
       uint64_t id;
--- a/tests/test_peer_message.c
+++ b/tests/test_peer_message.c
@@ -81,12 +81,12 @@
 static void
 test_malformed_frames_are_rejected (void)
 {
-  struct PeerMessage in = { .kind = PEER_ANSWER };
+  struct PeerMessage in = { .kind = PEER_RESPONSE };
   uint8_t *frame;
   size_t n_bytes;
 
-  in.answer.outcome.answer = (const uint8_t *)"whole";
-  in.answer.outcome.answer_bytes = 5;
+  in.response.outcome.answer = (const uint8_t *)"whole";
+  in.response.outcome.answer_bytes = 5;
   CU_ASSERT_EQUAL_FATAL (peer_message_pack (NULL, &in, &frame, &n_bytes), ERROR_NONE);
   for (size_t cut = 0; cut < n_bytes - 4; cut++)
     {
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -597,15 +597,15 @@
 }
 
 static void
-fill_peer_answer (struct PeerAnswer *answer, uint32_t variant)
+fill_peer_response (struct PeerResponse *response, uint32_t variant)
 {
-  answer->id = 665;
-  fill_outcome (&answer->outcome, variant);
-  answer->fault = (struct Fault){ ERROR_OUT_OF_ORDER, "a message", "a remedy" };
-  answer->retry_after_ms = 666;
-  answer->expected_sequence = 667;
-  answer->event_stream = flag (variant, 1);
-  answer->server_crashed = flag (variant, 2);
+  response->id = 665;
+  fill_outcome (&response->outcome, variant);
+  response->fault = (struct Fault){ ERROR_OUT_OF_ORDER, "a message", "a remedy" };
+  response->retry_after_ms = 666;
+  response->expected_sequence = 667;
+  response->event_stream = flag (variant, 1);
+  response->server_crashed = flag (variant, 2);
 }
 
 static void
@@ -633,8 +633,8 @@
     case PEER_CHUNK:
       m->chunk = (struct PeerChunk){ 673, 200, body, sizeof body };
       break;
-    case PEER_ANSWER:
-      fill_peer_answer (&m->answer, variant);
+    case PEER_RESPONSE:
+      fill_peer_response (&m->response, variant);
       break;
     case PEER_RELEASE:
       m->release.id = 674;
@@ -683,7 +683,7 @@
   { "peer_dispatch", PEER_DISPATCH, 2 },
   { "peer_cancel", PEER_CANCEL, 1 },
   { "peer_chunk", PEER_CHUNK, 1 },
-  { "peer_answer", PEER_ANSWER, 3 },
+  { "peer_answer", PEER_RESPONSE, 3 },
   { "peer_release", PEER_RELEASE, 1 },
   { "peer_config_want", PEER_CONFIG_WANT, 1 },
   { "peer_config_entry", PEER_CONFIG_ENTRY, 1 },
