--- a/bench/ledger_bench.c
+++ b/bench/ledger_bench.c
@@ -59,8 +59,8 @@
   struct Outcome outcome = { .ran = RAN_YES,
                              .status = 200,
                              .charge_tokens = 80,
-                             .answer = response_text,
-                             .answer_bytes = RESPONSE_BYTES };
+                             .response = response_text,
+                             .response_bytes = RESPONSE_BYTES };
   struct LedgerDecision decision;
   struct Record record;
   int32_t error;
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -83,8 +83,8 @@
   snprintf (record.outcome.key.branch, sizeof record.outcome.key.branch, MAIN_BRANCH);
   record.outcome.key.sequence = turn % TURNS_PER_PROGRAM + 1;
   record.outcome.outcome.charge_tokens = 900;
-  record.outcome.outcome.answer = body;
-  record.outcome.outcome.answer_bytes = sizeof body;
+  record.outcome.outcome.response = body;
+  record.outcome.outcome.response_bytes = sizeof body;
   record.outcome.request = body;
   record.outcome.request_bytes = sizeof body;
   append (bench, journal, &record);
--- a/core/ledger_state.c
+++ b/core/ledger_state.c
@@ -144,8 +144,8 @@
   copy = talloc_memdup (program, turn, sizeof *turn);
   if (copy == NULL)
     return ERROR_NO_MEMORY;
-  copy->outcome.answer =
-      copy_bytes (copy, turn->outcome.answer, turn->outcome.answer_bytes, &error);
+  copy->outcome.response =
+      copy_bytes (copy, turn->outcome.response, turn->outcome.response_bytes, &error);
   copy->request = copy_bytes (copy, turn->request, turn->request_bytes, &error);
   if (error != ERROR_NONE)
     {
@@ -188,7 +188,7 @@
   sha256_update (&sha, DIGEST_BYTES, turn->digest);
   digest_number (&sha, (uint64_t) - (int64_t)turn->outcome.error);
   digest_number (&sha, turn->outcome.status);
-  digest_bytes (&sha, turn->outcome.answer, turn->outcome.answer_bytes);
+  digest_bytes (&sha, turn->outcome.response, turn->outcome.response_bytes);
   digest_bytes (&sha, turn->request, turn->request_bytes);
   sha256_digest (&sha, DIGEST_BYTES, program->history_digest);
 }
--- a/core/record.c
+++ b/core/record.c
@@ -34,7 +34,7 @@
   pack_u64 (writer, outcome->charge_tokens);
   pack_u64 (writer, outcome->cached_tokens);
   pack_string (writer, outcome->backend);
-  pack_bytes (writer, outcome->answer, outcome->answer_bytes);
+  pack_bytes (writer, outcome->response, outcome->response_bytes);
 }
 
 void
@@ -50,7 +50,7 @@
   outcome->charge_tokens = read_u64 (reader, UINT64_MAX);
   outcome->cached_tokens = (uint32_t)read_u64 (reader, UINT32_MAX);
   read_string (reader, outcome->backend, sizeof outcome->backend);
-  outcome->answer = read_bytes (reader, ctx, &outcome->answer_bytes);
+  outcome->response = read_bytes (reader, ctx, &outcome->response_bytes);
 }
 
 static size_t
--- a/daemon/home_accept.c
+++ b/daemon/home_accept.c
@@ -132,12 +132,13 @@
 
   counter_add (COUNTER_CALLS_STORED, 1);
   reply.outcome = *stored;
-  reply.outcome.answer = NULL;
-  reply.outcome.answer_bytes = 0;
+  reply.outcome.response = NULL;
+  reply.outcome.response_bytes = 0;
   reply.event_stream = request->call.stream;
   if (stored->error != ERROR_NONE)
     fault_set (&reply.fault, stored->error, NULL, "the call was sent, but its response was lost");
-  home_reply_bytes (home, link, request->id, stored->status, stored->answer, stored->answer_bytes);
+  home_reply_bytes (home, link, request->id, stored->status, stored->response,
+                    stored->response_bytes);
   home_reply (home, link, &reply);
 }
 
--- a/daemon/home_call.c
+++ b/daemon/home_call.c
@@ -244,8 +244,8 @@
   bool lone = program_is_lone (call->call.key.program);
 
   reply.outcome = call->outcome;
-  reply.outcome.answer = NULL;
-  reply.outcome.answer_bytes = 0;
+  reply.outcome.response = NULL;
+  reply.outcome.response_bytes = 0;
   reply.event_stream = call->call.stream;
   if (error != ERROR_NONE)
     {
@@ -283,8 +283,8 @@
   TALLOC_FREE (call->timer);
   call->state = HOME_CALL_WRITING_OUTCOME;
   call->outcome = *outcome;
-  call->outcome.answer = outcome->error == ERROR_NONE ? call->response : NULL;
-  call->outcome.answer_bytes = outcome->error == ERROR_NONE ? call->response_bytes : 0;
+  call->outcome.response = outcome->error == ERROR_NONE ? call->response : NULL;
+  call->outcome.response_bytes = outcome->error == ERROR_NONE ? call->response_bytes : 0;
   part = home_history_part (call, &part_bytes);
   error =
       ledger_end_call (home->ledger, &call->call.key, &call->outcome, part, part_bytes, &record);
--- a/daemon/home_program.c
+++ b/daemon/home_program.c
@@ -278,7 +278,8 @@
                             (json_int_t)outcome->charge_tokens);
 
   json_object_set_new (turn, "request", json_from_bytes (request, request_bytes));
-  json_object_set_new (turn, "answer", json_from_bytes (outcome->answer, outcome->answer_bytes));
+  json_object_set_new (turn, "answer",
+                       json_from_bytes (outcome->response, outcome->response_bytes));
   json_array_append_new (turns, turn);
 }
 
--- a/include/buckthornhead/call.h
+++ b/include/buckthornhead/call.h
@@ -72,6 +72,6 @@
   uint64_t charge_tokens; /* prompt and generated tokens charged to the budget */
   uint32_t cached_tokens; /* prompt tokens served from the engine's cache */
   char backend[NAME_MAX_BYTES + 1];
-  const uint8_t *answer;
-  size_t answer_bytes;
+  const uint8_t *response;
+  size_t response_bytes;
 };
--- a/include/buckthornhead/peer_message.h
+++ b/include/buckthornhead/peer_message.h
@@ -101,7 +101,7 @@
 struct PeerResponse
 {
   uint64_t id;
-  struct Outcome outcome; /* .answer: the rest of the body, after the chunks */
+  struct Outcome outcome; /* .response: the rest of the body, after the chunks */
   struct Fault fault;     /* .error equals outcome.error */
   uint32_t retry_after_ms;
   uint64_t expected_sequence;
--- a/tests/fuzz/make_seeds.c
+++ b/tests/fuzz/make_seeds.c
@@ -59,8 +59,8 @@
     records[i].kind = (enum RecordKind) (i + 1);
   fill_key (&records[RECORD_INTENT - 1].intent.key);
   fill_key (&records[RECORD_OUTCOME - 1].outcome.key);
-  records[RECORD_OUTCOME - 1].outcome.outcome.answer = (const uint8_t *)"answer";
-  records[RECORD_OUTCOME - 1].outcome.outcome.answer_bytes = strlen ("answer");
+  records[RECORD_OUTCOME - 1].outcome.outcome.response = (const uint8_t *)"answer";
+  records[RECORD_OUTCOME - 1].outcome.outcome.response_bytes = strlen ("answer");
   records[RECORD_END - 1].end.reason = END_DONE;
   records[RECORD_SNAPSHOT - 1].snapshot.n_parts = 1;
   if (slot_pack (ctx, &slot, &packed, &n_bytes) == ERROR_NONE)
@@ -185,8 +185,8 @@
   created.program.budget_tokens = 4000;
   program = ledger_insert (ledger, &created);
   fill_key (&turn.key);
-  turn.outcome.answer = (const uint8_t *)"answer";
-  turn.outcome.answer_bytes = strlen ("answer");
+  turn.outcome.response = (const uint8_t *)"answer";
+  turn.outcome.response_bytes = strlen ("answer");
   if (program == NULL || program_get_or_add_branch (program, MAIN_BRANCH) == NULL
       || program_add_turn (program, &turn) != ERROR_NONE
       || ledger_add_snapshots (ledger, ctx, program, &records, &n_records) != ERROR_NONE
--- a/tests/test_homes.c
+++ b/tests/test_homes.c
@@ -239,8 +239,8 @@
   struct Call call = call_of (sequence, true);
   struct Outcome outcome = { .ran = RAN_YES,
                              .charge_tokens = 7,
-                             .answer = (const uint8_t *)answer,
-                             .answer_bytes = strlen (answer) };
+                             .response = (const uint8_t *)answer,
+                             .response_bytes = strlen (answer) };
   struct Record record = { 0 };
 
   CU_ASSERT_EQUAL (ledger_end_call (node->ledger, &call.key, &outcome, NULL, 0, &record),
@@ -264,8 +264,8 @@
 {
   struct LedgerDecision decision = accept (node, sequence, true);
 
-  return decision.verdict == LEDGER_STORED && decision.stored->answer_bytes == strlen (answer)
-         && memcmp (decision.stored->answer, answer, strlen (answer)) == 0;
+  return decision.verdict == LEDGER_STORED && decision.stored->response_bytes == strlen (answer)
+         && memcmp (decision.stored->response, answer, strlen (answer)) == 0;
 }
 
 static struct LedgerProgramView
--- a/tests/test_homes_chaos.c
+++ b/tests/test_homes_chaos.c
@@ -240,8 +240,8 @@
   char *answer = talloc_asprintf (node, "%s run %" PRIu64, node->incarnation, node->running);
   struct Outcome outcome = { .ran = RAN_YES,
                              .charge_tokens = COST,
-                             .answer = (const uint8_t *)answer,
-                             .answer_bytes = strlen (answer) };
+                             .response = (const uint8_t *)answer,
+                             .response_bytes = strlen (answer) };
   struct CallKey key = key_of (node->running);
   struct Record record = { 0 };
 
@@ -272,8 +272,8 @@
 
   (void)request;
   (void)request_bytes;
-  snprintf (text, sizeof text, "%s %.*s", error_name (outcome->error), (int)outcome->answer_bytes,
-            outcome->answer != NULL ? (const char *)outcome->answer : "");
+  snprintf (text, sizeof text, "%s %.*s", error_name (outcome->error), (int)outcome->response_bytes,
+            outcome->response != NULL ? (const char *)outcome->response : "");
   expect (w, key->sequence == ++history->n, "turns are in the order of their sequence");
   if (first[0] == '\0')
     memcpy (first, text, sizeof text);
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -57,8 +57,8 @@
   struct Outcome outcome = { .ran = RAN_YES,
                              .charge_tokens = charge_tokens,
                              .backend = "engine-1",
-                             .answer = (const uint8_t *)answer,
-                             .answer_bytes = strlen (answer) };
+                             .response = (const uint8_t *)answer,
+                             .response_bytes = strlen (answer) };
   struct Record record = { 0 };
 
   CU_ASSERT_EQUAL (ledger_end_call (ledger, &call.key, &outcome, NULL, 0, &record), ERROR_NONE);
@@ -128,7 +128,7 @@
   run (ledger, call_of (MAIN_BRANCH, 2, 2, 10), "two", 7);
   d = accept (ledger, call_of (MAIN_BRANCH, 1, 1, 10));
   CU_ASSERT_EQUAL_FATAL (d.verdict, LEDGER_STORED);
-  CU_ASSERT_EQUAL (memcmp (d.stored->answer, "one", 3), 0);
+  CU_ASSERT_EQUAL (memcmp (d.stored->response, "one", 3), 0);
   CU_ASSERT_EQUAL (accept (ledger, call_of (MAIN_BRANCH, 2, 9, 10)).fault.error,
                    ERROR_UNKNOWN_CALL);
   talloc_free (ctx);
@@ -159,7 +159,7 @@
   }
   d = accept (ledger, second);
   CU_ASSERT_EQUAL_FATAL (d.verdict, LEDGER_STORED);
-  CU_ASSERT_EQUAL (memcmp (d.stored->answer, "for q", 5), 0);
+  CU_ASSERT_EQUAL (memcmp (d.stored->response, "for q", 5), 0);
   CU_ASSERT_NOT_EQUAL (memcmp (view_of (ledger).history_digest, (uint8_t[DIGEST_BYTES]){ 0 }, 32),
                        0);
   talloc_free (ctx);
@@ -313,7 +313,7 @@
   CU_ASSERT_EQUAL (ledger_apply (ledger, &late_outcome), ERROR_NONE);
   d = accept (ledger, call_of (MAIN_BRANCH, 1, 1, 10));
   CU_ASSERT_EQUAL_FATAL (d.verdict, LEDGER_STORED);
-  CU_ASSERT_EQUAL (memcmp (d.stored->answer, "new", 3), 0);
+  CU_ASSERT_EQUAL (memcmp (d.stored->response, "new", 3), 0);
   CU_ASSERT_EQUAL (view_of (ledger).turns, 1);
   talloc_free (ctx);
 }
--- a/tests/test_peer_message.c
+++ b/tests/test_peer_message.c
@@ -85,8 +85,8 @@
   uint8_t *frame;
   size_t n_bytes;
 
-  in.response.outcome.answer = (const uint8_t *)"whole";
-  in.response.outcome.answer_bytes = 5;
+  in.response.outcome.response = (const uint8_t *)"whole";
+  in.response.outcome.response_bytes = 5;
   CU_ASSERT_EQUAL_FATAL (peer_message_pack (NULL, &in, &frame, &n_bytes), ERROR_NONE);
   for (size_t cut = 0; cut < n_bytes - 4; cut++)
     {
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -48,8 +48,8 @@
   records[2].outcome.key = key_of ("p", 1);
   records[2].outcome.outcome.error = ERROR_BACKEND;
   records[2].outcome.outcome.ran = RAN_YES;
-  records[2].outcome.outcome.answer = body;
-  records[2].outcome.outcome.answer_bytes = sizeof body;
+  records[2].outcome.outcome.response = body;
+  records[2].outcome.outcome.response_bytes = sizeof body;
   records[2].outcome.request = body;
   records[2].outcome.request_bytes = 3;
   snprintf (records[3].end.program, sizeof records[3].end.program, "%s", "p");
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -541,8 +541,8 @@
                                .charge_tokens = 1ULL << 36,
                                .cached_tokens = 631,
                                .backend = "server-3",
-                               .answer = reply,
-                               .answer_bytes = sizeof reply };
+                               .response = reply,
+                               .response_bytes = sizeof reply };
 }
 
 static void
