--- a/bench/policy_cost.c
+++ b/bench/policy_cost.c
@@ -60,7 +60,7 @@
       program_name (calls[i].key.program, sizeof calls[i].key.program, i);
       snprintf (calls[i].key.branch, sizeof calls[i].key.branch, "%s", MAIN_BRANCH);
       calls[i].prompt_tokens = 4000;
-      placement_learn (placement, &calls[i], servers[i % n_servers].name, &outcome, 0);
+      placement_record_outcome (placement, &calls[i], servers[i % n_servers].name, &outcome, 0);
     }
   begin = clock_ns ();
   for (size_t i = 0; i < ROUNDS; i++)
--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -407,8 +407,8 @@
       engine_release (server->engine, sim->now_ms, event->call);
       return;
     }
-  placement_learn (sim->placement, &call, sim->digests[server->index].name, &outcome,
-                   sim_clock (sim));
+  placement_record_outcome (sim->placement, &call, sim->digests[server->index].name, &outcome,
+                            sim_clock (sim));
   sim_advance (sim, p, b);
 }
 
@@ -427,8 +427,8 @@
 
   server_health_ended (server->health, &outcome, sim_clock (sim));
   dispatch_queue_finished (server->queue, event->call, &outcome, sim_clock (sim));
-  placement_learn (sim->placement, &call, sim->digests[server->index].name, &outcome,
-                   sim_clock (sim));
+  placement_record_outcome (sim->placement, &call, sim->digests[server->index].name, &outcome,
+                            sim_clock (sim));
   sim_digest_of (event->call, digest);
   if (ran
       && quarantine_record_crash (sim->quarantine, digest, sim->digests[server->index].name,
--- a/core/placement.c
+++ b/core/placement.c
@@ -455,11 +455,11 @@
 }
 
 void
-placement_learn (struct Placement *placement,
-                 const struct Call *call,
-                 const char *server,
-                 const struct Outcome *outcome,
-                 int64_t now_ms)
+placement_record_outcome (struct Placement *placement,
+                          const struct Call *call,
+                          const char *server,
+                          const struct Outcome *outcome,
+                          int64_t now_ms)
 {
   struct PlacedBranch *branch;
 
--- a/daemon/home_call.c
+++ b/daemon/home_call.c
@@ -214,8 +214,8 @@
 {
   struct Home *home = call->home;
 
-  placement_learn (home->placement, &call->call, call->outcome.backend, &call->outcome,
-                   timer_now_ms (home->core->timers));
+  placement_record_outcome (home->placement, &call->call, call->outcome.backend, &call->outcome,
+                            timer_now_ms (home->core->timers));
   home->core->outcomes.prefix_tokens += call->call.prompt_tokens;
   home->core->outcomes.cached_tokens += call->outcome.cached_tokens;
   counter_add (COUNTER_CALLS_ENDED, 1);
--- a/include/buckthornhead/policy.h
+++ b/include/buckthornhead/policy.h
@@ -67,11 +67,11 @@
 
 /* Records where the prefix of a call's program is and how the call ended on server. */
 void
-placement_learn (struct Placement *placement,
-                 const struct Call *call,
-                 const char *server,
-                 const struct Outcome *outcome,
-                 int64_t now_ms);
+placement_record_outcome (struct Placement *placement,
+                          const struct Call *call,
+                          const char *server,
+                          const struct Outcome *outcome,
+                          int64_t now_ms);
 void
 placement_forget (struct Placement *placement, const char *program);
 
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -45,7 +45,7 @@
 {
   struct Outcome outcome = { .charge_tokens = context, .cached_tokens = call->prompt_tokens };
 
-  placement_learn (placement, call, server, &outcome, 0);
+  placement_record_outcome (placement, call, server, &outcome, 0);
 }
 
 static int32_t
