--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -301,7 +301,7 @@
 
   branch->issued_ms = sim->now_ms;
   branch->attempt = 1;
-  retry_budget_earn (sim->retries, sim->options->weights.retry_budget_permille);
+  retry_budget_deposit (sim->retries, sim->options->weights.retry_budget_permille);
   sim_place (sim, id);
 }
 
@@ -435,7 +435,7 @@
                                   sim_clock (sim)))
     sim->result->quarantined++;
   branch->state = CALL_IDLE;
-  if (retry_budget_take (sim->retries, &call, &outcome, branch->attempt++, 0, &delay_ms, &fault)
+  if (retry_budget_withdraw (sim->retries, &call, &outcome, branch->attempt++, 0, &delay_ms, &fault)
       == ERROR_NONE)
     sim_schedule (sim, delay_ms, EVENT_RESEND, event->call);
   else
--- a/core/retry_budget.c
+++ b/core/retry_budget.c
@@ -34,7 +34,7 @@
 }
 
 void
-retry_budget_earn (struct RetryBudget *budget, uint32_t permille)
+retry_budget_deposit (struct RetryBudget *budget, uint32_t permille)
 {
   budget->saved_permille += permille;
   if (budget->saved_permille > RETRY_SAVED_MAX * RETRY_PERMILLE)
@@ -85,13 +85,13 @@
 }
 
 int32_t
-retry_budget_take (struct RetryBudget *budget,
-                   const struct Call *call,
-                   const struct Outcome *outcome,
-                   uint32_t attempt,
-                   int64_t time_left_ms,
-                   uint32_t *delay_ms,
-                   struct Fault *fault)
+retry_budget_withdraw (struct RetryBudget *budget,
+                       const struct Call *call,
+                       const struct Outcome *outcome,
+                       uint32_t attempt,
+                       int64_t time_left_ms,
+                       uint32_t *delay_ms,
+                       struct Fault *fault)
 {
   uint32_t delay;
 
--- a/daemon/home_accept.c
+++ b/daemon/home_accept.c
@@ -51,7 +51,7 @@
   struct Profile profile;
 
   fleet_profile (home->core->fleet, call->call.service, &profile);
-  retry_budget_earn (home->retries, profile.weights.retry_budget_permille);
+  retry_budget_deposit (home->retries, profile.weights.retry_budget_permille);
   counter_add (COUNTER_CALLS_ACCEPTED, 1);
   if (decision->verdict == LEDGER_RUN)
     {
--- a/daemon/home_dispatch.c
+++ b/daemon/home_dispatch.c
@@ -49,8 +49,8 @@
   TALLOC_FREE (call->timer);
   call->response_bytes = 0;
   call->forwardable_bytes = 0;
-  if (retry_budget_take (home->retries, &call->call, &reply->outcome, call->attempt,
-                         home_call_time_left_ms (call), &delay_ms, &fault)
+  if (retry_budget_withdraw (home->retries, &call->call, &reply->outcome, call->attempt,
+                             home_call_time_left_ms (call), &delay_ms, &fault)
       != ERROR_NONE)
     {
       if (retry_after_ms == 0)
--- a/tests/test_retry_budget.c
+++ b/tests/test_retry_budget.c
@@ -14,9 +14,9 @@
   struct Fault fault;
   uint32_t delay_ms;
 
-  CU_ASSERT_EQUAL (retry_budget_take (budget, &call, &lost, 1, 0, &delay_ms, &fault),
+  CU_ASSERT_EQUAL (retry_budget_withdraw (budget, &call, &lost, 1, 0, &delay_ms, &fault),
                    ERROR_MAY_HAVE_RUN);
-  CU_ASSERT_EQUAL (retry_budget_take (budget, &call, &unreachable, 1, 0, &delay_ms, &fault),
+  CU_ASSERT_EQUAL (retry_budget_withdraw (budget, &call, &unreachable, 1, 0, &delay_ms, &fault),
                    ERROR_NONE);
   talloc_free (budget);
 }
@@ -31,10 +31,11 @@
   struct Fault fault;
   uint32_t delay_ms;
 
-  CU_ASSERT_EQUAL (retry_budget_take (budget, &call, &bad_request, 1, 0, &delay_ms, &fault),
+  CU_ASSERT_EQUAL (retry_budget_withdraw (budget, &call, &bad_request, 1, 0, &delay_ms, &fault),
                    ERROR_BACKEND);
-  CU_ASSERT_EQUAL (retry_budget_take (budget, &call, &broken, 1, 0, &delay_ms, &fault), ERROR_NONE);
-  CU_ASSERT_EQUAL (retry_budget_take (budget, &call, &broken, 4, 0, &delay_ms, &fault),
+  CU_ASSERT_EQUAL (retry_budget_withdraw (budget, &call, &broken, 1, 0, &delay_ms, &fault),
+                   ERROR_NONE);
+  CU_ASSERT_EQUAL (retry_budget_withdraw (budget, &call, &broken, 4, 0, &delay_ms, &fault),
                    ERROR_BACKEND);
   talloc_free (budget);
 }
@@ -51,9 +52,11 @@
 
   for (int i = 0; i < 10000; i++)
     {
-      retry_budget_earn (budget, 100);
-      granted += retry_budget_take (budget, &call, &lost, 1, 0, &delay_ms, &fault) == ERROR_NONE;
-      granted += retry_budget_take (budget, &call, &lost, 2, 0, &delay_ms, &fault) == ERROR_NONE;
+      retry_budget_deposit (budget, 100);
+      granted +=
+          retry_budget_withdraw (budget, &call, &lost, 1, 0, &delay_ms, &fault) == ERROR_NONE;
+      granted +=
+          retry_budget_withdraw (budget, &call, &lost, 2, 0, &delay_ms, &fault) == ERROR_NONE;
     }
   CU_ASSERT (granted >= 1000 && granted <= 1020);
   talloc_free (budget);
@@ -69,19 +72,19 @@
 
   for (int i = 0; i < 5; i++)
     {
-      retry_budget_earn (a, 1000);
-      retry_budget_earn (b, 1000);
-      retry_budget_take (a, &call, &lost, 1, 0, &first, &fault);
-      retry_budget_take (b, &call, &lost, 1, 0, &second, &fault);
+      retry_budget_deposit (a, 1000);
+      retry_budget_deposit (b, 1000);
+      retry_budget_withdraw (a, &call, &lost, 1, 0, &first, &fault);
+      retry_budget_withdraw (b, &call, &lost, 1, 0, &second, &fault);
       CU_ASSERT_EQUAL (first, second);
       CU_ASSERT (first >= 50 && first < 100);
       differing += first != last;
       last = first;
     }
   CU_ASSERT (differing >= 4);
-  retry_budget_take (a, &call, &lost, 3, 0, &first, &fault);
+  retry_budget_withdraw (a, &call, &lost, 3, 0, &first, &fault);
   CU_ASSERT (first >= 200 && first < 400);
-  CU_ASSERT_EQUAL (retry_budget_take (a, &call, &lost, 3, 100, &first, &fault), ERROR_DEADLINE);
+  CU_ASSERT_EQUAL (retry_budget_withdraw (a, &call, &lost, 3, 100, &first, &fault), ERROR_DEADLINE);
   talloc_free (a);
   talloc_free (b);
 }
