--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -725,8 +725,8 @@
       struct DispatchActive active;
 
       dispatch_queue_active (sim->servers[s].queue, &active);
-      r->taken += (double)active.n_taken;
-      r->lapsed += (double)active.n_lapsed;
+      r->taken += (double)active.n_evicted;
+      r->lapsed += (double)active.n_expired;
       if (active.budget_tokens != UINT64_MAX)
         r->budget_tokens += (double)active.budget_tokens / sim->options->n_engines;
       busy_ms += sim->servers[s].busy_ms;
--- a/core/dispatch_queue.c
+++ b/core/dispatch_queue.c
@@ -493,8 +493,8 @@
 
   active->n_programs = set->n_active;
   active->active_tokens = set->active_tokens;
-  active->n_taken = set->n_evicted;
-  active->n_lapsed = set->n_expired;
+  active->n_evicted = set->n_evicted;
+  active->n_expired = set->n_expired;
   active->budget_tokens = isinf (set->budget_tokens) ? UINT64_MAX : (uint64_t)set->budget_tokens;
 }
 
--- a/include/buckthornhead/policy.h
+++ b/include/buckthornhead/policy.h
@@ -150,8 +150,8 @@
   size_t n_programs;
   uint64_t active_tokens;
   uint64_t budget_tokens; /* learned; UINT64_MAX: no shortage seen so far */
-  uint64_t n_taken;       /* paused programs evicted for more urgent ones */
-  uint64_t n_lapsed;      /* programs evicted because their pause lasted too long */
+  uint64_t n_evicted;     /* paused programs evicted for more urgent ones */
+  uint64_t n_expired;     /* programs evicted because their pause lasted too long */
 };
 void
 dispatch_queue_active (const struct DispatchQueue *queue, struct DispatchActive *active);
