--- a/daemon/home_write.c
+++ b/daemon/home_write.c
@@ -55,7 +55,7 @@
   if (write->spooled)
     {
       /* The disks may respond after this write has been freed. */
-      spooler_forget (home->core->spooler, write->number);
+      spooler_cancel_put (home->core->spooler, write->number);
       if (error == ERROR_NONE)
         spooler_drop (home->core->spooler, write->number);
     }
--- a/daemon/spooler.h
+++ b/daemon/spooler.h
@@ -38,7 +38,7 @@
 /* Cancels the put of record number, whose requester was freed or has its response from the journal:
  * its done is not called any more. */
 void
-spooler_forget (struct Spooler *spooler, uint64_t number);
+spooler_cancel_put (struct Spooler *spooler, uint64_t number);
 
 /* Deletes all records up to number from the disks: the journal has them. */
 void
--- a/daemon/spooler_writer.c
+++ b/daemon/spooler_writer.c
@@ -196,7 +196,7 @@
 }
 
 void
-spooler_forget (struct Spooler *spooler, uint64_t number)
+spooler_cancel_put (struct Spooler *spooler, uint64_t number)
 {
   struct SpoolerWrite **at = &spooler->first;
   struct SpoolerWrite *write;
