--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -426,12 +426,12 @@
   atomic_store (&exchange->closed, true);
   if (exchange->posted && code != MHD_REQUEST_TERMINATED_COMPLETED_OK)
     {
-      struct GoneMail *mail = talloc_zero (NULL, struct GoneMail);
+      struct DisconnectMail *mail = talloc_zero (NULL, struct DisconnectMail);
 
       if (mail != NULL)
         {
           /* Transfers the HTTP thread's reference to the mail. */
-          mail->mail.kind = MAIL_CALLER_GONE;
+          mail->mail.kind = MAIL_CALLER_DISCONNECTED;
           mail->exchange = exchange;
           mailbox_post (http->core, &mail->mail);
           return;
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -67,8 +67,8 @@
       else
         operator_on_exchange (core->operators, exchange);
       return;
-    case MAIL_CALLER_GONE:
-      exchange = ((struct GoneMail *)mail)->exchange;
+    case MAIL_CALLER_DISCONNECTED:
+      exchange = ((struct DisconnectMail *)mail)->exchange;
       if (exchange->kind == EXCHANGE_CALLER)
         entry_on_disconnect (core->entry, exchange);
       else
--- a/include/buckthornhead/exchange.h
+++ b/include/buckthornhead/exchange.h
@@ -58,8 +58,9 @@
   int64_t started_ms;
 };
 
-/* Payload of MAIL_CALLER_GONE: the caller disconnected. Holds the HTTP thread's reference. */
-struct GoneMail
+/* Payload of MAIL_CALLER_DISCONNECTED: the caller disconnected. Holds the HTTP thread's reference.
+ */
+struct DisconnectMail
 {
   struct Mail mail;
   struct Exchange *exchange;
--- a/include/buckthornhead/mailbox.h
+++ b/include/buckthornhead/mailbox.h
@@ -12,13 +12,13 @@
 
 enum MailKind
 {
-  MAIL_CALLER_REQUEST, /* to the core: a caller's request is complete */
-  MAIL_CALLER_GONE,    /* to the core: the caller's connection closed */
-  MAIL_BACKEND_CHUNK,  /* to the core: struct BackendMail */
-  MAIL_BACKEND_END,    /* to the core: struct BackendMail */
-  MAIL_BACKEND_SUBMIT, /* to a backend thread */
-  MAIL_BACKEND_CANCEL, /* to a backend thread */
-  MAIL_DISK_DONE,      /* to a disk log's loop: struct DiskMail */
+  MAIL_CALLER_REQUEST,      /* to the core: a caller's request is complete */
+  MAIL_CALLER_DISCONNECTED, /* to the core: the caller's connection closed */
+  MAIL_BACKEND_CHUNK,       /* to the core: struct BackendMail */
+  MAIL_BACKEND_END,         /* to the core: struct BackendMail */
+  MAIL_BACKEND_SUBMIT,      /* to a backend thread */
+  MAIL_BACKEND_CANCEL,      /* to a backend thread */
+  MAIL_DISK_DONE,           /* to a disk log's loop: struct DiskMail */
   MAIL_STOP
 };
 
