--- a/core/peer_message.c
+++ b/core/peer_message.c
@@ -266,7 +266,7 @@
     case PEER_DISPATCH:
       return 8;
     case PEER_CANCEL:
-    case PEER_CONFIG_WANT:
+    case PEER_CONFIG_REQUEST:
     case PEER_CONFIG_ENTRY:
     case PEER_GATEWAY:
       return 2;
@@ -325,8 +325,8 @@
       pack_string (p, message->release.program);
       pack_string (p, message->release.backend);
       break;
-    case PEER_CONFIG_WANT:
-      pack_u64 (p, message->config_want.from);
+    case PEER_CONFIG_REQUEST:
+      pack_u64 (p, message->config_request.from);
       break;
     case PEER_CONFIG_ENTRY:
       pack_bytes (p, message->config_entry.bytes, message->config_entry.n_bytes);
@@ -387,8 +387,8 @@
       read_string (r, message->release.program, sizeof message->release.program);
       read_string (r, message->release.backend, sizeof message->release.backend);
       break;
-    case PEER_CONFIG_WANT:
-      message->config_want.from = read_u64 (r, UINT64_MAX);
+    case PEER_CONFIG_REQUEST:
+      message->config_request.from = read_u64 (r, UINT64_MAX);
       break;
     case PEER_CONFIG_ENTRY:
       message->config_entry.bytes = read_bytes (r, ctx, &message->config_entry.n_bytes);
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -90,12 +90,12 @@
 static void
 daemon_request_config (struct Core *core, uint64_t link, const struct PeerHeartbeat *heartbeat)
 {
-  struct PeerMessage request = { .kind = PEER_CONFIG_WANT };
+  struct PeerMessage request = { .kind = PEER_CONFIG_REQUEST };
   uint64_t own = config_log_revision (core->config);
 
   if (heartbeat->config_revision <= own)
     return;
-  request.config_want.from = own + 1;
+  request.config_request.from = own + 1;
   peer_net_send (core->net, link, &request);
 }
 
@@ -184,8 +184,8 @@
       owner_on_release (core->owner, link, message->release.id, message->release.program,
                         message->release.backend);
       break;
-    case PEER_CONFIG_WANT:
-      daemon_send_config (core, link, message->config_want.from);
+    case PEER_CONFIG_REQUEST:
+      daemon_send_config (core, link, message->config_request.from);
       break;
     case PEER_CONFIG_ENTRY:
       config_log_take_entry (core->config, message->config_entry.bytes,
--- a/include/buckthornhead/peer_message.h
+++ b/include/buckthornhead/peer_message.h
@@ -26,7 +26,7 @@
   PEER_CHUNK = 6,    /* part of a response */
   PEER_RESPONSE = 7, /* final response to a request, a dispatch or a release */
   PEER_RELEASE = 8,  /* from the home to the owner: release a program's memory */
-  PEER_CONFIG_WANT = 9,
+  PEER_CONFIG_REQUEST = 9,
   PEER_CONFIG_ENTRY = 10,
   PEER_QUARANTINE = 11,   /* a backend server failed while it ran a request */
   PEER_SPOOL_PUT = 12,    /* store a journal record on disk while the platform is down */
@@ -138,7 +138,7 @@
     struct
     {
       uint64_t from;
-    } config_want;
+    } config_request;
     struct
     {
       const uint8_t *bytes;
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -641,8 +641,8 @@
       snprintf (m->release.program, sizeof m->release.program, "program-2");
       snprintf (m->release.backend, sizeof m->release.backend, "server-5");
       break;
-    case PEER_CONFIG_WANT:
-      m->config_want.from = 675;
+    case PEER_CONFIG_REQUEST:
+      m->config_request.from = 675;
       break;
     case PEER_CONFIG_ENTRY:
       m->config_entry.bytes = nested;
@@ -685,7 +685,7 @@
   { "peer_chunk", PEER_CHUNK, 1 },
   { "peer_answer", PEER_RESPONSE, 3 },
   { "peer_release", PEER_RELEASE, 1 },
-  { "peer_config_want", PEER_CONFIG_WANT, 1 },
+  { "peer_config_want", PEER_CONFIG_REQUEST, 1 },
   { "peer_config_entry", PEER_CONFIG_ENTRY, 1 },
   { "peer_quarantine", PEER_QUARANTINE, 1 },
   { "peer_spool_put", PEER_SPOOL_PUT, 1 },
