--- a/core/config_fold.c
+++ b/core/config_fold.c
@@ -139,7 +139,7 @@
 }
 
 void
-config_fold_take (struct ConfigFold *fold, const struct ConfigChange *change)
+config_fold_apply (struct ConfigFold *fold, const struct ConfigChange *change)
 {
   fold->revision++;
   if (change == NULL)
--- a/core/config_fold.h
+++ b/core/config_fold.h
@@ -59,7 +59,7 @@
 /* Applies change number fold->revision + 1. NULL means a change that this version cannot
  * read: it has no effect but increases the revision. */
 void
-config_fold_take (struct ConfigFold *fold, const struct ConfigChange *change);
+config_fold_apply (struct ConfigFold *fold, const struct ConfigChange *change);
 
 /* Returns the state to publish; belongs to ctx. */
 struct ConfigState *
--- a/core/config_log.c
+++ b/core/config_log.c
@@ -97,7 +97,7 @@
     }
   if (!follows)
     config_log_drop_entries (log);
-  config_fold_take (log->fold, config_log_add_entry (log, n, value, value_bytes)->change);
+  config_fold_apply (log->fold, config_log_add_entry (log, n, value, value_bytes)->change);
   return true;
 }
 
@@ -235,7 +235,7 @@
 }
 
 bool
-config_log_keeps (const struct ConfigLog *log, uint64_t n)
+config_log_has_entry (const struct ConfigLog *log, uint64_t n)
 {
   return config_log_find (log, n) != NULL;
 }
@@ -256,7 +256,7 @@
 }
 
 int32_t
-config_log_take_entry (struct ConfigLog *log, const uint8_t *packed, size_t bytes)
+config_log_apply_entry (struct ConfigLog *log, const uint8_t *packed, size_t bytes)
 {
   TALLOC_CTX *ctx = talloc_new (log);
   struct ConfigParcel parcel;
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -115,7 +115,7 @@
         peer_net_send (core->net, link, &entry);
       /* This entry is no longer kept, so the whole configuration was sent instead. Each further
        * such entry would send it again. */
-      if (!config_log_keeps (core->config, n))
+      if (!config_log_has_entry (core->config, n))
         break;
     }
   talloc_free (ctx);
@@ -188,8 +188,8 @@
       daemon_send_config (core, link, message->config_request.from);
       break;
     case PEER_CONFIG_ENTRY:
-      config_log_take_entry (core->config, message->config_entry.bytes,
-                             message->config_entry.n_bytes);
+      config_log_apply_entry (core->config, message->config_entry.bytes,
+                              message->config_entry.n_bytes);
       break;
     case PEER_QUARANTINE:
       home_on_server_crash (core->home, message->quarantine.digest, message->quarantine.server);
--- a/include/buckthornhead/config_log.h
+++ b/include/buckthornhead/config_log.h
@@ -107,12 +107,12 @@
  * ERROR_OUT_OF_ORDER means that earlier ones are missing. A revision that is not above the own one
  * is ignored. */
 int32_t
-config_log_take_entry (struct ConfigLog *log, const uint8_t *packed, size_t bytes);
+config_log_apply_entry (struct ConfigLog *log, const uint8_t *packed, size_t bytes);
 
 /* True when entry n is kept. config_log_entry returns the same checkpoint for every older n, so a
  * peer needs only one of those. */
 bool
-config_log_keeps (const struct ConfigLog *log, uint64_t n);
+config_log_has_entry (const struct ConfigLog *log, uint64_t n);
 
 /* Calls fn for each change that is still kept (the last 1024), oldest first: the audit trail. */
 typedef void (*ConfigChangeFn) (void *data, const struct ConfigChange *change);
--- a/tests/fuzz/make_seeds.c
+++ b/tests/fuzz/make_seeds.c
@@ -165,7 +165,7 @@
   error = config_parcel_pack (ctx, &parcel, &packed, &n_bytes);
   failures += write_state (ctx, folder, STATE_PARCEL, error, packed, n_bytes);
   change.revision = 1;
-  config_fold_take (fold, &change);
+  config_fold_apply (fold, &change);
   error = config_fold_pack (fold, ctx, &packed, &n_bytes);
   return failures + write_state (ctx, folder, STATE_FOLD, error, packed, n_bytes);
 }
--- a/tests/test_config_log.c
+++ b/tests/test_config_log.c
@@ -346,7 +346,7 @@
   fake_kv_release (t->kv);
   fake_timer_advance (t->timers, 100);
   CU_ASSERT_EQUAL (paused.error, ERROR_CONFLICT);
-  CU_ASSERT_EQUAL (config_log_take_entry (t->a->log, entry, bytes), ERROR_NONE);
+  CU_ASSERT_EQUAL (config_log_apply_entry (t->a->log, entry, bytes), ERROR_NONE);
   CU_ASSERT_EQUAL (node_share (t->a), 2);
   CU_ASSERT_EQUAL (node_share (t->b), 2);
   CU_ASSERT_EQUAL (config_log_revision (t->a->log), 4);
@@ -359,7 +359,7 @@
   size_t bytes = 0;
   uint8_t *entry = config_log_entry (from->log, to, n, &bytes);
 
-  return entry != NULL ? config_log_take_entry (to->log, entry, bytes) : ERROR_NOT_FOUND;
+  return entry != NULL ? config_log_apply_entry (to->log, entry, bytes) : ERROR_NOT_FOUND;
 }
 
 static void
@@ -397,7 +397,7 @@
   fresh = node_new (t);
   fake_timer_advance (t->timers, POLL_MS);
   CU_ASSERT_EQUAL (node_copy_entry (fresh, t->a, 2), ERROR_OUT_OF_ORDER);
-  CU_ASSERT_EQUAL (config_log_take_entry (fresh->log, broken, sizeof broken), ERROR_INVALID);
+  CU_ASSERT_EQUAL (config_log_apply_entry (fresh->log, broken, sizeof broken), ERROR_INVALID);
   CU_ASSERT_EQUAL (config_log_revision (fresh->log), 0);
   for (uint64_t n = 1; n <= 3; n++)
     CU_ASSERT_EQUAL (node_copy_entry (fresh, t->a, n), ERROR_NONE);
@@ -458,9 +458,9 @@
   size_t bytes = 0;
 
   bench_apply_many (t, 1030);
-  CU_ASSERT_FALSE (config_log_keeps (t->a->log, 1));
-  CU_ASSERT_TRUE (config_log_keeps (t->a->log, 1030));
-  CU_ASSERT_FALSE (config_log_keeps (t->a->log, 1031));
+  CU_ASSERT_FALSE (config_log_has_entry (t->a->log, 1));
+  CU_ASSERT_TRUE (config_log_has_entry (t->a->log, 1030));
+  CU_ASSERT_FALSE (config_log_has_entry (t->a->log, 1031));
   old = config_log_entry (t->a->log, t, 1, &bytes);
   fake_kv_set_fault (t->kv, FAKE_KV_REFUSE);
   fresh = node_new (t);
@@ -470,7 +470,7 @@
   fake_kv_set_fault (t->kv, FAKE_KV_OK);
   CU_ASSERT_EQUAL (node_apply_now (t->b, &last, &result), ERROR_NONE);
   fake_timer_advance (t->timers, IN_FORCE_MS);
-  CU_ASSERT_EQUAL (config_log_take_entry (fresh->log, old, bytes), ERROR_NONE);
+  CU_ASSERT_EQUAL (config_log_apply_entry (fresh->log, old, bytes), ERROR_NONE);
   CU_ASSERT_EQUAL (config_log_revision (fresh->log), 1031);
   CU_ASSERT_EQUAL (node_share (fresh), 1);
   talloc_free (t);
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -923,7 +923,7 @@
       fill_change (&change, i);
       error = config_change_pack (ctx, &change, &bytes, &n_bytes);
       check_stored (variant_name (ctx, "config_change", i), error, bytes, n_bytes, repack_change);
-      config_fold_take (fold, &change);
+      config_fold_apply (fold, &change);
     }
   for (uint32_t i = 0; i < sizeof parcels / sizeof parcels[0]; i++)
     {
