--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -507,7 +507,7 @@
 }
 
 void
-caller_http_refuse (struct CallerHttp *http)
+caller_http_reject_new (struct CallerHttp *http)
 {
   atomic_store (&http->closing, true);
 }
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -458,7 +458,7 @@
 static void
 daemon_finish_exchanges (struct Daemon *daemon)
 {
-  caller_http_refuse (daemon->core->http);
+  caller_http_reject_new (daemon->core->http);
   while (exchange_n_open () > 0)
     if (tevent_loop_once (daemon->core->events) != 0)
       break;
--- a/include/buckthornhead/caller_http.h
+++ b/include/buckthornhead/caller_http.h
@@ -22,7 +22,7 @@
 
 /* Rejects all further requests. Those already posted to the core still need their responses. */
 void
-caller_http_refuse (struct CallerHttp *http);
+caller_http_reject_new (struct CallerHttp *http);
 /* Closes both listeners and waits for their threads. All exchanges must have ended. */
 void
 caller_http_close (struct CallerHttp *http);
