--- a/bench/policy_sim.c
+++ b/bench/policy_sim.c
@@ -515,7 +515,7 @@
         sim_reassign_waiting (sim, server);
       sim->digests[s].usable = usable;
       /* The probe is a load report, to which a running server responds. */
-      if (server_health_probe_due (server->health, sim_clock (sim)) && !server->crashed)
+      if (server_health_needs_probe (server->health, sim_clock (sim)) && !server->crashed)
         server_health_ended (server->health, &(struct Outcome){ .ran = RAN_YES }, sim_clock (sim));
     }
 }
--- a/core/server_health.c
+++ b/core/server_health.c
@@ -95,7 +95,7 @@
 }
 
 bool
-server_health_probe_due (struct ServerHealth *health, int64_t now_ms)
+server_health_needs_probe (struct ServerHealth *health, int64_t now_ms)
 {
   if (!server_health_suspected (health, now_ms) || now_ms < health->next_probe_ms)
     return false;
--- a/daemon/owner_watch.c
+++ b/daemon/owner_watch.c
@@ -167,7 +167,7 @@
   struct OwnerServer *server = owner_server (owner, backend->setting.name);
 
   return server != NULL
-         && server_health_probe_due (server->health, timer_now_ms (owner->core->timers));
+         && server_health_needs_probe (server->health, timer_now_ms (owner->core->timers));
 }
 
 void
--- a/include/buckthornhead/server_health.h
+++ b/include/buckthornhead/server_health.h
@@ -28,4 +28,4 @@
  * refuses at once appears to have the shortest queue and would attract all calls of that moment,
  * which would fail. */
 bool
-server_health_probe_due (struct ServerHealth *health, int64_t now_ms);
+server_health_needs_probe (struct ServerHealth *health, int64_t now_ms);
--- a/tests/test_server_health.c
+++ b/tests/test_server_health.c
@@ -51,9 +51,9 @@
   CU_ASSERT_FALSE (server_health_suspected (health, 1001000));
   server_health_progress (health, 1001000);
   CU_ASSERT_TRUE (server_health_suspected (health, 1060000));
-  CU_ASSERT_TRUE (server_health_probe_due (health, 1060000));
-  CU_ASSERT_FALSE (server_health_probe_due (health, 1060001));
-  CU_ASSERT_TRUE (server_health_probe_due (health, 1063000));
+  CU_ASSERT_TRUE (server_health_needs_probe (health, 1060000));
+  CU_ASSERT_FALSE (server_health_needs_probe (health, 1060001));
+  CU_ASSERT_TRUE (server_health_needs_probe (health, 1063000));
   talloc_free (health);
 }
 
