--- a/core/config_entry.c
+++ b/core/config_entry.c
@@ -97,27 +97,27 @@
 }
 
 int32_t
-config_parcel_pack (TALLOC_CTX *ctx,
-                    const struct ConfigParcel *parcel,
-                    uint8_t **packed,
-                    size_t *n_bytes)
+config_transfer_pack (TALLOC_CTX *ctx,
+                      const struct ConfigTransfer *transfer,
+                      uint8_t **packed,
+                      size_t *n_bytes)
 {
   struct PackWriter *writer = pack_writer_new (ctx, false);
 
   if (writer == NULL)
     return ERROR_NO_MEMORY;
   pack_array (writer, 3);
-  pack_u64 (writer, (uint64_t)parcel->kind);
-  pack_u64 (writer, parcel->revision);
-  pack_bytes (writer, parcel->value, parcel->value_bytes);
+  pack_u64 (writer, (uint64_t)transfer->kind);
+  pack_u64 (writer, transfer->revision);
+  pack_bytes (writer, transfer->value, transfer->value_bytes);
   return pack_finish (writer, ctx, packed, n_bytes);
 }
 
 int32_t
-config_parcel_unpack (TALLOC_CTX *ctx,
-                      const uint8_t *packed,
-                      size_t n_bytes,
-                      struct ConfigParcel *parcel)
+config_transfer_unpack (TALLOC_CTX *ctx,
+                        const uint8_t *packed,
+                        size_t n_bytes,
+                        struct ConfigTransfer *transfer)
 {
   struct PackReader reader;
   void *document = pack_open (ctx, packed, n_bytes, &reader);
@@ -125,10 +125,10 @@
 
   if (document == NULL)
     return ERROR_INVALID;
-  parcel->kind = (enum ConfigParcelKind)read_u64 (&reader, CONFIG_PARCEL_CHECKPOINT);
-  parcel->revision = read_u64 (&reader, UINT64_MAX);
-  parcel->value = read_bytes (&reader, ctx, &parcel->value_bytes);
-  if (parcel->kind != 0)
+  transfer->kind = (enum ConfigTransferKind)read_u64 (&reader, CONFIG_TRANSFER_CHECKPOINT);
+  transfer->revision = read_u64 (&reader, UINT64_MAX);
+  transfer->value = read_bytes (&reader, ctx, &transfer->value_bytes);
+  if (transfer->kind != 0)
     error = read_end (&reader);
   talloc_free (document);
   return error;
--- a/core/config_entry.h
+++ b/core/config_entry.h
@@ -21,26 +21,26 @@
                       struct ConfigChange **change);
 
 /* A value of the key-value service that is sent to a peer, with its revision. */
-enum ConfigParcelKind
+enum ConfigTransferKind
 {
-  CONFIG_PARCEL_ENTRY = 1,
-  CONFIG_PARCEL_CHECKPOINT = 2
+  CONFIG_TRANSFER_ENTRY = 1,
+  CONFIG_TRANSFER_CHECKPOINT = 2
 };
-struct ConfigParcel
+struct ConfigTransfer
 {
-  enum ConfigParcelKind kind;
+  enum ConfigTransferKind kind;
   uint64_t revision;
   const uint8_t *value;
   size_t value_bytes;
 };
 int32_t
-config_parcel_pack (TALLOC_CTX *ctx,
-                    const struct ConfigParcel *parcel,
-                    uint8_t **packed,
-                    size_t *n_bytes);
+config_transfer_pack (TALLOC_CTX *ctx,
+                      const struct ConfigTransfer *transfer,
+                      uint8_t **packed,
+                      size_t *n_bytes);
 /* The value belongs to ctx. */
 int32_t
-config_parcel_unpack (TALLOC_CTX *ctx,
-                      const uint8_t *packed,
-                      size_t n_bytes,
-                      struct ConfigParcel *parcel);
+config_transfer_unpack (TALLOC_CTX *ctx,
+                        const uint8_t *packed,
+                        size_t n_bytes,
+                        struct ConfigTransfer *transfer);
--- a/core/config_log.c
+++ b/core/config_log.c
@@ -209,7 +209,7 @@
 config_log_entry (const struct ConfigLog *log, TALLOC_CTX *ctx, uint64_t n, size_t *bytes)
 {
   const struct ConfigEntry *entry = config_log_find (log, n);
-  struct ConfigParcel parcel = { .kind = CONFIG_PARCEL_ENTRY, .revision = n };
+  struct ConfigTransfer transfer = { .kind = CONFIG_TRANSFER_ENTRY, .revision = n };
   uint8_t *checkpoint = NULL;
   uint8_t *packed = NULL;
 
@@ -217,18 +217,18 @@
     return NULL;
   if (entry != NULL)
     {
-      parcel.value = entry->value;
-      parcel.value_bytes = entry->value_bytes;
+      transfer.value = entry->value;
+      transfer.value_bytes = entry->value_bytes;
     }
   else
     {
-      if (config_fold_pack (log->fold, ctx, &checkpoint, &parcel.value_bytes) != ERROR_NONE)
+      if (config_fold_pack (log->fold, ctx, &checkpoint, &transfer.value_bytes) != ERROR_NONE)
         return NULL;
-      parcel.kind = CONFIG_PARCEL_CHECKPOINT;
-      parcel.revision = log->fold->revision;
-      parcel.value = checkpoint;
+      transfer.kind = CONFIG_TRANSFER_CHECKPOINT;
+      transfer.revision = log->fold->revision;
+      transfer.value = checkpoint;
     }
-  if (config_parcel_pack (ctx, &parcel, &packed, bytes) != ERROR_NONE)
+  if (config_transfer_pack (ctx, &transfer, &packed, bytes) != ERROR_NONE)
     packed = NULL;
   talloc_free (checkpoint);
   return packed;
@@ -241,16 +241,16 @@
 }
 
 static int32_t
-config_log_add_peer_entry (struct ConfigLog *log, const struct ConfigParcel *parcel)
+config_log_add_peer_entry (struct ConfigLog *log, const struct ConfigTransfer *transfer)
 {
   struct ConfigChange *change = NULL;
 
-  if (parcel->revision <= log->fold->revision)
+  if (transfer->revision <= log->fold->revision)
     return ERROR_NONE;
-  if (config_change_unpack (log, parcel->value, parcel->value_bytes, &change) != ERROR_NONE)
+  if (config_change_unpack (log, transfer->value, transfer->value_bytes, &change) != ERROR_NONE)
     return ERROR_INVALID;
   talloc_free (change);
-  if (!config_log_add_value (log, parcel->revision, parcel->value, parcel->value_bytes))
+  if (!config_log_add_value (log, transfer->revision, transfer->value, transfer->value_bytes))
     return ERROR_OUT_OF_ORDER;
   return ERROR_NONE;
 }
@@ -259,13 +259,13 @@
 config_log_apply_entry (struct ConfigLog *log, const uint8_t *packed, size_t bytes)
 {
   TALLOC_CTX *ctx = talloc_new (log);
-  struct ConfigParcel parcel;
-  int32_t error = config_parcel_unpack (ctx, packed, bytes, &parcel);
+  struct ConfigTransfer transfer;
+  int32_t error = config_transfer_unpack (ctx, packed, bytes, &transfer);
 
   if (error == ERROR_NONE)
-    error = parcel.kind == CONFIG_PARCEL_ENTRY
-                ? config_log_add_peer_entry (log, &parcel)
-                : config_log_load_checkpoint (log, parcel.value, parcel.value_bytes);
+    error = transfer.kind == CONFIG_TRANSFER_ENTRY
+                ? config_log_add_peer_entry (log, &transfer)
+                : config_log_load_checkpoint (log, transfer.value, transfer.value_bytes);
   talloc_free (ctx);
   if (error == ERROR_NONE)
     config_log_publish (log);
--- a/tests/fuzz/fuzz_state.c
+++ b/tests/fuzz/fuzz_state.c
@@ -48,13 +48,13 @@
 }
 
 static int32_t
-repack_parcel (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes, struct Packed *packed)
+repack_transfer (TALLOC_CTX *ctx, const uint8_t *bytes, size_t n_bytes, struct Packed *packed)
 {
-  struct ConfigParcel parcel;
-  int32_t error = config_parcel_unpack (ctx, bytes, n_bytes, &parcel);
+  struct ConfigTransfer transfer;
+  int32_t error = config_transfer_unpack (ctx, bytes, n_bytes, &transfer);
 
   if (error == ERROR_NONE)
-    FUZZ_REQUIRE (config_parcel_pack (ctx, &parcel, &packed->bytes, &packed->n_bytes)
+    FUZZ_REQUIRE (config_transfer_pack (ctx, &transfer, &packed->bytes, &packed->n_bytes)
                   == ERROR_NONE);
   return error;
 }
@@ -114,7 +114,7 @@
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t n_bytes)
 {
   static const RepackFn repacks[] = {
-    [STATE_GROUP] = repack_group, [STATE_CHANGE] = repack_change, [STATE_PARCEL] = repack_parcel,
+    [STATE_GROUP] = repack_group, [STATE_CHANGE] = repack_change, [STATE_PARCEL] = repack_transfer,
     [STATE_FOLD] = repack_fold,   [STATE_MEMBER] = repack_member,
   };
 
--- a/tests/fuzz/make_seeds.c
+++ b/tests/fuzz/make_seeds.c
@@ -154,15 +154,15 @@
                                  .text = "on",
                                  .before = "" };
   struct ConfigFold *fold = config_fold_new (ctx);
-  struct ConfigParcel parcel = { .kind = CONFIG_PARCEL_ENTRY, .revision = 1 };
+  struct ConfigTransfer transfer = { .kind = CONFIG_TRANSFER_ENTRY, .revision = 1 };
   uint8_t *packed = NULL;
   size_t n_bytes = 0;
   int32_t error = config_change_pack (ctx, &change, &packed, &n_bytes);
   int failures = write_state (ctx, folder, STATE_CHANGE, error, packed, n_bytes);
 
-  parcel.value = packed;
-  parcel.value_bytes = n_bytes;
-  error = config_parcel_pack (ctx, &parcel, &packed, &n_bytes);
+  transfer.value = packed;
+  transfer.value_bytes = n_bytes;
+  error = config_transfer_pack (ctx, &transfer, &packed, &n_bytes);
   failures += write_state (ctx, folder, STATE_PARCEL, error, packed, n_bytes);
   change.revision = 1;
   config_fold_apply (fold, &change);
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -887,13 +887,13 @@
 }
 
 static int32_t
-repack_parcel (
+repack_transfer (
     TALLOC_CTX *ctx, const uint8_t *stored, size_t n_stored, uint8_t **bytes, size_t *n_bytes)
 {
-  struct ConfigParcel parcel = { 0 };
-  int32_t error = config_parcel_unpack (ctx, stored, n_stored, &parcel);
+  struct ConfigTransfer transfer = { 0 };
+  int32_t error = config_transfer_unpack (ctx, stored, n_stored, &transfer);
 
-  return error == ERROR_NONE ? config_parcel_pack (ctx, &parcel, bytes, n_bytes) : error;
+  return error == ERROR_NONE ? config_transfer_pack (ctx, &transfer, bytes, n_bytes) : error;
 }
 
 static int32_t
@@ -909,7 +909,8 @@
 static void
 test_configuration (void)
 {
-  static const enum ConfigParcelKind parcels[] = { CONFIG_PARCEL_ENTRY, CONFIG_PARCEL_CHECKPOINT };
+  static const enum ConfigTransferKind parcels[] = { CONFIG_TRANSFER_ENTRY,
+                                                     CONFIG_TRANSFER_CHECKPOINT };
   TALLOC_CTX *ctx = talloc_new (NULL);
   struct ConfigFold *fold = config_fold_new (ctx);
   uint8_t *bytes = NULL;
@@ -927,10 +928,10 @@
     }
   for (uint32_t i = 0; i < sizeof parcels / sizeof parcels[0]; i++)
     {
-      struct ConfigParcel parcel = { parcels[i], 802, nested, sizeof nested };
+      struct ConfigTransfer transfer = { parcels[i], 802, nested, sizeof nested };
 
-      error = config_parcel_pack (ctx, &parcel, &bytes, &n_bytes);
-      check_stored (variant_name (ctx, "config_parcel", i), error, bytes, n_bytes, repack_parcel);
+      error = config_transfer_pack (ctx, &transfer, &bytes, &n_bytes);
+      check_stored (variant_name (ctx, "config_parcel", i), error, bytes, n_bytes, repack_transfer);
     }
   error = config_fold_pack (fold, ctx, &bytes, &n_bytes);
   check_stored ("config_checkpoint", error, bytes, n_bytes, repack_fold);
