--- a/core/config_key.c
+++ b/core/config_key.c
@@ -117,15 +117,15 @@
   char remedy[FAULT_REMEDY_BYTES] = "write one of:";
   size_t n = strlen (remedy);
 
-  for (const struct ConfigChoice *c = value->key->choices; c->word != NULL; c++)
+  for (const struct ConfigChoice *c = value->key->choices; c->text != NULL; c++)
     {
-      if (strcmp (c->word, value->text) == 0)
+      if (strcmp (c->text, value->text) == 0)
         {
           memcpy ((char *)value->reader->target + value->key->offset, &c->value, sizeof c->value);
           return;
         }
       if (n < sizeof remedy)
-        n += (size_t)snprintf (remedy + n, sizeof remedy - n, " %s", c->word);
+        n += (size_t)snprintf (remedy + n, sizeof remedy - n, " %s", c->text);
     }
   add_value_fault (value, remedy, "is not a valid choice");
 }
@@ -168,7 +168,8 @@
 static void
 read_value (const struct ConfigValue *value)
 {
-  if (value->text[0] == '\0' && value->key->fallback != NULL && value->key->fallback[0] == '\0')
+  if (value->text[0] == '\0' && value->key->default_text != NULL
+      && value->key->default_text[0] == '\0')
     return;
   switch (value->key->kind)
     {
@@ -218,9 +219,9 @@
   for (size_t i = 0; i < reader->section->n_keys; i++)
     {
       const struct ConfigKey *key = &reader->section->keys[i];
-      struct ConfigValue value = { reader, key, key->fallback, 0 };
+      struct ConfigValue value = { reader, key, key->default_text, 0 };
 
-      if (key->fallback != NULL)
+      if (key->default_text != NULL)
         read_value (&value);
     }
 }
@@ -232,7 +233,7 @@
   uint32_t line = reader->section_lines[reader->section - reader->sections];
 
   for (size_t i = 0; i < reader->section->n_keys; i++)
-    if (reader->section->keys[i].fallback == NULL && *key_line (reader, i) == 0)
+    if (reader->section->keys[i].default_text == NULL && *key_line (reader, i) == 0)
       add_fault (reader, line != 0 ? line : 1, reader->section->keys[i].name, "add it",
                  "the key is missing");
 }
--- a/include/buckthornhead/config_key.h
+++ b/include/buckthornhead/config_key.h
@@ -24,7 +24,7 @@
 
 struct ConfigChoice
 {
-  const char *word; /* NULL ends the list */
+  const char *text; /* NULL ends the list */
   int32_t value;
 };
 
@@ -32,8 +32,8 @@
 {
   const char *name;
   enum ConfigValueKind kind;
-  size_t offset, size;  /* of the field that stores the value */
-  const char *fallback; /* default value; NULL: the key is required */
+  size_t offset, size;      /* of the field that stores the value */
+  const char *default_text; /* default value; NULL: the key is required */
   enum Unit unit;
   uint64_t min, max; /* for NUMBER and SECONDS, in the field's unit */
   const struct ConfigChoice *choices;
