--- a/core/log.c
+++ b/core/log.c
@@ -106,7 +106,7 @@
 }
 
 void
-log_open (const char *instance, const char *zone, enum LogLevel level)
+log_init (const char *instance, const char *zone, enum LogLevel level)
 {
   snprintf (log_instance, sizeof log_instance, "%s", instance);
   snprintf (log_zone, sizeof log_zone, "%s", zone);
@@ -114,7 +114,7 @@
 }
 
 void
-log_to (int fd)
+log_set_fd (int fd)
 {
   int flags = fcntl (fd, F_GETFL);
 
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -475,7 +475,7 @@
 
   talloc_set_abort_fn (daemon_on_talloc_abort);
   curl_global_init (CURL_GLOBAL_DEFAULT);
-  log_open (settings->instance, settings->zone, LOG_LEVEL_INFO);
+  log_init (settings->instance, settings->zone, LOG_LEVEL_INFO);
   daemon.core = talloc_zero (NULL, struct Core);
   daemon.core->settings = settings;
   error = daemon_open_adapters (&daemon, &fault);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -144,8 +144,8 @@
   struct Fault fault = { 0 };
   int32_t error = ERROR_NO_MEMORY;
 
-  log_open (settings->instance, settings->zone, LOG_LEVEL_INFO);
-  log_to (STDOUT_FILENO);
+  log_init (settings->instance, settings->zone, LOG_LEVEL_INFO);
+  log_set_fd (STDOUT_FILENO);
   signal (SIGPIPE, SIG_IGN);
   if (gateway == NULL)
     return error;
--- a/include/buckthornhead/log.h
+++ b/include/buckthornhead/log.h
@@ -1,4 +1,4 @@
-/* JSON log lines with syslog levels, on standard error or on the descriptor set by log_to. */
+/* JSON log lines with syslog levels, on standard error or on the descriptor set by log_set_fd. */
 #pragma once
 
 #include <stdint.h>
@@ -22,11 +22,11 @@
 /* Sends all further lines to fd, which becomes non-blocking: lines that it cannot accept are lost.
  * The default is standard error. */
 void
-log_to (int fd);
+log_set_fd (int fd);
 
 /* Sets the instance and zone of all lines; called once at start. Lines above level are dropped. */
 void
-log_open (const char *instance, const char *zone, enum LogLevel level);
+log_init (const char *instance, const char *zone, enum LogLevel level);
 
 /* Writes one line. program, cause_format and remedy may be NULL. Thread-safe. */
 void
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -59,7 +59,7 @@
 {
   json_t *line;
 
-  log_open ("orchard-1", "malda", LOG_LEVEL_INFO);
+  log_init ("orchard-1", "malda", LOG_LEVEL_INFO);
   capture_begin ();
   log_event (LOG_LEVEL_WARNING, "platform_down", "p-7", "wait", "no answer in %d ms", 250);
   log_event (LOG_LEVEL_INFO, "started", NULL, NULL, NULL);
@@ -88,7 +88,7 @@
 static void
 test_lines_above_the_level_are_dropped (void)
 {
-  log_open ("orchard-1", "malda", LOG_LEVEL_WARNING);
+  log_init ("orchard-1", "malda", LOG_LEVEL_WARNING);
   capture_begin ();
   log_event (LOG_LEVEL_NOTICE, "quiet", NULL, NULL, NULL);
   capture_end ();
@@ -103,7 +103,7 @@
 {
   json_t *line;
 
-  log_open ("orchard-1", "malda", LOG_LEVEL_INFO);
+  log_init ("orchard-1", "malda", LOG_LEVEL_INFO);
   capture_begin ();
   log_event (LOG_LEVEL_INFO, "answer", NULL, NULL, "%s", "a\"b\\\n\x01 \xff\xc3");
   capture_end ();
@@ -132,7 +132,7 @@
   json_t *line;
   int n = 0;
 
-  log_open ("orchard-1", "malda", LOG_LEVEL_INFO);
+  log_init ("orchard-1", "malda", LOG_LEVEL_INFO);
   capture_begin ();
   for (int i = 0; i < N_THREADS; i++)
     CU_ASSERT_EQUAL_FATAL (pthread_create (&threads[i], NULL, log_many, NULL), 0);
