--- a/core/config_apply.c
+++ b/core/config_apply.c
@@ -172,7 +172,7 @@
     }
   fault_set (&fault, ERROR_CONFLICT, "use a new change id",
              "change id %s was used at revision %llu, by %s, for another change",
-             apply->change.change_id, (unsigned long long)n, first->who);
+             apply->change.change_id, (unsigned long long)n, first->author);
   apply_finish (apply, ERROR_CONFLICT, 0, &fault);
 }
 
--- a/core/config_entry.c
+++ b/core/config_entry.c
@@ -48,7 +48,7 @@
   pack_u64 (writer, (uint64_t)change->kind);
   pack_string (writer, change->change_id);
   pack_string (writer, change->name);
-  pack_string (writer, change->who);
+  pack_string (writer, change->author);
   pack_string (writer, change->reason);
   pack_i64 (writer, change->when_unix_ms);
   pack_u64 (writer, change->expected_revision);
@@ -64,7 +64,7 @@
   change->kind = (enum ConfigChangeKind)read_u64 (reader, CONFIG_CHANGE_DRAIN);
   read_string (reader, change->change_id, sizeof change->change_id);
   read_string (reader, change->name, sizeof change->name);
-  read_string (reader, change->who, sizeof change->who);
+  read_string (reader, change->author, sizeof change->author);
   read_string (reader, change->reason, sizeof change->reason);
   change->when_unix_ms = read_i64 (reader);
   change->expected_revision = read_u64 (reader, UINT64_MAX);
--- a/core/config_fold.c
+++ b/core/config_fold.c
@@ -60,7 +60,7 @@
                    const struct ConfigChange *change,
                    struct Fault *fault)
 {
-  if (change->change_id[0] == '\0' || change->name[0] == '\0' || change->who[0] == '\0')
+  if (change->change_id[0] == '\0' || change->name[0] == '\0' || change->author[0] == '\0')
     return fault_set (fault, ERROR_INVALID, "send all three",
                       "a change needs an id, a name and an author");
   if (change->text == NULL || strlen (change->text) > CONFIG_TEXT_MAX_BYTES)
@@ -133,7 +133,7 @@
   object = fold_find_or_add_object (fold, change);
   object->profile = profile;
   object->revision = change->revision;
-  snprintf (object->changed_by, sizeof object->changed_by, "%s", change->who);
+  snprintf (object->changed_by, sizeof object->changed_by, "%s", change->author);
   talloc_free ((void *)object->text);
   object->text = talloc_strdup (object, change->text);
 }
@@ -233,7 +233,7 @@
   read_array (list, &reader);
   change.kind = (enum ConfigChangeKind)read_u64 (&reader, CONFIG_CHANGE_DRAIN);
   read_string (&reader, change.name, sizeof change.name);
-  read_string (&reader, change.who, sizeof change.who);
+  read_string (&reader, change.author, sizeof change.author);
   change.revision = read_u64 (&reader, fold->revision);
   text = read_bytes (&reader, fold, &n_bytes);
   if (read_end (&reader) != ERROR_NONE || change.kind == 0 || text == NULL)
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -271,7 +271,7 @@
                       "\"kind\" is not a known kind of change");
   if (!change_copy_text (json, "name", true, change->name, sizeof change->name)
       || !change_copy_text (json, "change_id", true, change->change_id, sizeof change->change_id)
-      || !change_copy_text (json, "who", true, change->who, sizeof change->who)
+      || !change_copy_text (json, "who", true, change->author, sizeof change->author)
       || !change_copy_text (json, "reason", false, change->reason, sizeof change->reason))
     return fault_set (fault, ERROR_INVALID,
                       "send name, change_id and who, each up to 64 characters",
--- a/daemon/status.c
+++ b/daemon/status.c
@@ -254,7 +254,7 @@
     return;
   json = json_pack ("{s:I,s:s,s:s,s:s,s:s,s:s,s:I,s:s,s:s}", "revision",
                     (json_int_t)change->revision, "kind", change_kind_name (change->kind), "name",
-                    change->name, "change_id", change->change_id, "who", change->who, "reason",
+                    change->name, "change_id", change->change_id, "who", change->author, "reason",
                     change->reason, "when_unix_ms", (json_int_t)change->when_unix_ms, "before",
                     change->before != NULL ? change->before : "", "after",
                     change->text != NULL ? change->text : "");
--- a/include/buckthornhead/config_log.h
+++ b/include/buckthornhead/config_log.h
@@ -26,7 +26,7 @@
   enum ConfigChangeKind kind;
   char change_id[NAME_MAX_BYTES + 1]; /* chosen by the client; identifies a repeated change */
   char name[NAME_MAX_BYTES + 1];
-  char who[NAME_MAX_BYTES + 1];
+  char author[NAME_MAX_BYTES + 1];
   char reason[256];
   int64_t when_unix_ms;
   uint64_t expected_revision; /* the object's last revision when the editor read it; 0: the
--- a/tests/fuzz/make_seeds.c
+++ b/tests/fuzz/make_seeds.c
@@ -149,7 +149,7 @@
   struct ConfigChange change = { .kind = CONFIG_CHANGE_DRAIN,
                                  .change_id = "c-1",
                                  .name = "entry-4",
-                                 .who = "asha",
+                                 .author = "asha",
                                  .reason = "dawn",
                                  .text = "on",
                                  .before = "" };
--- a/tests/test_config_log.c
+++ b/tests/test_config_log.c
@@ -103,7 +103,7 @@
   struct ConfigChange change = { .kind = CONFIG_CHANGE_PROFILE, .name = "dawn" };
 
   snprintf (change.change_id, sizeof change.change_id, "%s", change_id);
-  snprintf (change.who, sizeof change.who, "%s", who);
+  snprintf (change.author, sizeof change.author, "%s", who);
   change.expected_revision = expected;
   change.text = text;
   return change;
@@ -147,10 +147,10 @@
   struct ConfigChange service = { .kind = CONFIG_CHANGE_SERVICE,
                                   .name = "field-desk",
                                   .change_id = "c2",
-                                  .who = "asha",
+                                  .author = "asha",
                                   .text = "dusk" };
   struct ConfigChange drain = {
-    .kind = CONFIG_CHANGE_DRAIN, .name = "i3", .change_id = "c3", .who = "ivo", .text = "on"
+    .kind = CONFIG_CHANGE_DRAIN, .name = "i3", .change_id = "c3", .author = "ivo", .text = "on"
   };
 
   CU_ASSERT_EQUAL (node_apply_now (t->a, &change, &result), ERROR_NONE);
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -866,7 +866,7 @@
 
   *change = (struct ConfigChange){ .kind = change_kinds[variant],
                                    .name = "fast",
-                                   .who = "asha",
+                                   .author = "asha",
                                    .reason = "a reason",
                                    .when_unix_ms = 1700000000003,
                                    .expected_revision = 801,
