--- a/adapters/caller_request.c
+++ b/adapters/caller_request.c
@@ -413,7 +413,7 @@
   char target[NAME_MAX_BYTES + 1] = "";
   int32_t error;
 
-  parse->request->op = REQUEST_LONE;
+  parse->request->op = REQUEST_CALL_WITHOUT_PROGRAM;
   if (slash != NULL && slash - rest <= NAME_MAX_BYTES)
     snprintf (target, sizeof target, "%.*s", (int)(slash - rest), rest);
   error = parse_name (parse, "the service", target, call->target);
--- a/core/peer_message.c
+++ b/core/peer_message.c
@@ -245,7 +245,7 @@
 request_unpack (struct PackReader *r, TALLOC_CTX *ctx, struct PeerRequest *request)
 {
   request->id = read_u64 (r, UINT64_MAX);
-  request->op = (enum RequestOp)read_u64 (r, REQUEST_LONE);
+  request->op = (enum RequestOp)read_u64 (r, REQUEST_CALL_WITHOUT_PROGRAM);
   request->first_attempt = read_u64 (r, 1) != 0;
   request->forwarded = read_u64 (r, 1) != 0;
   call_unpack (r, ctx, &request->call);
--- a/daemon/home.c
+++ b/daemon/home.c
@@ -59,7 +59,7 @@
     case REQUEST_END:
       return true;
     case REQUEST_CALL:
-    case REQUEST_LONE:
+    case REQUEST_CALL_WITHOUT_PROGRAM:
       call_key_copy (&key, &request->call.key);
       return home_call_find (home, &key) != NULL;
     default:
@@ -90,7 +90,7 @@
     case REQUEST_CALL:
       home_on_call (home, link, request);
       break;
-    case REQUEST_LONE:
+    case REQUEST_CALL_WITHOUT_PROGRAM:
       home_on_lone (home, link, request);
       break;
     case REQUEST_VIEW:
--- a/include/buckthornhead/peer_message.h
+++ b/include/buckthornhead/peer_message.h
@@ -45,8 +45,8 @@
   REQUEST_VIEW = 3,
   REQUEST_HISTORY = 4,
   REQUEST_END = 5,
-  REQUEST_LIST = 6, /* programs of the home, for operators */
-  REQUEST_LONE = 7  /* a call without a program; one is created for it */
+  REQUEST_LIST = 6,                /* programs of the home, for operators */
+  REQUEST_CALL_WITHOUT_PROGRAM = 7 /* a call without a program; one is created for it */
 };
 
 /* Outcome counters of one instance; the operators' status is their sum over the instances. */
--- a/tests/test_stored_format.c
+++ b/tests/test_stored_format.c
@@ -574,8 +574,13 @@
 static void
 fill_peer_request (struct PeerRequest *request, uint32_t variant)
 {
-  static const enum RequestOp ops[] = { REQUEST_CREATE, REQUEST_CALL, REQUEST_VIEW, REQUEST_HISTORY,
-                                        REQUEST_END,    REQUEST_LIST, REQUEST_LONE };
+  static const enum RequestOp ops[] = { REQUEST_CREATE,
+                                        REQUEST_CALL,
+                                        REQUEST_VIEW,
+                                        REQUEST_HISTORY,
+                                        REQUEST_END,
+                                        REQUEST_LIST,
+                                        REQUEST_CALL_WITHOUT_PROGRAM };
 
   request->id = 661;
   request->op = ops[variant];
