--- a/adapters/disk_log.c
+++ b/adapters/disk_log.c
@@ -437,12 +437,12 @@
 }
 
 int32_t
-disk_log_keep (struct DiskLog *log,
-               const char *name,
-               const uint8_t *record,
-               size_t n_bytes,
-               DiskLogDone done,
-               void *data)
+disk_log_store_named (struct DiskLog *log,
+                      const char *name,
+                      const uint8_t *record,
+                      size_t n_bytes,
+                      DiskLogDone done,
+                      void *data)
 {
   struct DiskWrite *write = disk_write_new (record, n_bytes, done, data);
 
@@ -459,7 +459,7 @@
 }
 
 uint8_t *
-disk_log_kept (struct DiskLog *log, TALLOC_CTX *ctx, const char *name, size_t *n_bytes)
+disk_log_load_named (struct DiskLog *log, TALLOC_CTX *ctx, const char *name, size_t *n_bytes)
 {
   char path[DISK_PATH_BYTES];
   uint8_t *bytes;
--- a/gateway/archive_state.c
+++ b/gateway/archive_state.c
@@ -60,7 +60,7 @@
   pack_i64 (p, clock_unix_ms ());
   pack_bytes (p, snapshot, snapshot_bytes);
   if (pack_finish (p, state, &record, &n_bytes) != ERROR_NONE
-      || disk_log_keep (state->log, kind_names[kind], record, n_bytes, state_on_saved, state)
+      || disk_log_store_named (state->log, kind_names[kind], record, n_bytes, state_on_saved, state)
              != ERROR_NONE)
     state_on_saved (state, ERROR_NO_MEMORY, NULL);
   talloc_free (record);
@@ -107,7 +107,7 @@
   struct GatewayMessage *message = NULL;
   struct PackReader r;
   size_t n_bytes, snapshot_bytes;
-  uint8_t *record = disk_log_kept (state->log, ctx, kind_names[kind], &n_bytes);
+  uint8_t *record = disk_log_load_named (state->log, ctx, kind_names[kind], &n_bytes);
   void *opened = record != NULL ? pack_open (ctx, record, n_bytes, &r) : NULL;
   const uint8_t *snapshot;
   int64_t age_ms;
--- a/include/buckthornhead/disk_log.h
+++ b/include/buckthornhead/disk_log.h
@@ -98,14 +98,14 @@
  * called later, from the loop, with an unset place; the loop never blocks on the disk.
  * ERROR_NO_MEMORY. */
 int32_t
-disk_log_keep (struct DiskLog *log,
-               const char *name,
-               const uint8_t *record,
-               size_t n_bytes,
-               DiskLogDone done,
-               void *data);
-
-/* Returns the record that disk_log_keep stored under name, belonging to ctx; NULL when it is
+disk_log_store_named (struct DiskLog *log,
+                      const char *name,
+                      const uint8_t *record,
+                      size_t n_bytes,
+                      DiskLogDone done,
+                      void *data);
+
+/* Returns the record that disk_log_store_named stored under name, belonging to ctx; NULL when it is
  * missing or torn. */
 uint8_t *
-disk_log_kept (struct DiskLog *log, TALLOC_CTX *ctx, const char *name, size_t *n_bytes);
+disk_log_load_named (struct DiskLog *log, TALLOC_CTX *ctx, const char *name, size_t *n_bytes);
--- a/tests/test_disk_log.c
+++ b/tests/test_disk_log.c
@@ -239,9 +239,9 @@
 fixture_keep (struct Fixture *f, const char *record)
 {
   f->durable = false;
-  CU_ASSERT_EQUAL (
-      disk_log_keep (f->log, "x", (const uint8_t *)record, strlen (record), fixture_on_durable, f),
-      ERROR_NONE);
+  CU_ASSERT_EQUAL (disk_log_store_named (f->log, "x", (const uint8_t *)record, strlen (record),
+                                         fixture_on_durable, f),
+                   ERROR_NONE);
   /* The call must not wait for the disk: the loop keeps serving peers while a slow disk syncs. */
   CU_ASSERT_FALSE (f->durable);
   CU_ASSERT_TRUE (events_until (f->events, &f->durable));
@@ -256,19 +256,19 @@
   size_t n_bytes;
   uint8_t *kept;
 
-  CU_ASSERT_PTR_NULL (disk_log_kept (f->log, f, "x", &n_bytes));
+  CU_ASSERT_PTR_NULL (disk_log_load_named (f->log, f, "x", &n_bytes));
   fixture_keep (f, "a long one");
   fixture_keep (f, "short");
   TALLOC_FREE (f->log);
   fixture_open (f);
   CU_ASSERT_STRING_EQUAL (f->replayed, "");
-  kept = disk_log_kept (f->log, f, "x", &n_bytes);
+  kept = disk_log_load_named (f->log, f, "x", &n_bytes);
   CU_ASSERT_EQUAL (n_bytes, 5);
   CU_ASSERT (kept != NULL && memcmp (kept, "short", 5) == 0);
   /* A torn record must be treated as missing. */
   snprintf (path, sizeof path, "%s/kept-x", f->folder);
   CU_ASSERT_EQUAL (truncate (path, 15), 0);
-  CU_ASSERT_PTR_NULL (disk_log_kept (f->log, f, "x", &n_bytes));
+  CU_ASSERT_PTR_NULL (disk_log_load_named (f->log, f, "x", &n_bytes));
   fixture_free (f);
 }
 
