--- a/ctl/check_config.c
+++ b/ctl/check_config.c
@@ -96,11 +96,11 @@
 int
 command_check_config (int argc, char **argv, const struct CommandIo *io)
 {
-  static const struct CommandWords usage = {
+  static const struct CommandUsage usage = {
     "buckthornhead check-config", "Checks settings and profiles and shows every fault of each file."
   };
-  struct CommandStandard standard = { 0 };
-  bool complete = command_standard_new (&standard);
+  struct CommonOptions standard = { 0 };
+  bool complete = common_options_new (&standard);
   struct arg_file *files = arg_filen (NULL, NULL, "FILE", 1, FILES_MAX, "settings or profile");
   void *argtable[] = { files, standard.help, standard.version, standard.end };
   int exit_code = EXIT_CODE_FAILED;
--- a/ctl/command.c
+++ b/ctl/command.c
@@ -49,7 +49,7 @@
 }
 
 bool
-command_standard_new (struct CommandStandard *standard)
+common_options_new (struct CommonOptions *standard)
 {
   standard->help = arg_lit0 ("h", "help", "show this help and exit");
   standard->version = arg_lit0 (NULL, "version", "show the version and exit");
@@ -58,7 +58,7 @@
 }
 
 static void
-print_usage (const struct CommandWords *usage, void **argtable, FILE *out)
+print_usage (const struct CommandUsage *usage, void **argtable, FILE *out)
 {
   fprintf (out, "Usage: %s", usage->name);
   arg_print_syntax (out, argtable, "\n");
@@ -67,8 +67,8 @@
 }
 
 bool
-command_parse (const struct CommandWords *usage,
-               const struct CommandStandard *standard,
+command_parse (const struct CommandUsage *usage,
+               const struct CommonOptions *standard,
                void **argtable,
                int argc,
                char **argv,
--- a/ctl/command.h
+++ b/ctl/command.h
@@ -44,14 +44,14 @@
                   const struct CommandIo *io);
 
 /* Name and summary of a command for its usage text. */
-struct CommandWords
+struct CommandUsage
 {
   const char *name; /* in full: "buckthornhead check-config" */
   const char *summary;
 };
 
 /* Options that every command takes; all of them are entries of its argtable. */
-struct CommandStandard
+struct CommonOptions
 {
   struct arg_lit *help;
   struct arg_lit *version;
@@ -59,13 +59,13 @@
 };
 
 bool
-command_standard_new (struct CommandStandard *standard);
+common_options_new (struct CommonOptions *standard);
 
 /* Parses argv into argtable. Returns true if the command should run. Otherwise the help, version or
  * error text has been printed and the command must return *exit_code. */
 bool
-command_parse (const struct CommandWords *usage,
-               const struct CommandStandard *standard,
+command_parse (const struct CommandUsage *usage,
+               const struct CommonOptions *standard,
                void **argtable,
                int argc,
                char **argv,
--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -82,7 +82,7 @@
                 "(default: $BUCKTHORNHEAD_OPERATOR, then " CTL_DEFAULT_OPERATOR ")");
   options->token_file = arg_file0 (NULL, "token-file", "FILE", "file with the operators' token");
   options->json = arg_lit0 (NULL, "json", "print JSON");
-  return command_standard_new (&options->standard);
+  return common_options_new (&options->standard);
 }
 
 static char *
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -13,7 +13,7 @@
   struct arg_str *addresses;
   struct arg_file *token_file;
   struct arg_lit *json;
-  struct CommandStandard standard;
+  struct CommonOptions standard;
 };
 
 bool
--- a/ctl/ctl_change.c
+++ b/ctl/ctl_change.c
@@ -319,7 +319,7 @@
               int *exit_code)
 {
   char name[COMMAND_NAME_BYTES];
-  struct CommandWords usage = { name, command->summary };
+  struct CommandUsage usage = { name, command->summary };
 
   snprintf (name, sizeof name, "buckthornhead ctl %s", command->name);
   return command_parse (&usage, &options->ctl.standard, argtable, argc, argv, io, exit_code);
--- a/ctl/ctl_read.c
+++ b/ctl/ctl_read.c
@@ -20,10 +20,10 @@
 struct CtlUsage
 {
   char name[COMMAND_NAME_BYTES];
-  struct CommandWords text;
+  struct CommandUsage text;
 };
 
-static const struct CommandWords *
+static const struct CommandUsage *
 ctl_usage (struct CtlUsage *usage, const struct CtlCommand *command)
 {
   snprintf (usage->name, sizeof usage->name, "buckthornhead ctl %s", command->name);
--- a/ctl/gateway_command.c
+++ b/ctl/gateway_command.c
@@ -28,12 +28,12 @@
 int
 command_gateway (int argc, char **argv, const struct CommandIo *io)
 {
-  static const struct CommandWords usage = {
+  static const struct CommandUsage usage = {
     "buckthornhead gateway",
     "Runs a gateway or, with a data folder, an archive, until SIGTERM, which is a planned stop."
   };
-  struct CommandStandard standard = { 0 };
-  bool complete = command_standard_new (&standard);
+  struct CommonOptions standard = { 0 };
+  bool complete = common_options_new (&standard);
   struct arg_file *config = arg_file1 ("c", "config", "FILE", "settings of the process");
   void *argtable[] = { config, standard.help, standard.version, standard.end };
   int exit_code = EXIT_CODE_FAILED;
--- a/ctl/serve.c
+++ b/ctl/serve.c
@@ -28,11 +28,11 @@
 int
 command_serve (int argc, char **argv, const struct CommandIo *io)
 {
-  static const struct CommandWords usage = {
+  static const struct CommandUsage usage = {
     "buckthornhead serve", "Runs one instance until SIGTERM, which is a planned stop."
   };
-  struct CommandStandard standard = { 0 };
-  bool complete = command_standard_new (&standard);
+  struct CommonOptions standard = { 0 };
+  bool complete = common_options_new (&standard);
   struct arg_file *config = arg_file1 ("c", "config", "FILE", "settings of the instance");
   void *argtable[] = { config, standard.help, standard.version, standard.end };
   int exit_code = EXIT_CODE_FAILED;
