--- a/tests/fakes/ctl_run.h
+++ b/tests/fakes/ctl_run.h
@@ -11,7 +11,7 @@
   "{\"error\":{\"kind\":\"not_found\",\"message\":\"no such\",\"remedy\":\"look\"}}"
 #define CTL_PLATFORM_DOWN                                                                          \
   "{\"error\":{\"kind\":\"platform_down\",\"message\":\"no answer\",\"remedy\":\"wait\"}}"
-#define CTL_NOWHERE "127.0.0.1:1" /* nothing listens on this port */
+#define CTL_UNREACHABLE_ADDRESS "127.0.0.1:1" /* nothing listens on this port */
 
 /* Result of one run; owns everything that its fields point to. */
 struct CtlRun
--- a/tests/test_ctl.c
+++ b/tests/test_ctl.c
@@ -131,13 +131,13 @@
 test_unreachable_exits_with_4_and_the_next_instance_is_tried (void)
 {
   static const struct FakeReply replies[] = { { 200, "{\"backends\":[]}" }, { 0, NULL } };
-  struct CtlRun *r = run_ctl (replies, "ctl --operator " CTL_NOWHERE " backends");
+  struct CtlRun *r = run_ctl (replies, "ctl --operator " CTL_UNREACHABLE_ADDRESS " backends");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_UNREACHABLE);
-  CU_ASSERT (contains (r->err, "unreachable: " CTL_NOWHERE));
+  CU_ASSERT (contains (r->err, "unreachable: " CTL_UNREACHABLE_ADDRESS));
   CU_ASSERT_STRING_EQUAL (r->log, "");
   talloc_free (r);
-  r = run_ctl (replies, "ctl --operator " CTL_NOWHERE " --operator @ backends");
+  r = run_ctl (replies, "ctl --operator " CTL_UNREACHABLE_ADDRESS " --operator @ backends");
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
   CU_ASSERT_STRING_EQUAL (r->log, "GET /operator/backends\n");
   talloc_free (r);
--- a/tests/test_ctl_change.c
+++ b/tests/test_ctl_change.c
@@ -165,7 +165,8 @@
 test_unsent_change_exits_with_4 (void)
 {
   static const struct FakeReply replies[] = { { 0, NULL } };
-  struct CtlRun *r = run_ctl (replies, "ctl drain entry-4 --off --operator " CTL_NOWHERE);
+  struct CtlRun *r =
+      run_ctl (replies, "ctl drain entry-4 --off --operator " CTL_UNREACHABLE_ADDRESS);
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_UNREACHABLE);
   talloc_free (r);
