--- a/tests/fakes/fake_kv.c
+++ b/tests/fakes/fake_kv.c
@@ -459,7 +459,7 @@
     case FAKE_KV_LOSE_REQUEST:
       fake_op_fail (op, ERROR_UNKNOWN_EFFECT);
       return true;
-    case FAKE_KV_LOSE_ANSWER:
+    case FAKE_KV_LOSE_RESPONSE:
       fake_op_apply (op);
       fake_op_fail (op, ERROR_UNKNOWN_EFFECT);
       return true;
@@ -469,7 +469,7 @@
     case FAKE_KV_HOLD_REQUEST:
       op->state = FAKE_OP_HELD_REQUEST;
       return false;
-    case FAKE_KV_HOLD_ANSWER:
+    case FAKE_KV_HOLD_RESPONSE:
       fake_op_apply (op);
       op->state = FAKE_OP_HELD_RESPONSE;
       return false;
@@ -680,7 +680,7 @@
 }
 
 bool
-fake_kv_peek (const struct FakeKv *kv, const char *key, struct KvEntry *entry)
+fake_kv_get (const struct FakeKv *kv, const char *key, struct KvEntry *entry)
 {
   const struct StoreKey *present = fake_kv_find (kv, key);
 
@@ -701,7 +701,7 @@
 }
 
 const char *
-fake_kv_peek_key (const struct FakeKv *kv, const char *prefix, size_t n)
+fake_kv_key_at (const struct FakeKv *kv, const char *prefix, size_t n)
 {
   struct StoreKey *const *first = NULL;
 
@@ -717,7 +717,7 @@
 }
 
 int64_t
-fake_kv_poke (struct FakeKv *kv, const char *key, const void *value, size_t value_bytes)
+fake_kv_set (struct FakeKv *kv, const char *key, const void *value, size_t value_bytes)
 {
   store_begin (kv->store);
   store_put (kv->store, bytes_from_text (key), (struct Bytes){ value, value_bytes }, 0);
--- a/tests/fakes/fake_kv.h
+++ b/tests/fakes/fake_kv.h
@@ -20,13 +20,13 @@
 enum FakeKvFault
 {
   FAKE_KV_OK,
-  FAKE_KV_REFUSE,       /* no effect, ERROR_UNREACHABLE */
-  FAKE_KV_LIMIT,        /* no effect, ERROR_RATE_LIMITED */
-  FAKE_KV_LOSE_REQUEST, /* no effect, ERROR_UNKNOWN_EFFECT */
-  FAKE_KV_LOSE_ANSWER,  /* applied, ERROR_UNKNOWN_EFFECT */
-  FAKE_KV_LATE,         /* ERROR_UNKNOWN_EFFECT at once, applied by fake_kv_release */
-  FAKE_KV_HOLD_REQUEST, /* applied and completed by fake_kv_release */
-  FAKE_KV_HOLD_ANSWER   /* applied at once, completed by fake_kv_release */
+  FAKE_KV_REFUSE,        /* no effect, ERROR_UNREACHABLE */
+  FAKE_KV_LIMIT,         /* no effect, ERROR_RATE_LIMITED */
+  FAKE_KV_LOSE_REQUEST,  /* no effect, ERROR_UNKNOWN_EFFECT */
+  FAKE_KV_LOSE_RESPONSE, /* applied, ERROR_UNKNOWN_EFFECT */
+  FAKE_KV_LATE,          /* ERROR_UNKNOWN_EFFECT at once, applied by fake_kv_release */
+  FAKE_KV_HOLD_REQUEST,  /* applied and completed by fake_kv_release */
+  FAKE_KV_HOLD_RESPONSE  /* applied at once, completed by fake_kv_release */
 };
 
 struct FakeKv;
@@ -73,14 +73,14 @@
 
 /* Direct access without faults. A peeked value is valid until the next change. */
 bool
-fake_kv_peek (const struct FakeKv *kv, const char *key, struct KvEntry *entry);
+fake_kv_get (const struct FakeKv *kv, const char *key, struct KvEntry *entry);
 /* Returns the n-th key that starts with prefix, in byte order; NULL past the last one. */
 const char *
-fake_kv_peek_key (const struct FakeKv *kv, const char *prefix, size_t n);
+fake_kv_key_at (const struct FakeKv *kv, const char *prefix, size_t n);
 size_t
 fake_kv_count (const struct FakeKv *kv, const char *prefix);
 int64_t
-fake_kv_poke (struct FakeKv *kv, const char *key, const void *value, size_t value_bytes);
+fake_kv_set (struct FakeKv *kv, const char *key, const void *value, size_t value_bytes);
 void
 fake_kv_remove (struct FakeKv *kv, const char *key);
 /* Expires a lease early, as if its holder had been paused. */
--- a/tests/test_config_log.c
+++ b/tests/test_config_log.c
@@ -208,7 +208,7 @@
 static void
 test_lost_response_is_resolved_by_change_id (void)
 {
-  static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_ANSWER, FAKE_KV_LOSE_REQUEST };
+  static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_RESPONSE, FAKE_KV_LOSE_REQUEST };
 
   for (size_t i = 0; i < 2; i++)
     {
@@ -334,7 +334,7 @@
   fake_kv_fault_next (t->kv, KV_OP_PUT, "t/config/", FAKE_KV_HOLD_REQUEST, 1);
   node_apply (t->a, &old, &paused);
   fake_timer_advance (t->timers, 100);
-  fake_kv_port_set_fault (t->a->port, FAKE_KV_HOLD_ANSWER);
+  fake_kv_port_set_fault (t->a->port, FAKE_KV_HOLD_RESPONSE);
   change = edit_of ("c3", "ivo", share_2, 1);
   CU_ASSERT_EQUAL (node_apply_now (t->b, &change, &other), ERROR_NONE);
   change = edit_of ("c4", "ivo", share_1, 2);
@@ -431,7 +431,7 @@
   size_t n = 0;
 
   bench_apply_many (t, 300);
-  CU_ASSERT_TRUE (fake_kv_peek (t->kv, "t/config-checkpoint", NULL));
+  CU_ASSERT_TRUE (fake_kv_get (t->kv, "t/config-checkpoint", NULL));
   fresh = node_new (t);
   fake_timer_advance (t->timers, 100);
   CU_ASSERT_EQUAL (fresh->revision, 300);
--- a/tests/test_fake_kv.c
+++ b/tests/test_fake_kv.c
@@ -81,7 +81,7 @@
     { FAKE_KV_REFUSE, ERROR_UNREACHABLE, false },
     { FAKE_KV_LIMIT, ERROR_RATE_LIMITED, false },
     { FAKE_KV_LOSE_REQUEST, ERROR_UNKNOWN_EFFECT, false },
-    { FAKE_KV_LOSE_ANSWER, ERROR_UNKNOWN_EFFECT, true },
+    { FAKE_KV_LOSE_RESPONSE, ERROR_UNKNOWN_EFFECT, true },
     { FAKE_KV_LATE, ERROR_UNKNOWN_EFFECT, false },
   };
 
@@ -93,7 +93,7 @@
       fixture_put (b, "a", "1", KV_IF_ABSENT);
       CU_ASSERT_EQUAL (fake_kv_run (b->kv), 1);
       CU_ASSERT_EQUAL (b->error, cases[i].error);
-      CU_ASSERT_EQUAL (fake_kv_peek (b->kv, "a", NULL), cases[i].applied);
+      CU_ASSERT_EQUAL (fake_kv_get (b->kv, "a", NULL), cases[i].applied);
       fixture_put (b, "a", "1", KV_IF_ALWAYS);
       fake_kv_run (b->kv);
       CU_ASSERT_EQUAL (b->error, ERROR_NONE);
@@ -108,14 +108,14 @@
 
   fake_kv_fault_next (b->kv, KV_OP_PUT, "late", FAKE_KV_LATE, 1);
   fake_kv_fault_next (b->kv, KV_OP_PUT, "request", FAKE_KV_HOLD_REQUEST, 1);
-  fake_kv_fault_next (b->kv, KV_OP_PUT, "answer", FAKE_KV_HOLD_ANSWER, 1);
+  fake_kv_fault_next (b->kv, KV_OP_PUT, "answer", FAKE_KV_HOLD_RESPONSE, 1);
   fixture_put (b, "late", "1", KV_IF_ABSENT);
   fixture_put (b, "request", "1", KV_IF_ABSENT);
   fixture_put (b, "answer", "1", KV_IF_ABSENT);
   fake_timer_advance (b->timers, 100);
   CU_ASSERT_EQUAL (b->n_results, 1);
   CU_ASSERT_EQUAL (fake_kv_count (b->kv, ""), 1);
-  CU_ASSERT_STRING_EQUAL (fake_kv_peek_key (b->kv, "a", 0), "answer");
+  CU_ASSERT_STRING_EQUAL (fake_kv_key_at (b->kv, "a", 0), "answer");
   CU_ASSERT_EQUAL (fake_kv_n_waiting (b->kv), 3);
   CU_ASSERT_EQUAL (fake_kv_release (b->kv), 3);
   fake_kv_run (b->kv);
@@ -137,7 +137,7 @@
   kv_submit (b->port, &watch, fixture_on_done, b);
   fake_timer_advance (b->timers, 10);
   CU_ASSERT_EQUAL (b->n_results, 0);
-  fake_kv_poke (b->kv, "ab", "1", 1);
+  fake_kv_set (b->kv, "ab", "1", 1);
   fake_timer_advance (b->timers, 10);
   CU_ASSERT_EQUAL (b->n_entries, 1);
   watch.watch.start_revision = 3;
@@ -160,11 +160,11 @@
   request = (struct KvRequest){ .op = KV_OP_PUT, .put.key = "a", .put.lease_id = b->lease_id };
   kv_submit (b->port, &request, fixture_on_done, b);
   fake_timer_advance (b->timers, 2000);
-  CU_ASSERT_TRUE (fake_kv_peek (b->kv, "a", NULL));
+  CU_ASSERT_TRUE (fake_kv_get (b->kv, "a", NULL));
   fake_timer_advance (b->timers, 2000);
   fixture_put (b, "b", "1", KV_IF_ALWAYS);
   fake_kv_run (b->kv);
-  CU_ASSERT_FALSE (fake_kv_peek (b->kv, "a", NULL));
+  CU_ASSERT_FALSE (fake_kv_get (b->kv, "a", NULL));
   talloc_free (b);
 }
 
--- a/tests/test_homes.c
+++ b/tests/test_homes.c
@@ -480,9 +480,9 @@
   struct Node *a = first_home (f), *b;
 
   talloc_free (a);
-  fake_kv_fault_next (f->kv, KV_OP_PUT, "b/journal/a.1/", FAKE_KV_LOSE_ANSWER, 1);
-  fake_kv_fault_next (f->kv, KV_OP_PUT, "b/map/", FAKE_KV_LOSE_ANSWER, 3);
-  fake_kv_fault_next (f->kv, KV_OP_PUT, "b/journal/b.1/", FAKE_KV_LOSE_ANSWER, 2);
+  fake_kv_fault_next (f->kv, KV_OP_PUT, "b/journal/a.1/", FAKE_KV_LOSE_RESPONSE, 1);
+  fake_kv_fault_next (f->kv, KV_OP_PUT, "b/map/", FAKE_KV_LOSE_RESPONSE, 3);
+  fake_kv_fault_next (f->kv, KV_OP_PUT, "b/journal/b.1/", FAKE_KV_LOSE_RESPONSE, 2);
   b = node_new (f, "b.1");
   SET_MEMBERS (b, "b.1");
   advance (f, LONG_MS);
@@ -662,7 +662,7 @@
   struct Node *a = first_home (f), *b = node_new (f, "b.1");
   uint64_t epoch;
 
-  fake_kv_fault_next (f->kv, KV_OP_PUT, "b/journal/a.1/", FAKE_KV_HOLD_ANSWER, 1);
+  fake_kv_fault_next (f->kv, KV_OP_PUT, "b/journal/a.1/", FAKE_KV_HOLD_RESPONSE, 1);
   SET_MEMBERS (a, "a.1!", "b.1");
   SET_MEMBERS (b, "a.1!", "b.1");
   advance (f, POLL_MS);
@@ -792,7 +792,7 @@
 
   SET_MEMBERS (b, "a.1!", "b.1");
   advance (f, 2 * POLL_MS);
-  fake_kv_fault_next (f->kv, KV_OP_RANGE, "b/map/", FAKE_KV_HOLD_ANSWER, 2);
+  fake_kv_fault_next (f->kv, KV_OP_RANGE, "b/map/", FAKE_KV_HOLD_RESPONSE, 2);
   advance (f, 2 * POLL_MS);
   SET_MEMBERS (a, "a.1!", "b.1");
   advance (f, 2 * POLL_MS);
@@ -813,7 +813,7 @@
 
   if (fake_kv_count (f->kv, folder) != 1)
     return false;
-  fake_kv_peek (f->kv, fake_kv_peek_key (f->kv, folder, 0), &entry);
+  fake_kv_get (f->kv, fake_kv_key_at (f->kv, folder, 0), &entry);
   return slot_unpack (f->ctx, entry.value, entry.value_bytes, &slot) == ERROR_NONE
          && slot->kind == SLOT_SEAL;
 }
@@ -861,7 +861,7 @@
   if (request->op != KV_OP_RANGE || request->range.start == NULL || !*holding)
     return FAKE_KV_OK;
   *holding = false;
-  return FAKE_KV_HOLD_ANSWER;
+  return FAKE_KV_HOLD_RESPONSE;
 }
 
 /* The new home reads so slowly that a third one takes over from it. It must not serve the
--- a/tests/test_homes_chaos.c
+++ b/tests/test_homes_chaos.c
@@ -293,7 +293,7 @@
 step_faults (struct World *w)
 {
   static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_LIMIT, FAKE_KV_LOSE_REQUEST,
-                                             FAKE_KV_LOSE_ANSWER, FAKE_KV_LATE };
+                                             FAKE_KV_LOSE_RESPONSE, FAKE_KV_LATE };
   uint32_t dice = pick (w, 100);
 
   if (dice < 10)
--- a/tests/test_journal.c
+++ b/tests/test_journal.c
@@ -98,7 +98,7 @@
   struct KvEntry entry;
   struct Slot *slot = NULL;
 
-  if (fake_kv_peek (f->kv, key, &entry))
+  if (fake_kv_get (f->kv, key, &entry))
     slot_unpack (f->ctx, entry.value, entry.value_bytes, &slot);
   return slot;
 }
@@ -119,7 +119,7 @@
   size_t bytes;
 
   slot_pack (f->ctx, &seal, &packed, &bytes);
-  fake_kv_poke (f->kv, journal_slot_key (f->ctx, "b/", "malda-1.1", number), packed, bytes);
+  fake_kv_set (f->kv, journal_slot_key (f->ctx, "b/", "malda-1.1", number), packed, bytes);
 }
 
 static void
@@ -181,7 +181,7 @@
   struct Fixture *f = fixture_new ();
   struct Results results = { 0 };
 
-  fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_LOSE_ANSWER, 1);
+  fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_LOSE_RESPONSE, 1);
   append (f, "a", &results);
   fake_timer_advance (f->timers, 5);
   CU_ASSERT_EQUAL (results.n, 0);
@@ -415,7 +415,7 @@
   fake_kv_release (f->kv);
   fake_timer_advance (f->timers, LONG_MS);
   CU_ASSERT_EQUAL (fake_kv_count (f->kv, "b/journal/"), 5);
-  fake_kv_fault_next (f->kv, KV_OP_DELETE, NULL, FAKE_KV_LOSE_ANSWER, 1);
+  fake_kv_fault_next (f->kv, KV_OP_DELETE, NULL, FAKE_KV_LOSE_RESPONSE, 1);
   for (int i = 0; i < 6; i++)
     {
       append (f, "a", &results);
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -253,7 +253,7 @@
 test_lost_responses_after_an_outage (void)
 {
   static const int32_t ops[] = { KV_OP_LEASE_GRANT, KV_OP_GET, KV_OP_PUT };
-  static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_ANSWER, FAKE_KV_LOSE_REQUEST,
+  static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_RESPONSE, FAKE_KV_LOSE_REQUEST,
                                              FAKE_KV_LATE, FAKE_KV_REFUSE };
 
   for (size_t i = 0; i < 3; i++)
@@ -285,7 +285,7 @@
 test_lost_responses_while_registering (void)
 {
   static const int32_t ops[] = { KV_OP_LEASE_GRANT, KV_OP_GET, KV_OP_PUT };
-  static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_ANSWER, FAKE_KV_LOSE_REQUEST,
+  static const enum FakeKvFault faults[] = { FAKE_KV_LOSE_RESPONSE, FAKE_KV_LOSE_REQUEST,
                                              FAKE_KV_LATE, FAKE_KV_REFUSE };
 
   for (size_t i = 0; i < 3; i++)
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -56,7 +56,7 @@
   size_t bytes;
 
   slot_pack (f->ctx, &slot, &packed, &bytes);
-  fake_kv_poke (f->kv, journal_slot_key (f->ctx, "b/", "old.1", number), packed, bytes);
+  fake_kv_set (f->kv, journal_slot_key (f->ctx, "b/", "old.1", number), packed, bytes);
 }
 
 static void
@@ -186,7 +186,7 @@
 
   put_slot (f, 1, SLOT_RECORDS, 1);
   fake_kv_fault_next (f->kv, KV_OP_RANGE, NULL, FAKE_KV_LIMIT, 2);
-  fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_LOSE_ANSWER, 1);
+  fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_LOSE_RESPONSE, 1);
   seal (f, "new.1", &reading);
   fake_timer_advance (f->timers, LONG_MS);
   CU_ASSERT_EQUAL (reading.error, ERROR_NONE);
@@ -286,7 +286,7 @@
   TALLOC_CTX *sealer = talloc_new (f->ctx);
 
   put_slot (f, 1, SLOT_RECORDS, 1);
-  fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_HOLD_ANSWER, 1);
+  fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_HOLD_RESPONSE, 1);
   journal_seal_and_read (sealer, f->port, f->timers, "b/", "old.1", "new.1", on_read, &reading);
   fake_timer_advance (f->timers, 5);
   talloc_free (sealer);
