--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -248,7 +248,7 @@
 
   if (!keep)
     {
-      connection_close (c, HTTP_END_WHOLE);
+      connection_close (c, HTTP_END_COMPLETE);
       return;
     }
   c->call = NULL;
@@ -258,7 +258,7 @@
   if (call == NULL)
     return;
   call->connection = NULL;
-  call->handler.end (call->handler.data, HTTP_END_WHOLE);
+  call->handler.end (call->handler.data, HTTP_END_COMPLETE);
   talloc_free (call);
 }
 
@@ -303,7 +303,7 @@
     {
       http_parser_execute (&c->parser, &parser_settings, NULL, 0);
       if (c->complete)
-        end = HTTP_END_WHOLE;
+        end = HTTP_END_COMPLETE;
     }
   connection_close (c, end);
 }
--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -218,15 +218,15 @@
       request_retry (request, "the server refused the request");
       return;
     }
-  if (end != HTTP_END_WHOLE)
+  if (end != HTTP_END_COMPLETE)
     replica_record_failure (replica, now_ms);
-  request->outcome = end == HTTP_END_WHOLE && !response_is_failure (&request->response)
+  request->outcome = end == HTTP_END_COMPLETE && !response_is_failure (&request->response)
                          ? SLOT_SERVED
                          : SLOT_FAILED;
   replica_note_result (replica, request->outcome == SLOT_FAILED, now_ms);
   attempt_release (request);
   request->n_sent++;
-  if (end == HTTP_END_WHOLE)
+  if (end == HTTP_END_COMPLETE)
     {
       request_on_complete (request);
       return;
--- a/include/buckthornhead/http_client.h
+++ b/include/buckthornhead/http_client.h
@@ -38,7 +38,7 @@
 
 enum HttpEnd
 {
-  HTTP_END_WHOLE,     /* the response is complete */
+  HTTP_END_COMPLETE,  /* the response is complete */
   HTTP_END_NOT_SENT,  /* nothing was sent: the request did not run */
   HTTP_END_BROKEN,    /* the connection failed after part of the request was sent: may have run */
   HTTP_END_MALFORMED, /* the response cannot be parsed: may have run */
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -124,7 +124,7 @@
 
   bench_request (b, "1");
   bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok");
-  CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
+  CU_ASSERT_EQUAL (b->end, HTTP_END_COMPLETE);
   CU_ASSERT_STRING_EQUAL (b->body, "ok");
   bench_request (b, "2");
   bench_respond (
@@ -170,7 +170,7 @@
   b->fd = -1;
   bench_request (b, "2");
   bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 0\r\n\r\n");
-  CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
+  CU_ASSERT_EQUAL (b->end, HTTP_END_COMPLETE);
   CU_ASSERT_EQUAL (http_client_opened (b->client), 2);
   bench_free (b);
 }
@@ -202,7 +202,7 @@
   bench_request (b, "2");
   bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 3\r\n\r\none"
                     "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 3\r\n\r\ntwo");
-  CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
+  CU_ASSERT_EQUAL (b->end, HTTP_END_COMPLETE);
   CU_ASSERT_STRING_EQUAL (b->body, "two");
   bench_free (b);
 }
@@ -215,7 +215,7 @@
 
   bench_request (b, "1");
   bench_respond (b, "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nokextra");
-  CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
+  CU_ASSERT_EQUAL (b->end, HTTP_END_COMPLETE);
   CU_ASSERT_STRING_EQUAL (b->body, "ok");
   CU_ASSERT_TRUE (raw_wait_closed (b->fd, b->events));
   bench_free (b);
@@ -234,7 +234,7 @@
   close (b->fd);
   b->fd = -1;
   CU_ASSERT_TRUE (events_until (b->events, &b->ended));
-  CU_ASSERT_EQUAL (b->end, HTTP_END_WHOLE);
+  CU_ASSERT_EQUAL (b->end, HTTP_END_COMPLETE);
   CU_ASSERT_STRING_EQUAL (b->body, "all of it");
   bench_request (b, "2");
   raw_send (b->fd, "HTTP/1.1 200 OK\r\nX-Id: 2\r\n\r\nhalf of it");
