--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -554,7 +554,7 @@
 }
 
 void
-http_client_forget (struct HttpClient *client, const char *address)
+http_client_close_idle (struct HttpClient *client, const char *address)
 {
   struct ServerConnection *next;
 
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -359,7 +359,7 @@
     {
       log_event (LOG_LEVEL_NOTICE, "server_restarted", NULL, NULL, "%s, start time %llu",
                  replica->entry.id, (unsigned long long)replica->entry.started_unix_ms);
-      http_client_forget (front->client, replica->entry.address);
+      http_client_close_idle (front->client, replica->entry.address);
       slots_server_restarted (front->slots, replica->entry.id);
     }
 }
--- a/include/buckthornhead/http_client.h
+++ b/include/buckthornhead/http_client.h
@@ -79,7 +79,7 @@
 
 /* Closes the idle connections to an address, which another server may have taken over. */
 void
-http_client_forget (struct HttpClient *client, const char *address);
+http_client_close_idle (struct HttpClient *client, const char *address);
 
 /* Returns the time until which an idle connection to address may be reused, on the timer service's
  * clock; 0 when there is none. */
