--- a/adapters/exchange.c
+++ b/adapters/exchange.c
@@ -133,7 +133,7 @@
 }
 
 void
-exchange_answer (struct Exchange *exchange, uint32_t status, const void *body, size_t n_bytes)
+exchange_respond (struct Exchange *exchange, uint32_t status, const void *body, size_t n_bytes)
 {
   exchange_chunk (exchange, body, n_bytes);
   exchange_begin (exchange, status, false);
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -310,11 +310,11 @@
 }
 
 void
-http_exchange_answer (struct HttpExchange *exchange,
-                      uint32_t status,
-                      const struct HttpHeaders *headers,
-                      const void *body,
-                      size_t body_bytes)
+http_exchange_respond (struct HttpExchange *exchange,
+                       uint32_t status,
+                       const struct HttpHeaders *headers,
+                       const void *body,
+                       size_t body_bytes)
 {
   struct ServerExchange *x = server_exchange (exchange);
   char framing[48];
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -206,7 +206,7 @@
 
       fault_set (&fault, ERROR_NO_MEMORY, NULL, "out of memory");
       json = error_json (NULL, &fault, RAN_NO, RETRY_AFTER_MS, 0);
-      exchange_answer (exchange, 500, json, strlen (json));
+      exchange_respond (exchange, 500, json, strlen (json));
       talloc_free (json);
       return;
     }
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -61,7 +61,7 @@
 {
   char *text = json_dumps (json, JSON_COMPACT);
 
-  exchange_answer (exchange, status, text, strlen (text));
+  exchange_respond (exchange, status, text, strlen (text));
   free (text);
   json_decref (json);
 }
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -104,9 +104,9 @@
     body =
         front->node->dialect->write_addresses (front, addresses, n, front->node->settings->keep_s);
   if (body != NULL)
-    http_exchange_answer (exchange, 200, &headers, body, strlen (body));
+    http_exchange_respond (exchange, 200, &headers, body, strlen (body));
   else
-    http_exchange_answer (exchange, 503, NULL, NULL, 0);
+    http_exchange_respond (exchange, 503, NULL, NULL, 0);
   talloc_free (body);
 }
 
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -262,7 +262,7 @@
 
   if (request == NULL)
     {
-      http_exchange_answer (exchange, 503, NULL, NULL, 0);
+      http_exchange_respond (exchange, 503, NULL, NULL, 0);
       return;
     }
   retry_allowance_earn (&front->retries);
@@ -292,13 +292,13 @@
   switch (front->node->dialect->own_path (exchange->target))
     {
     case OWN_PATH_READY:
-      http_exchange_answer (exchange, front_is_ready (front) ? 200 : 503, NULL, NULL, 0);
+      http_exchange_respond (exchange, front_is_ready (front) ? 200 : 503, NULL, NULL, 0);
       break;
     case OWN_PATH_ADDRESSES:
       directory_answer (front, exchange);
       break;
     case OWN_PATH_NONE:
-      http_exchange_answer (exchange, 404, NULL, NULL, 0);
+      http_exchange_respond (exchange, 404, NULL, NULL, 0);
       break;
     }
 }
--- a/gateway/metrics.c
+++ b/gateway/metrics.c
@@ -50,9 +50,9 @@
   char *text = customers ? quotas_render (metrics->front->quotas, ctx) : metrics_render (ctx);
 
   if (text != NULL)
-    http_exchange_answer (exchange, 200, &headers, text, strlen (text));
+    http_exchange_respond (exchange, 200, &headers, text, strlen (text));
   else
-    http_exchange_answer (exchange, 503, NULL, NULL, 0);
+    http_exchange_respond (exchange, 503, NULL, NULL, 0);
   talloc_free (ctx);
 }
 
--- a/gateway/request.c
+++ b/gateway/request.c
@@ -149,7 +149,7 @@
       if (http_exchange_has_begun (exchange))
         http_exchange_abort (exchange);
       else
-        http_exchange_answer (exchange, reply->status, &headers, NULL, 0);
+        http_exchange_respond (exchange, reply->status, &headers, NULL, 0);
     }
   request_end (request);
 }
--- a/include/buckthornhead/exchange.h
+++ b/include/buckthornhead/exchange.h
@@ -2,7 +2,7 @@
  * the connection and the core thread that responds.
  *
  * The HTTP thread fills in the request fields and posts the exchange to the core; those fields are
- * read-only afterwards. The core responds with exchange_answer, or with exchange_begin,
+ * read-only afterwards. The core responds with exchange_respond, or with exchange_begin,
  * exchange_chunk and exchange_end for a stream. Each of the two threads holds one reference. */
 #pragma once
 
@@ -91,7 +91,7 @@
 exchange_end (struct Exchange *exchange);
 /* Sends a complete response and ends the exchange. */
 void
-exchange_answer (struct Exchange *exchange, uint32_t status, const void *body, size_t n_bytes);
+exchange_respond (struct Exchange *exchange, uint32_t status, const void *body, size_t n_bytes);
 /* Returns the number of exchanges of all listeners that are posted to the core and have not ended;
  * may be called by any thread. While it is not 0 a connection may be suspended, and libmicrohttpd
  * aborts the process when a listener with a suspended connection is stopped. */
--- a/include/buckthornhead/http_server.h
+++ b/include/buckthornhead/http_server.h
@@ -81,11 +81,11 @@
 
 /* Sends a complete response, adding Content-Length. Frees exchange. */
 void
-http_exchange_answer (struct HttpExchange *exchange,
-                      uint32_t status,
-                      const struct HttpHeaders *headers,
-                      const void *body,
-                      size_t body_bytes);
+http_exchange_respond (struct HttpExchange *exchange,
+                       uint32_t status,
+                       const struct HttpHeaders *headers,
+                       const void *body,
+                       size_t body_bytes);
 
 /* Send a response in pieces: begin, any number of writes, then end, which frees exchange. */
 void
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -55,7 +55,7 @@
           exchange->body_bytes);
   b->body[exchange->body_bytes] = '\0';
   if (b->respond_at_once)
-    http_exchange_answer (exchange, 200, NULL, b->target, strlen (b->target));
+    http_exchange_respond (exchange, 200, NULL, b->target, strlen (b->target));
 }
 
 static struct Bench *
@@ -127,7 +127,7 @@
   events_for (b->events, 30);
   CU_ASSERT_EQUAL (b->n_requests, 1);
   b->respond_at_once = true;
-  http_exchange_answer (b->exchange, 200, NULL, "/1", 2);
+  http_exchange_respond (b->exchange, 200, NULL, "/1", 2);
   CU_ASSERT_TRUE (bench_read_until (b, "/3"));
   CU_ASSERT_EQUAL (b->n_requests, 3);
   CU_ASSERT (strstr (b->text, "/1") < strstr (b->text, "/2"));
