--- a/gateway/front.c
+++ b/gateway/front.c
@@ -285,19 +285,19 @@
 }
 
 static void
-front_on_own_path (void *data, struct HttpExchange *exchange)
+front_on_gateway_path (void *data, struct HttpExchange *exchange)
 {
   struct Front *front = data;
 
-  switch (front->node->dialect->own_path (exchange->target))
+  switch (front->node->dialect->gateway_path (exchange->target))
     {
-    case OWN_PATH_READY:
+    case GATEWAY_PATH_READY:
       http_exchange_respond (exchange, front_is_ready (front) ? 200 : 503, NULL, NULL, 0);
       break;
-    case OWN_PATH_ADDRESSES:
+    case GATEWAY_PATH_ADDRESSES:
       directory_answer (front, exchange);
       break;
-    case OWN_PATH_NONE:
+    case GATEWAY_PATH_NONE:
       http_exchange_respond (exchange, 404, NULL, NULL, 0);
       break;
     }
@@ -623,10 +623,10 @@
                                 s->connections_max, &front->callers, fault);
 
   if (error == ERROR_NONE)
-    error = front_listen (front, s->ready_listen, "[listen] ready", front_on_own_path,
+    error = front_listen (front, s->ready_listen, "[listen] ready", front_on_gateway_path,
                           OWN_CONNECTIONS_MAX, &front->ready, fault);
   if (error == ERROR_NONE)
-    error = front_listen (front, s->directory_listen, "[listen] directory", front_on_own_path,
+    error = front_listen (front, s->directory_listen, "[listen] directory", front_on_gateway_path,
                           OWN_CONNECTIONS_MAX, &front->directory, fault);
   return error;
 }
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -10,11 +10,11 @@
 #include <buckthornhead/scheduling/replica_set.h>
 
 /* Paths that the gateway serves itself. */
-enum OwnPath
+enum GatewayPath
 {
-  OWN_PATH_NONE,     /* any other path: the request is forwarded */
-  OWN_PATH_READY,    /* readiness probe */
-  OWN_PATH_ADDRESSES /* addresses of the ready gateways */
+  GATEWAY_PATH_NONE,     /* any other path: the request is forwarded */
+  GATEWAY_PATH_READY,    /* readiness probe */
+  GATEWAY_PATH_ADDRESSES /* addresses of the ready gateways */
 };
 
 /* Key that a request carries. */
@@ -84,8 +84,9 @@
   const char *retire_prefix; /* followed by the name of an instance that is to be emptied */
   const char *servers_prefix;
 
-  enum OwnPath (*own_path) (const char *target);
-  /* Availability zone that the requester of OWN_PATH_ADDRESSES specifies; "" when it does not. */
+  enum GatewayPath (*gateway_path) (const char *target);
+  /* Availability zone that the requester of GATEWAY_PATH_ADDRESSES specifies; "" when it does not.
+   */
   void (*read_query_zone) (const char *target, char zone[NAME_MAX_BYTES + 1]);
   /* ERROR_INVALID with fault when a required parameter is missing or malformed. */
   int32_t (*read_request) (TALLOC_CTX *ctx,
@@ -113,7 +114,7 @@
                           struct Fault *fault);
   /* Fills in the key and value that report to the operators how far an instance is emptied. */
   void (*write_retired) (const char *machine, bool completed, struct RetireNote *note);
-  /* Returns the response body for OWN_PATH_ADDRESSES; callers cache it for keep_s. */
+  /* Returns the response body for GATEWAY_PATH_ADDRESSES; callers cache it for keep_s. */
   char *(*write_addresses) (TALLOC_CTX *ctx,
                             const char *const *addresses,
                             size_t n_addresses,
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -421,10 +421,10 @@
   char zone[NAME_MAX_BYTES + 1];
   char *body = platform_dialect.write_addresses (NULL, addresses, 2, 2);
 
-  CU_ASSERT_EQUAL (platform_dialect.own_path ("/-/ready"), OWN_PATH_READY);
-  CU_ASSERT_EQUAL (platform_dialect.own_path ("/-/resolve?name=x"), OWN_PATH_ADDRESSES);
-  CU_ASSERT_EQUAL (platform_dialect.own_path ("/-/readyx"), OWN_PATH_NONE);
-  CU_ASSERT_EQUAL (platform_dialect.own_path ("/"), OWN_PATH_NONE);
+  CU_ASSERT_EQUAL (platform_dialect.gateway_path ("/-/ready"), GATEWAY_PATH_READY);
+  CU_ASSERT_EQUAL (platform_dialect.gateway_path ("/-/resolve?name=x"), GATEWAY_PATH_ADDRESSES);
+  CU_ASSERT_EQUAL (platform_dialect.gateway_path ("/-/readyx"), GATEWAY_PATH_NONE);
+  CU_ASSERT_EQUAL (platform_dialect.gateway_path ("/"), GATEWAY_PATH_NONE);
   CU_ASSERT_STRING_EQUAL (body,
                           "{\"addresses\":[\"10.1.0.38:8149\",\"10.1.0.39:8149\"],\"ttl_s\":2}");
   platform_dialect.read_query_zone ("/-/resolve?name=a-zone=b&region=r&zone=malda", zone);
