--- a/gateway/archive_member.c
+++ b/gateway/archive_member.c
@@ -456,13 +456,13 @@
   bool completed =
       set->stage == ARCHIVE_STAGE_STABLE && !archive_set_has (set, member_name (member));
   struct KvRequest request = { .op = KV_OP_PUT };
-  struct RetireNote note;
+  struct RetireStatus note;
 
   if (!member_is_retiring (member, member_name (member)) || member->report_pending
       || set->generation == 0
       || (completed ? member->reported_completed : member->reported_running))
     return;
-  member->node->dialect->write_retired (member_name (member), completed, &note);
+  member->node->dialect->write_retire_status (member_name (member), completed, &note);
   request.put.key = note.key;
   request.put.value = (const uint8_t *)note.value;
   request.put.value_bytes = strlen (note.value);
--- a/include/buckthornhead/dialect.h
+++ b/include/buckthornhead/dialect.h
@@ -70,7 +70,7 @@
 };
 
 /* Entry of the platform's store that reports how far an instance is emptied. */
-struct RetireNote
+struct RetireStatus
 {
   char key[200];
   char value[64];
@@ -113,7 +113,7 @@
                           struct ReplicaEntry *entry,
                           struct Fault *fault);
   /* Fills in the key and value that report to the operators how far an instance is emptied. */
-  void (*write_retired) (const char *machine, bool completed, struct RetireNote *note);
+  void (*write_retire_status) (const char *machine, bool completed, struct RetireStatus *note);
   /* Returns the response body for GATEWAY_PATH_ADDRESSES; callers cache it for keep_s. */
   char *(*write_addresses) (TALLOC_CTX *ctx,
                             const char *const *addresses,
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -437,9 +437,9 @@
 static void
 test_a_completed_retirement_is_reported (void)
 {
-  struct RetireNote note;
+  struct RetireStatus note;
 
-  platform_dialect.write_retired ("storage-malda-1", true, &note);
+  platform_dialect.write_retire_status ("storage-malda-1", true, &note);
   CU_ASSERT_STRING_EQUAL (note.key, "status/retire/storage-malda-1");
   CU_ASSERT_STRING_EQUAL (note.value, "{\"state\":\"completed\"}");
 }
