--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -348,7 +348,7 @@
   (void)watch;
   if (c->state == CONNECTION_CONNECTING)
     {
-      if (net_dial_error (c->fd) != 0)
+      if (net_connect_error (c->fd) != 0)
         {
           connection_close (c, HTTP_END_NOT_SENT);
           return;
@@ -452,7 +452,7 @@
 connection_new (struct HttpClient *client, const char *address, uint32_t connect_timeout_ms)
 {
   struct ServerConnection *c;
-  int fd = net_dial (address, USER_TIMEOUT_MS);
+  int fd = net_connect (address, USER_TIMEOUT_MS);
 
   if (fd < 0)
     return NULL;
--- a/adapters/net_socket.c
+++ b/adapters/net_socket.c
@@ -80,7 +80,7 @@
 }
 
 int
-net_dial (const char *address, uint32_t user_timeout_ms)
+net_connect (const char *address, uint32_t user_timeout_ms)
 {
   struct sockaddr_storage storage;
   socklen_t size;
@@ -101,7 +101,7 @@
 }
 
 int
-net_dial_error (int fd)
+net_connect_error (int fd)
 {
   int error = 0;
   socklen_t size = sizeof error;
--- a/adapters/peer_net.c
+++ b/adapters/peer_net.c
@@ -297,7 +297,7 @@
 static bool
 peer_link_finish_connect (struct PeerLink *link)
 {
-  int error = net_dial_error (link->fd);
+  int error = net_connect_error (link->fd);
 
   if (error == 0)
     {
@@ -371,7 +371,7 @@
 static void
 peer_net_dial (struct PeerNet *net, struct PeerEntry *peer)
 {
-  int fd = net_dial (peer->address, USER_TIMEOUT_MS);
+  int fd = net_connect (peer->address, USER_TIMEOUT_MS);
 
   peer->dialled_ms = timer_now_ms (net->timers);
   if (fd < 0)
--- a/include/buckthornhead/net_socket.h
+++ b/include/buckthornhead/net_socket.h
@@ -17,8 +17,8 @@
 /* Starts a non-blocking connect; returns -1 when it fails at once. user_timeout_ms limits how long
  * sent data may stay unacknowledged: a peer behind a network partition never responds. */
 int
-net_dial (const char *address, uint32_t user_timeout_ms);
+net_connect (const char *address, uint32_t user_timeout_ms);
 
-/* Returns 0 when the socket of net_dial is connected, otherwise its errno value. */
+/* Returns 0 when the socket of net_connect is connected, otherwise its errno value. */
 int
-net_dial_error (int fd);
+net_connect_error (int fd);
