--- a/tests/sessions/test_gateway_archives.c
+++ b/tests/sessions/test_gateway_archives.c
@@ -444,8 +444,8 @@
     process_kill (fleet->archives[i].process);
   pthread_join (thread, NULL);
   CU_ASSERT_EQUAL (first.status, 504);
-  server_set_mode (fleet->installation, ENGINE, SERVER_ANSWERS);
-  server_set_mode (fleet->installation, ENGINE + 1, SERVER_ANSWERS);
+  server_set_mode (fleet->installation, ENGINE, SERVER_RESPONDS);
+  server_set_mode (fleet->installation, ENGINE + 1, SERVER_RESPONDS);
   for (uint32_t i = 0; i < 3; i++)
     archive_start (fleet, i, false);
   CU_ASSERT_TRUE (wait_for (budget_allows_a_turn, &later));
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -20,7 +20,7 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, DESK, SERVER_LOSES);
+  server_set_mode (fleet->installation, DESK, SERVER_DROPS_RESPONSE);
   CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r1")->status, 502);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "r1"), 1);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -41,8 +41,8 @@
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "1 changes, 4 listed"));
   for (int i = 0; i < 20; i++)
     CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "earned")->status, 200);
-  server_set_mode (fleet->installation, DESK, SERVER_MUTE);
-  server_set_mode (fleet->installation, DESK + 1, SERVER_ANSWERS);
+  server_set_mode (fleet->installation, DESK, SERVER_HANGS_ONCE);
+  server_set_mode (fleet->installation, DESK + 1, SERVER_RESPONDS);
   for (int i = 0; i < 4; i++)
     {
       char request[16];
@@ -51,8 +51,8 @@
       CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", request)->status, 200);
       CU_ASSERT (installation_runs_of (fleet->installation, request) <= 2);
     }
-  server_set_mode (fleet->installation, DESK, SERVER_MUTE);
-  server_set_mode (fleet->installation, DESK + 1, SERVER_MUTE);
+  server_set_mode (fleet->installation, DESK, SERVER_HANGS_ONCE);
+  server_set_mode (fleet->installation, DESK + 1, SERVER_HANGS_ONCE);
   CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "o1")->status, 504);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "o1"), 1);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -68,10 +68,10 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, DESK, SERVER_FULL);
+  server_set_mode (fleet->installation, DESK, SERVER_REJECTS);
   CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r1")->status, 503);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "r1"), 0);
-  server_set_mode (fleet->installation, DESK, SERVER_ANSWERS);
+  server_set_mode (fleet->installation, DESK, SERVER_RESPONDS);
   CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r2")->status, 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -85,7 +85,7 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, DESK, SERVER_SPOILS);
+  server_set_mode (fleet->installation, DESK, SERVER_OMITS_SEAL);
   CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r1")->status, 502);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "r1"), 1);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -101,11 +101,11 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, ENGINE, SERVER_BREAKS_OFF);
-  server_set_mode (fleet->installation, ENGINE + 1, SERVER_BREAKS_OFF);
+  server_set_mode (fleet->installation, ENGINE, SERVER_TRUNCATES);
+  server_set_mode (fleet->installation, ENGINE + 1, SERVER_TRUNCATES);
   CU_ASSERT_EQUAL (turn_send (fleet, ctx, 0, "p", "t1", "", 0, "x")->status, 0);
-  server_set_mode (fleet->installation, ENGINE, SERVER_ANSWERS);
-  server_set_mode (fleet->installation, ENGINE + 1, SERVER_ANSWERS);
+  server_set_mode (fleet->installation, ENGINE, SERVER_RESPONDS);
+  server_set_mode (fleet->installation, ENGINE + 1, SERVER_RESPONDS);
   CU_ASSERT_EQUAL (turn_send (fleet, ctx, 0, "p", "t2", "t1", 0, "y")->status, 404);
   CU_ASSERT_EQUAL (turn_send (fleet, ctx, 0, "p", "t3", "", 0, "x")->status, 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -125,7 +125,7 @@
   CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r1")->status, 504);
   CU_ASSERT (atoi (installation_header_of (fleet->installation, ctx, "r1", "X-Deadline-Ms"))
              <= 1500);
-  server_set_mode (fleet->installation, DESK, SERVER_ANSWERS);
+  server_set_mode (fleet->installation, DESK, SERVER_RESPONDS);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
--- a/tests/sessions/test_gateway_streams.c
+++ b/tests/sessions/test_gateway_streams.c
@@ -106,7 +106,7 @@
           ->status,
       200);
   used = server_runs (fleet->installation, ENGINE) > 0 ? ENGINE : ENGINE + 1;
-  server_set_mode (fleet->installation, used, SERVER_BREAKS_OFF);
+  server_set_mode (fleet->installation, used, SERVER_TRUNCATES);
   for (uint32_t i = 0; i < 6; i++)
     {
       char id[16];
@@ -140,7 +140,7 @@
   uint32_t n_failed = CU_get_number_of_failures ();
 
   earn_retries (fleet, ctx);
-  engines_set_mode (fleet, SERVER_BREAKS_OFF);
+  engines_set_mode (fleet, SERVER_TRUNCATES);
   for (uint32_t i = 0; i < 2; i++)
     {
       char id[16];
@@ -236,12 +236,13 @@
       const struct TestRequest request = { i % 2, "/asks/1", "warm", id, 0, NULL, "77:12000,9:10" };
 
       for (uint32_t j = 0; j < N_ENGINES; j++)
-        server_set_mode (fleet->installation, engines[j], j == i ? SERVER_ANSWERS : SERVER_FULL);
+        server_set_mode (fleet->installation, engines[j],
+                         j == i ? SERVER_RESPONDS : SERVER_REJECTS);
       snprintf (id, sizeof id, "warm%u", i);
       CU_ASSERT_EQUAL (send_request (fleet, ctx, &request)->status, 200);
     }
   for (uint32_t j = 0; j < N_ENGINES; j++)
-    server_set_mode (fleet->installation, engines[j], SERVER_ANSWERS);
+    server_set_mode (fleet->installation, engines[j], SERVER_RESPONDS);
 }
 
 /* Returns the engine that has run more requests than runs records, and updates runs. */
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -148,8 +148,8 @@
 static bool
 begin_server (struct Soak *soak, const struct SoakEvent *event)
 {
-  static const enum ServerMode modes[] = { SERVER_FULL, SERVER_LOSES, SERVER_BREAKS_OFF,
-                                           SERVER_SPOILS, SERVER_HANGS };
+  static const enum ServerMode modes[] = { SERVER_REJECTS, SERVER_DROPS_RESPONSE, SERVER_TRUNCATES,
+                                           SERVER_OMITS_SEAL, SERVER_HANGS };
 
   if (!claim (&soak->servers_busy))
     return false;
@@ -237,7 +237,7 @@
       soak->store_busy = false;
       break;
     case SOAK_SERVER:
-      server_set_mode (soak->fleet->installation, event->target % (DESK + 1), SERVER_ANSWERS);
+      server_set_mode (soak->fleet->installation, event->target % (DESK + 1), SERVER_RESPONDS);
       soak->servers_busy = false;
       break;
     case SOAK_CONFIG:
--- a/tests/standins/installation.h
+++ b/tests/standins/installation.h
@@ -27,14 +27,14 @@
 /* How a server handles requests that arrive from now on. */
 enum ServerMode
 {
-  SERVER_ANSWERS,
-  SERVER_FULL,       /* rejects with 503 and X-Not-Executed, without running the request */
-  SERVER_LOSES,      /* runs the request and closes the connection without a response */
-  SERVER_MUTE,       /* runs one request without ever responding, then is SERVER_ANSWERS */
-  SERVER_BREAKS_OFF, /* runs the request; an engine closes within an event in the middle of the
-                        stream, another server without a response */
-  SERVER_SPOILS,     /* responds without X-Response-Seal */
-  SERVER_HANGS       /* runs the request and responds only after the mode has changed */
+  SERVER_RESPONDS,
+  SERVER_REJECTS,        /* rejects with 503 and X-Not-Executed, without running the request */
+  SERVER_DROPS_RESPONSE, /* runs the request and closes the connection without a response */
+  SERVER_HANGS_ONCE,     /* runs one request without ever responding, then is SERVER_RESPONDS */
+  SERVER_TRUNCATES,      /* runs the request; an engine closes within an event in the middle of the
+                             stream, another server without a response */
+  SERVER_OMITS_SEAL,     /* responds without X-Response-Seal */
+  SERVER_HANGS           /* runs the request and responds only after the mode has changed */
 };
 
 struct Installation *
--- a/tests/standins/installation_server.c
+++ b/tests/standins/installation_server.c
@@ -235,23 +235,23 @@
     return reply_not_executed (connection, 421);
   pthread_mutex_lock (&in->lock);
   mode = server->mode;
-  if (mode != SERVER_FULL)
+  if (mode != SERVER_REJECTS)
     run_record (server, connection, request, ((struct RequestBody *)*state)->bytes);
-  if (mode == SERVER_MUTE)
-    server->mode = SERVER_ANSWERS;
+  if (mode == SERVER_HANGS_ONCE)
+    server->mode = SERVER_RESPONDS;
   pthread_mutex_unlock (&in->lock);
-  if (mode == SERVER_MUTE)
+  if (mode == SERVER_HANGS_ONCE)
     installation_wait_end (in);
-  if (mode == SERVER_FULL)
+  if (mode == SERVER_REJECTS)
     return reply_not_executed (connection, 503);
-  if (mode == SERVER_LOSES || (mode == SERVER_BREAKS_OFF && !server->engine))
+  if (mode == SERVER_DROPS_RESPONSE || (mode == SERVER_TRUNCATES && !server->engine))
     return MHD_NO;
   server_wait_while_hanging (server);
   after = (uint32_t)strtoul (request_header (connection, "Last-Event-Id"), NULL, 10);
-  response = server->engine ? stream_response (server, request, after, mode == SERVER_BREAKS_OFF)
+  response = server->engine ? stream_response (server, request, after, mode == SERVER_TRUNCATES)
                             : plain_response (request);
   MHD_add_response_header (response, "X-Request-Id", request);
-  if (mode != SERVER_SPOILS)
+  if (mode != SERVER_OMITS_SEAL)
     MHD_add_response_header (response, "X-Response-Seal", "3e1b.07");
   result = MHD_queue_response (connection, 200, response);
   MHD_destroy_response (response);
