--- a/tests/sessions/test_gateway_path.c
+++ b/tests/sessions/test_gateway_path.c
@@ -246,8 +246,8 @@
   struct HttpReply *reply;
   pid_t pid = fleet->gateways[0].process->pid;
 
-  server_set_pace (fleet->installation, ENGINE, 300);
-  server_set_pace (fleet->installation, ENGINE + 1, 300);
+  server_set_event_interval (fleet->installation, ENGINE, 300);
+  server_set_event_interval (fleet->installation, ENGINE + 1, 300);
   /* Sends the signal while the stream is being forwarded. */
   if (fork () == 0)
     {
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -177,7 +177,7 @@
 static bool
 close_was_seen (void *data)
 {
-  return installation_closes_seen (data) > 0;
+  return installation_client_closes (data) > 0;
 }
 
 /* Guards against an engine that keeps working for a disconnected caller: when a caller closes its
@@ -195,8 +195,8 @@
   char some[64];
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
-  server_set_pace (fleet->installation, ENGINE, 200);
-  server_set_pace (fleet->installation, ENGINE + 1, 200);
+  server_set_event_interval (fleet->installation, ENGINE, 200);
+  server_set_event_interval (fleet->installation, ENGINE + 1, 200);
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   address.sin_port = htons ((uint16_t)atoi (strchr (fleet->gateways[0].caller, ':') + 1));
   CU_ASSERT_EQUAL (connect (fd, (struct sockaddr *)&address, sizeof address), 0);
@@ -258,7 +258,7 @@
   CU_ASSERT_TRUE (fleet_wait_output (fleet, "\"event\":\"store_lost\""));
   installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
   server_set_state (fleet->installation, ENGINE, "draining");
-  installation_forget_history (fleet->installation);
+  installation_compact_history (fleet->installation);
   installation_set_store (fleet->installation, STORE_SERVES);
   CU_ASSERT_TRUE (fleet_wait_output (fleet, "\"event\":\"store_history_gone\""));
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "2 changes, 4 listed"));
@@ -310,8 +310,8 @@
   uint32_t n_failed = CU_get_number_of_failures (), n_queued;
   struct ConcurrentTurn turns[N_TURNS];
 
-  server_set_pace (fleet->installation, ENGINE, 250);
-  server_set_pace (fleet->installation, ENGINE + 1, 250);
+  server_set_event_interval (fleet->installation, ENGINE, 250);
+  server_set_event_interval (fleet->installation, ENGINE + 1, 250);
   for (uint32_t i = 0; i < N_TURNS; i++)
     {
       turns[i] = (struct ConcurrentTurn){ .fleet = fleet, .number = i };
--- a/tests/soak/soak_load.c
+++ b/tests/soak/soak_load.c
@@ -392,9 +392,10 @@
   for (size_t i = 0; i < load->n_not_run; i++)
     if (installation_runs_of (load->fleet->installation, load->not_run[i]) > 0)
       soak_violation (load, "%s was rejected, but ran", load->not_run[i]);
-  if (installation_fullest (load->fleet->installation, "c2", 5000) > SOAK_LIMIT_TOLERATED)
+  if (installation_max_runs_in_window (load->fleet->installation, "c2", 5000)
+      > SOAK_LIMIT_TOLERATED)
     soak_violation (load, "%u requests of c2 ran in 5 s, tolerated are %d",
-                    installation_fullest (load->fleet->installation, "c2", 5000),
+                    installation_max_runs_in_window (load->fleet->installation, "c2", 5000),
                     SOAK_LIMIT_TOLERATED);
   for (uint32_t g = 0; g < load->fleet->n_gateways; g++)
     client_close (&caller->links[g]);
--- a/tests/standins/installation.c
+++ b/tests/standins/installation.c
@@ -169,7 +169,7 @@
 }
 
 void
-installation_forget_history (struct Installation *in)
+installation_compact_history (struct Installation *in)
 {
   pthread_mutex_lock (&in->lock);
   in->compacted_revision = ++in->revision;
@@ -205,7 +205,7 @@
 }
 
 void
-server_set_pace (struct Installation *in, uint32_t server, uint32_t event_ms)
+server_set_event_interval (struct Installation *in, uint32_t server, uint32_t event_ms)
 {
   pthread_mutex_lock (&in->lock);
   in->servers[server].event_ms = event_ms;
@@ -252,7 +252,7 @@
 }
 
 uint32_t
-installation_closes_seen (struct Installation *in)
+installation_client_closes (struct Installation *in)
 {
   uint32_t n;
 
@@ -278,7 +278,7 @@
 }
 
 uint32_t
-installation_fullest (struct Installation *in, const char *customer, int64_t span_ms)
+installation_max_runs_in_window (struct Installation *in, const char *customer, int64_t span_ms)
 {
   char line[96];
   uint32_t n = 0, most = 0;
--- a/tests/standins/installation.h
+++ b/tests/standins/installation.h
@@ -73,7 +73,7 @@
 installation_set_store (struct Installation *installation, enum StoreMode mode);
 /* Compacts the history of the store: a watch from an earlier revision gets 410. */
 void
-installation_forget_history (struct Installation *installation);
+installation_compact_history (struct Installation *installation);
 /* Returns the number of calls that the store has received. */
 uint64_t
 installation_store_calls (struct Installation *installation);
@@ -88,7 +88,7 @@
 server_restart (struct Installation *installation, uint32_t server);
 /* Sets the interval between two events of a stream. */
 void
-server_set_pace (struct Installation *installation, uint32_t server, uint32_t event_ms);
+server_set_event_interval (struct Installation *installation, uint32_t server, uint32_t event_ms);
 
 /* Return how often a request id ran on any server, and how many requests ran on one server. */
 uint32_t
@@ -97,11 +97,13 @@
 server_runs (struct Installation *installation, uint32_t server);
 /* Returns the number of streams whose client closed the connection before their end. */
 uint32_t
-installation_closes_seen (struct Installation *installation);
+installation_client_closes (struct Installation *installation);
 /* Returns the maximum number of requests of a customer that all servers together started within any
  * period of span_ms. */
 uint32_t
-installation_fullest (struct Installation *installation, const char *customer, int64_t span_ms);
+installation_max_runs_in_window (struct Installation *installation,
+                                 const char *customer,
+                                 int64_t span_ms);
 /* Returns the body of the last run of request, allocated on ctx; NULL when it did not run. */
 char *
 installation_body_of (struct Installation *installation, TALLOC_CTX *ctx, const char *request);
