--- a/tests/sessions/test_gateway_archives.c
+++ b/tests/sessions/test_gateway_archives.c
@@ -232,13 +232,13 @@
   uint32_t n_failed = CU_get_number_of_failures ();
 
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t1"), 200);
-  installation_set_store (fleet->installation, STORE_REFUSES);
+  installation_set_store (fleet->installation, STORE_UNAVAILABLE);
   process_kill (fleet->gateways[0].process);
   gateway_start (fleet, 0);
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 0));
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t2"), 200);
   CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "r1")->status, 200);
-  installation_set_store (fleet->installation, STORE_SERVES);
+  installation_set_store (fleet->installation, STORE_RESPONDS);
   installation_configure (fleet->installation, 3, "");
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "version 3,"));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -286,7 +286,7 @@
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t1"), 200);
   event = event_of_last (fleet, ctx, 4);
   sleep_ms (5000); /* more than two periods in which the archives save the state */
-  installation_set_store (fleet->installation, STORE_REFUSES);
+  installation_set_store (fleet->installation, STORE_UNAVAILABLE);
   for (uint32_t i = 0; i < 3; i++)
     process_kill (fleet->archives[i].process);
   for (uint32_t i = 0; i < 2; i++)
@@ -341,7 +341,7 @@
     }
   /* Until the archives have saved the list of processes. */
   sleep_ms (4500);
-  installation_set_store (fleet->installation, STORE_REFUSES);
+  installation_set_store (fleet->installation, STORE_UNAVAILABLE);
   for (uint32_t i = 0; i < 3; i++)
     {
       process_kill (fleet->gateways[i].process);
@@ -374,7 +374,7 @@
 
   before = process_count (fleet->gateways[0].process, "peer_link_silent");
   process_kill (fleet->gateways[0].process);
-  installation_set_store (fleet->installation, STORE_REFUSES);
+  installation_set_store (fleet->installation, STORE_UNAVAILABLE);
   sleep_ms (1000);
   gateway_start (fleet, 0);
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 0));
--- a/tests/sessions/test_gateway_customers.c
+++ b/tests/sessions/test_gateway_customers.c
@@ -212,7 +212,7 @@
       request.id = request.gateway == 0 ? "r2" : "r3";
       CU_ASSERT_EQUAL (send_request (fleet, ctx, &request)->status, 401);
     }
-  installation_set_store (fleet->installation, STORE_SILENT);
+  installation_set_store (fleet->installation, STORE_HANGS);
   process_kill (fleet->gateways[1].process);
   gateway_start (fleet, 1);
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[1].process, "version 5, 4 routes"));
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -254,12 +254,12 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  installation_set_store (fleet->installation, STORE_REFUSES);
+  installation_set_store (fleet->installation, STORE_UNAVAILABLE);
   CU_ASSERT_TRUE (fleet_wait_output (fleet, "\"event\":\"store_lost\""));
   installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
   server_set_state (fleet->installation, ENGINE, "draining");
   installation_compact_history (fleet->installation);
-  installation_set_store (fleet->installation, STORE_SERVES);
+  installation_set_store (fleet->installation, STORE_RESPONDS);
   CU_ASSERT_TRUE (fleet_wait_output (fleet, "\"event\":\"store_history_gone\""));
   CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "2 changes, 4 listed"));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -187,7 +187,7 @@
       if (!claim (&soak->store_busy))
         return false;
       installation_set_store (soak->fleet->installation,
-                              event->variant % 2 == 0 ? STORE_REFUSES : STORE_SILENT);
+                              event->variant % 2 == 0 ? STORE_UNAVAILABLE : STORE_HANGS);
       return true;
     case SOAK_SERVER:
       return begin_server (soak, event);
@@ -233,7 +233,7 @@
       end_link (soak, STORE_PROXY);
       break;
     case SOAK_STORE:
-      installation_set_store (soak->fleet->installation, STORE_SERVES);
+      installation_set_store (soak->fleet->installation, STORE_RESPONDS);
       soak->store_busy = false;
       break;
     case SOAK_SERVER:
--- a/tests/standins/installation.h
+++ b/tests/standins/installation.h
@@ -19,9 +19,9 @@
 
 enum StoreMode
 {
-  STORE_SERVES,
-  STORE_REFUSES, /* responds 503 to every call */
-  STORE_SILENT   /* accepts calls and does not respond */
+  STORE_RESPONDS,
+  STORE_UNAVAILABLE, /* responds 503 to every call */
+  STORE_HANGS        /* accepts calls and does not respond */
 };
 
 /* How a server handles requests that arrive from now on. */
--- a/tests/standins/installation_store.c
+++ b/tests/standins/installation_store.c
@@ -227,9 +227,9 @@
     return result;
   pthread_mutex_lock (&in->lock);
   in->n_store_calls++;
-  while (in->store_mode == STORE_SILENT && !in->ended)
+  while (in->store_mode == STORE_HANGS && !in->ended)
     pthread_cond_wait (&in->changed, &in->lock);
-  if (in->store_mode == STORE_REFUSES)
+  if (in->store_mode == STORE_UNAVAILABLE)
     {
       status = 503;
       reply = json_object ();
