--- a/tests/fakes/fake_kv.c
+++ b/tests/fakes/fake_kv.c
@@ -453,7 +453,7 @@
     case FAKE_KV_REFUSE:
       fake_op_fail (op, ERROR_UNREACHABLE);
       return true;
-    case FAKE_KV_LIMIT:
+    case FAKE_KV_RATE_LIMIT:
       fake_op_fail (op, ERROR_RATE_LIMITED);
       return true;
     case FAKE_KV_LOSE_REQUEST:
@@ -734,7 +734,7 @@
 }
 
 void
-fake_kv_lapse_lease (struct FakeKv *kv, int64_t lease_id)
+fake_kv_expire_lease (struct FakeKv *kv, int64_t lease_id)
 {
   store_revoke (kv->store, lease_id);
 }
--- a/tests/fakes/fake_kv.h
+++ b/tests/fakes/fake_kv.h
@@ -21,7 +21,7 @@
 {
   FAKE_KV_OK,
   FAKE_KV_REFUSE,        /* no effect, ERROR_UNREACHABLE */
-  FAKE_KV_LIMIT,         /* no effect, ERROR_RATE_LIMITED */
+  FAKE_KV_RATE_LIMIT,    /* no effect, ERROR_RATE_LIMITED */
   FAKE_KV_LOSE_REQUEST,  /* no effect, ERROR_UNKNOWN_EFFECT */
   FAKE_KV_LOSE_RESPONSE, /* applied, ERROR_UNKNOWN_EFFECT */
   FAKE_KV_LATE,          /* ERROR_UNKNOWN_EFFECT at once, applied by fake_kv_release */
@@ -85,7 +85,7 @@
 fake_kv_remove (struct FakeKv *kv, const char *key);
 /* Expires a lease early, as if its holder had been paused. */
 void
-fake_kv_lapse_lease (struct FakeKv *kv, int64_t lease_id);
+fake_kv_expire_lease (struct FakeKv *kv, int64_t lease_id);
 
 /* Number of read and write requests that the service has processed, failed ones included. */
 uint64_t
--- a/tests/test_config_log.c
+++ b/tests/test_config_log.c
@@ -294,7 +294,8 @@
 static void
 test_change_is_rejected_while_the_store_is_down (void)
 {
-  static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_LIMIT, FAKE_KV_LOSE_REQUEST };
+  static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_RATE_LIMIT,
+                                             FAKE_KV_LOSE_REQUEST };
 
   for (size_t i = 0; i < 3; i++)
     {
--- a/tests/test_fake_kv.c
+++ b/tests/test_fake_kv.c
@@ -79,7 +79,7 @@
   } cases[] = {
     { FAKE_KV_OK, ERROR_NONE, true },
     { FAKE_KV_REFUSE, ERROR_UNREACHABLE, false },
-    { FAKE_KV_LIMIT, ERROR_RATE_LIMITED, false },
+    { FAKE_KV_RATE_LIMIT, ERROR_RATE_LIMITED, false },
     { FAKE_KV_LOSE_REQUEST, ERROR_UNKNOWN_EFFECT, false },
     { FAKE_KV_LOSE_RESPONSE, ERROR_UNKNOWN_EFFECT, true },
     { FAKE_KV_LATE, ERROR_UNKNOWN_EFFECT, false },
--- a/tests/test_homes_chaos.c
+++ b/tests/test_homes_chaos.c
@@ -292,8 +292,9 @@
 static void
 step_faults (struct World *w)
 {
-  static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_LIMIT, FAKE_KV_LOSE_REQUEST,
-                                             FAKE_KV_LOSE_RESPONSE, FAKE_KV_LATE };
+  static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_RATE_LIMIT,
+                                             FAKE_KV_LOSE_REQUEST, FAKE_KV_LOSE_RESPONSE,
+                                             FAKE_KV_LATE };
   uint32_t dice = pick (w, 100);
 
   if (dice < 10)
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -184,7 +184,8 @@
 static void
 test_outage_removes_no_member (void)
 {
-  static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_LOSE_REQUEST, FAKE_KV_LIMIT };
+  static const enum FakeKvFault faults[] = { FAKE_KV_REFUSE, FAKE_KV_LOSE_REQUEST,
+                                             FAKE_KV_RATE_LIMIT };
 
   for (size_t i = 0; i < 3; i++)
     {
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -185,7 +185,7 @@
   struct Reading reading = { 0 }, again = { 0 };
 
   put_slot (f, 1, SLOT_RECORDS, 1);
-  fake_kv_fault_next (f->kv, KV_OP_RANGE, NULL, FAKE_KV_LIMIT, 2);
+  fake_kv_fault_next (f->kv, KV_OP_RANGE, NULL, FAKE_KV_RATE_LIMIT, 2);
   fake_kv_fault_next (f->kv, KV_OP_PUT, NULL, FAKE_KV_LOSE_RESPONSE, 1);
   seal (f, "new.1", &reading);
   fake_timer_advance (f->timers, LONG_MS);
