--- a/tests/fakes/ctl_run.c
+++ b/tests/fakes/ctl_run.c
@@ -51,7 +51,7 @@
 }
 
 struct CtlRun *
-run_command (const struct FakeReply *replies, CommandFn command, const char *line)
+run_command_line (const struct FakeReply *replies, CommandFn command, const char *line)
 {
   struct CtlRun *r = talloc_zero (NULL, struct CtlRun);
   char *argv[ARGUMENTS_MAX];
@@ -80,11 +80,11 @@
 struct CtlRun *
 run_ctl (const struct FakeReply *replies, const char *line)
 {
-  return run_command (replies, command_ctl, line);
+  return run_command_line (replies, command_ctl, line);
 }
 
 bool
-contains (const char *text, const char *part)
+text_contains (const char *text, const char *part)
 {
   return text != NULL && strstr (text, part) != NULL;
 }
--- a/tests/fakes/ctl_run.h
+++ b/tests/fakes/ctl_run.h
@@ -25,10 +25,10 @@
 /* Runs command with the arguments in line, separated by single spaces; "@" is replaced by the
  * fake's address. Sets USER to asha. */
 struct CtlRun *
-run_command (const struct FakeReply *replies, CommandFn command, const char *line);
+run_command_line (const struct FakeReply *replies, CommandFn command, const char *line);
 struct CtlRun *
 run_ctl (const struct FakeReply *replies, const char *line);
 
 /* Returns false for a NULL text. */
 bool
-contains (const char *text, const char *part);
+text_contains (const char *text, const char *part);
--- a/tests/test_command.c
+++ b/tests/test_command.c
@@ -7,25 +7,25 @@
 {
   static const struct FakeReply replies[] = { { 0, NULL } };
   struct CtlRun *r =
-      run_command (replies, command_check_config,
-                   "check-config " SOURCE_FOLDER "/examples/hiring.ini " SOURCE_FOLDER
-                   "/examples/gateway.ini " SOURCE_FOLDER "/examples/archive.ini " SOURCE_FOLDER
-                   "/examples/alergomeni.ini");
+      run_command_line (replies, command_check_config,
+                        "check-config " SOURCE_FOLDER "/examples/hiring.ini " SOURCE_FOLDER
+                        "/examples/gateway.ini " SOURCE_FOLDER
+                        "/examples/archive.ini " SOURCE_FOLDER "/examples/alergomeni.ini");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
-  CU_ASSERT (contains (r->out, "alergomeni.ini: valid\n"));
-  CU_ASSERT (contains (r->out, "gateway.ini: valid\n"));
-  CU_ASSERT (contains (r->out, "archive.ini: valid\n"));
+  CU_ASSERT (text_contains (r->out, "alergomeni.ini: valid\n"));
+  CU_ASSERT (text_contains (r->out, "gateway.ini: valid\n"));
+  CU_ASSERT (text_contains (r->out, "archive.ini: valid\n"));
   talloc_free (r);
-  r = run_command (replies, command_check_config, "check-config /dev/null /nonexistent.ini");
+  r = run_command_line (replies, command_check_config, "check-config /dev/null /nonexistent.ini");
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_USAGE);
-  CU_ASSERT (contains (r->err, "/dev/null:1: [platform] kv: the key is missing; add it\n"
-                               "/nonexistent.ini:1: No such file"));
+  CU_ASSERT (text_contains (r->err, "/dev/null:1: [platform] kv: the key is missing; add it\n"
+                                    "/nonexistent.ini:1: No such file"));
   talloc_free (r);
-  r = run_command (replies, command_check_config, "check-config");
+  r = run_command_line (replies, command_check_config, "check-config");
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_USAGE);
   talloc_free (r);
-  r = run_command (replies, command_check_config, "check-config --help");
+  r = run_command_line (replies, command_check_config, "check-config --help");
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
   talloc_free (r);
 }
@@ -64,10 +64,10 @@
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      struct CtlRun *r = run_command (replies, run_table, cases[i].line);
+      struct CtlRun *r = run_command_line (replies, run_table, cases[i].line);
 
       CU_ASSERT_EQUAL (r->exit_code, cases[i].exit_code);
-      CU_ASSERT (contains (r->out, cases[i].out));
+      CU_ASSERT (text_contains (r->out, cases[i].out));
       talloc_free (r);
     }
 }
--- a/tests/test_ctl.c
+++ b/tests/test_ctl.c
@@ -115,7 +115,8 @@
   struct CtlRun *r = run_ctl (list, "ctl programs --service menu-agents --limit 1 --operator @");
 
   CU_ASSERT_STRING_EQUAL (r->log, "GET /operator/programs?limit=1&service=menu-agents\n");
-  CU_ASSERT (contains (r->out, "\np-1      -        running") && !contains (r->out, "p-2"));
+  CU_ASSERT (text_contains (r->out, "\np-1      -        running")
+             && !text_contains (r->out, "p-2"));
   talloc_free (r);
   r = run_ctl (one, "ctl programs p-1 --operator @");
   CU_ASSERT_STRING_EQUAL (r->log, "GET /operator/programs/p-1\n");
@@ -134,7 +135,7 @@
   struct CtlRun *r = run_ctl (replies, "ctl --operator " CTL_UNREACHABLE_ADDRESS " backends");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_UNREACHABLE);
-  CU_ASSERT (contains (r->err, "unreachable: " CTL_UNREACHABLE_ADDRESS));
+  CU_ASSERT (text_contains (r->err, "unreachable: " CTL_UNREACHABLE_ADDRESS));
   CU_ASSERT_STRING_EQUAL (r->log, "");
   talloc_free (r);
   r = run_ctl (replies, "ctl --operator " CTL_UNREACHABLE_ADDRESS " --operator @ backends");
@@ -205,7 +206,7 @@
   struct CtlRun *r = run_ctl (replies, "ctl watch --every 1ms --count 3 --operator @");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
-  CU_ASSERT (contains (r->err, "platform_down: no answer; wait"));
+  CU_ASSERT (text_contains (r->err, "platform_down: no answer; wait"));
   CU_ASSERT_STRING_EQUAL (r->log,
                           "GET /operator/status\nGET /operator/status\nGET /operator/status\n");
   talloc_free (r);
@@ -277,7 +278,7 @@
       snprintf (line, sizeof line, "%s --help", commands[i]);
       r = run_ctl (replies, line);
       CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
-      CU_ASSERT (contains (r->out, "Usage: buckthornhead ctl"));
+      CU_ASSERT (text_contains (r->out, "Usage: buckthornhead ctl"));
       talloc_free (r);
       snprintf (line, sizeof line, "%s --version", commands[i]);
       r = run_ctl (replies, line);
--- a/tests/test_ctl_change.c
+++ b/tests/test_ctl_change.c
@@ -15,18 +15,20 @@
   struct CtlRun *r = run_ctl (replies, APPLY " --reason dawn --expect 41 --json");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
-  CU_ASSERT (contains (r->out, "{\"revision\":42,\"change_id\":\""));
-  CU_ASSERT (contains (r->log, "POST /operator/changes {\"kind\":\"profile\",\"name\":\"hiring\","
-                               "\"text\":\"; Hiring agents"));
-  CU_ASSERT (contains (r->log, "\"change_id\":\"ID\",\"who\":\"asha\",\"reason\":\"dawn\","
-                               "\"expected_revision\":41}\n"));
+  CU_ASSERT (text_contains (r->out, "{\"revision\":42,\"change_id\":\""));
+  CU_ASSERT (text_contains (r->log,
+                            "POST /operator/changes {\"kind\":\"profile\",\"name\":\"hiring\","
+                            "\"text\":\"; Hiring agents"));
+  CU_ASSERT (text_contains (r->log, "\"change_id\":\"ID\",\"who\":\"asha\",\"reason\":\"dawn\","
+                                    "\"expected_revision\":41}\n"));
   talloc_free (r);
   r = run_ctl (replies, APPLY);
-  CU_ASSERT (contains (r->log, "\"expected_revision\":0}\n"));
+  CU_ASSERT (text_contains (r->log, "\"expected_revision\":0}\n"));
   CU_ASSERT_STRING_EQUAL (r->out, "profile hiring: revision 42\n");
   talloc_free (r);
   r = run_ctl (replies, APPLY " --expect any --change-id again-7");
-  CU_ASSERT (contains (r->log, "\"change_id\":\"again-7\",\"who\":\"asha\",\"reason\":\"\"}\n"));
+  CU_ASSERT (
+      text_contains (r->log, "\"change_id\":\"again-7\",\"who\":\"asha\",\"reason\":\"\"}\n"));
   talloc_free (r);
 }
 
@@ -53,8 +55,8 @@
   r = run_ctl (applied, line);
   remove (file);
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
-  CU_ASSERT (contains (r->log, "\"text\":\"[profile]\\nname = a\\n\""));
-  CU_ASSERT (contains (r->log, "\"expected_revision\":41}\n"));
+  CU_ASSERT (text_contains (r->log, "\"text\":\"[profile]\\nname = a\\n\""));
+  CU_ASSERT (text_contains (r->log, "\"expected_revision\":41}\n"));
   talloc_free (r);
 }
 
@@ -71,8 +73,8 @@
   struct CtlRun *r = run_ctl (replies, APPLY " --expect 8");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_CONFLICT);
-  CU_ASSERT (contains (r->err, "conflict: revision 9 came first; check it\n"
-                               "what differs:\n- share = 10\n+ share = 20\n"));
+  CU_ASSERT (text_contains (r->err, "conflict: revision 9 came first; check it\n"
+                                    "what differs:\n- share = 10\n+ share = 20\n"));
   talloc_free (r);
 }
 
@@ -108,9 +110,9 @@
   const char *second;
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
-  CU_ASSERT (contains (r->log, "GET /operator/changes/ID\nPOST /operator/changes {"));
+  CU_ASSERT (text_contains (r->log, "GET /operator/changes/ID\nPOST /operator/changes {"));
   second = strstr (r->log, "GET ");
-  CU_ASSERT (contains (second, "\"text\":\"off\",\"change_id\":\"ID\""));
+  CU_ASSERT (text_contains (second, "\"text\":\"off\",\"change_id\":\"ID\""));
   talloc_free (r);
 }
 
@@ -139,7 +141,7 @@
       struct CtlRun *r = run_ctl (scripts[i], "ctl drain entry-4 --settle 0ms --operator @");
 
       CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_EFFECT_UNKNOWN);
-      CU_ASSERT (contains (r->err, "query the result with: buckthornhead ctl change "));
+      CU_ASSERT (text_contains (r->err, "query the result with: buckthornhead ctl change "));
       talloc_free (r);
     }
 }
@@ -183,12 +185,12 @@
   struct CtlRun *r = run_ctl (known, "ctl service set menu-agents --profile hiring --operator @");
 
   CU_ASSERT_EQUAL (r->exit_code, EXIT_CODE_OK);
-  CU_ASSERT (contains (r->log, "GET /operator/services\nPOST /operator/changes {\"kind\":"
-                               "\"service\",\"name\":\"menu-agents\",\"text\":\"hiring\""));
-  CU_ASSERT (contains (r->log, "\"expected_revision\":5}\n"));
+  CU_ASSERT (text_contains (r->log, "GET /operator/services\nPOST /operator/changes {\"kind\":"
+                                    "\"service\",\"name\":\"menu-agents\",\"text\":\"hiring\""));
+  CU_ASSERT (text_contains (r->log, "\"expected_revision\":5}\n"));
   talloc_free (r);
   r = run_ctl (known, "ctl service set kitchen-api --profile menu --operator @");
-  CU_ASSERT (contains (r->log, "\"expected_revision\":0}\n"));
+  CU_ASSERT (text_contains (r->log, "\"expected_revision\":0}\n"));
   talloc_free (r);
 }
 
