--- a/tests/sessions/gateways.c
+++ b/tests/sessions/gateways.c
@@ -231,13 +231,13 @@
 }
 
 struct HttpReply *
-turn_send_until_taken (struct Fleet *fleet,
-                       TALLOC_CTX *ctx,
-                       uint32_t gateway,
-                       const char *program,
-                       const char *turn,
-                       const char *previous,
-                       const char *input)
+turn_send_until_accepted (struct Fleet *fleet,
+                          TALLOC_CTX *ctx,
+                          uint32_t gateway,
+                          const char *program,
+                          const char *turn,
+                          const char *previous,
+                          const char *input)
 {
   int64_t deadline_ms = monotonic_ms () + WAIT_LIMIT_MS;
   struct HttpReply *reply;
@@ -251,7 +251,7 @@
       reply = turn_send (fleet, ctx, gateway, program, id, after, 0, input);
       if ((reply->status != 503 && reply->status != 0) || monotonic_ms () > deadline_ms)
         {
-          snprintf (fleet->last, sizeof fleet->last, "%s", id);
+          snprintf (fleet->last_turn_id, sizeof fleet->last_turn_id, "%s", id);
           return reply;
         }
       sleep_ms (100);
--- a/tests/sessions/gateways.h
+++ b/tests/sessions/gateways.h
@@ -44,8 +44,8 @@
   uint32_t n_gateways, n_archives;
   char store[48];
   uint16_t seed_port; /* first gateway's peer port, the seed of all processes; 0: no seed is set */
-  char last[64];      /* id of the last attempt of turn_send_until_taken */
-  ForwardFn forward;  /* proxy for each peer port and the store; NULL: direct connections */
+  char last_turn_id[64]; /* id of the last attempt of turn_send_until_accepted */
+  ForwardFn forward;     /* proxy for each peer port and the store; NULL: direct connections */
   void *forward_data;
 };
 
@@ -88,13 +88,13 @@
 /* Resends a turn until it is not rejected with 503 any more. Each attempt has its own id; the last
  * one is stored in fleet->last. */
 struct HttpReply *
-turn_send_until_taken (struct Fleet *fleet,
-                       TALLOC_CTX *ctx,
-                       uint32_t gateway,
-                       const char *program,
-                       const char *turn,
-                       const char *previous,
-                       const char *input);
+turn_send_until_accepted (struct Fleet *fleet,
+                          TALLOC_CTX *ctx,
+                          uint32_t gateway,
+                          const char *program,
+                          const char *turn,
+                          const char *previous,
+                          const char *input);
 /* Sends a request to the desk; path is /safe/... or /once/... */
 struct HttpReply *
 desk_send (
--- a/tests/sessions/test_gateway_archives.c
+++ b/tests/sessions/test_gateway_archives.c
@@ -12,7 +12,8 @@
 static uint32_t
 turn_status (struct Fleet *fleet, TALLOC_CTX *ctx, uint32_t gateway, const char *turn)
 {
-  return turn_send_until_taken (fleet, ctx, gateway, "p", turn, fleet->last, "x")->status;
+  return turn_send_until_accepted (fleet, ctx, gateway, "p", turn, fleet->last_turn_id, "x")
+      ->status;
 }
 
 /* Returns the n-th event of the last turn as it appears in the histories of later turns. The turn's
@@ -20,14 +21,14 @@
 static const char *
 event_of_last (const struct Fleet *fleet, TALLOC_CTX *ctx, int n)
 {
-  return talloc_asprintf (ctx, "%s-%d\n", fleet->last, n);
+  return talloc_asprintf (ctx, "%s-%d\n", fleet->last_turn_id, n);
 }
 
 /* Returns whether the engine received text in the body of the last turn. */
 static bool
 history_has (struct Fleet *fleet, TALLOC_CTX *ctx, const char *text)
 {
-  const char *body = installation_body_of (fleet->installation, ctx, fleet->last);
+  const char *body = installation_body_of (fleet->installation, ctx, fleet->last_turn_id);
 
   return body != NULL && strstr (body, text) != NULL;
 }
@@ -57,7 +58,7 @@
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 1, "t2"), 200);
   CU_ASSERT_TRUE (history_has (fleet, ctx, event));
   /* t1 and t2 took 76 tokens each; a reservation of 200 more exceeds the budget of 300. */
-  reply = turn_send (fleet, ctx, 1, "p", "t3", fleet->last, 300, "x");
+  reply = turn_send (fleet, ctx, 1, "p", "t3", fleet->last_turn_id, 300, "x");
   CU_ASSERT_EQUAL (reply->status, 402);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
--- a/tests/sessions/test_gateway_path.c
+++ b/tests/sessions/test_gateway_path.c
@@ -44,12 +44,13 @@
 
       snprintf (turn, sizeof turn, "t%u", i);
       snprintf (input, sizeof input, "<in%u>", i);
-      reply = turn_send_until_taken (fleet, ctx, i % 2, "p", turn, fleet->last, input);
+      reply = turn_send_until_accepted (fleet, ctx, i % 2, "p", turn, fleet->last_turn_id, input);
       CU_ASSERT_EQUAL (reply->status, 200);
-      CU_ASSERT_STRING_EQUAL (reply->text, stream_of (ctx, fleet->last));
+      CU_ASSERT_STRING_EQUAL (reply->text, stream_of (ctx, fleet->last_turn_id));
       body = talloc_asprintf_append (body, "%s", input);
-      CU_ASSERT_STRING_EQUAL (installation_body_of (fleet->installation, ctx, fleet->last), body);
-      body = talloc_asprintf_append (body, "%s", data_of (ctx, fleet->last));
+      CU_ASSERT_STRING_EQUAL (installation_body_of (fleet->installation, ctx, fleet->last_turn_id),
+                              body);
+      body = talloc_asprintf_append (body, "%s", data_of (ctx, fleet->last_turn_id));
     }
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -152,7 +153,7 @@
   uint32_t n_failed = CU_get_number_of_failures ();
   const char *gateway = fleet->gateways[0].metrics;
 
-  CU_ASSERT_EQUAL (turn_send_until_taken (fleet, ctx, 0, "p", "t1", "", "x")->status, 200);
+  CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 0, "p", "t1", "", "x")->status, 200);
   desk_send (fleet, ctx, 0, "/nowhere/1", "r1");
   CU_ASSERT_EQUAL (metric (gateway, "buckthornhead_turns_stored_total"), 1);
   CU_ASSERT_EQUAL (metric (gateway, "buckthornhead_answer_stream_milliseconds_count"), 1);
@@ -259,7 +260,7 @@
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_STRING_EQUAL (reply->text, stream_of (ctx, "t1"));
   CU_ASSERT_TRUE (wait_for (gateway_is_not_ready, &watch));
-  CU_ASSERT_EQUAL (turn_send_until_taken (fleet, ctx, 1, "p", "t2", "t1", "y")->status, 200);
+  CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 1, "p", "t2", "t1", "y")->status, 200);
   CU_ASSERT_TRUE (process_wait (fleet->gateways[0].process));
   CU_ASSERT_EQUAL (fleet->gateways[0].process->exit_status, 0);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -296,7 +297,7 @@
   fleet->seed_port = session_port (fleet->session);
   fleet_start_all (fleet, 3, 3, NULL, NULL);
   CU_ASSERT (count_registered (fleet, ctx) <= 2); /* the seed and the zone's aggregator */
-  CU_ASSERT_EQUAL (turn_send_until_taken (fleet, ctx, 2, "p", "t1", "", "x")->status, 200);
+  CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 2, "p", "t1", "", "x")->status, 200);
   process_kill (fleet->gateways[1].process);
   gateway_start (fleet, 1);
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 1));
@@ -320,7 +321,7 @@
   process_kill (fleet->gateways[2].process);
   gateway_start (fleet, 2);
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 2));
-  CU_ASSERT_EQUAL (turn_send_until_taken (fleet, ctx, 2, "p", "t1", "", "x")->status, 200);
+  CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 2, "p", "t1", "", "x")->status, 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -228,7 +228,7 @@
     CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "beside")->status, 200);
   server_restart (fleet->installation, ENGINE);
   CU_ASSERT_TRUE (process_wait_output (gateway, "\"event\":\"server_restarted\""));
-  CU_ASSERT_EQUAL (turn_send_until_taken (fleet, ctx, 0, "p", "t1", "", "x")->status, 200);
+  CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 0, "p", "t1", "", "x")->status, 200);
   CU_ASSERT (process_count (gateway, "\"event\":\"server_entry_malformed\"") <= 2);
   for (uint32_t i = 0; i < fleet->n_archives; i++)
     CU_ASSERT (process_count (fleet->archives[i].process, "\"event\":\"server_entry_malformed\"")
