--- a/tests/sessions/gateways.c
+++ b/tests/sessions/gateways.c
@@ -117,7 +117,7 @@
 }
 
 void
-archive_wipe (struct Fleet *fleet, uint32_t i)
+archive_delete_data (struct Fleet *fleet, uint32_t i)
 {
   nftw (fleet->archives[i].folder, remove_entry, 8, FTW_DEPTH | FTW_PHYS);
 }
@@ -181,7 +181,7 @@
       gateway_start (fleet, fleet->n_gateways);
     }
   for (uint32_t i = 0; i < n_archives; i++)
-    fleet_require (process_wait_output (fleet->archives[i].process, "generation 3, 3 members"),
+    fleet_require (process_wait_for_output (fleet->archives[i].process, "generation 3, 3 members"),
                    "first set of archives");
   for (uint32_t i = 0; i < n_gateways; i++)
     fleet_require (gateway_wait_ready (fleet, i), "ready gateway");
@@ -287,7 +287,7 @@
 }
 
 bool
-process_wait_output (struct Process *process, const char *text)
+process_wait_for_output (struct Process *process, const char *text)
 {
   struct OutputWanted wanted = { process, text };
 
@@ -307,16 +307,16 @@
   const struct Fleet *fleet = wanted->fleet;
 
   for (uint32_t i = 0; i < fleet->n_gateways; i++)
-    if (process_count (fleet->gateways[i].process, wanted->text) > 0)
+    if (process_count_output (fleet->gateways[i].process, wanted->text) > 0)
       return true;
   for (uint32_t i = 0; i < fleet->n_archives; i++)
-    if (process_count (fleet->archives[i].process, wanted->text) > 0)
+    if (process_count_output (fleet->archives[i].process, wanted->text) > 0)
       return true;
   return false;
 }
 
 bool
-fleet_wait_output (struct Fleet *fleet, const char *text)
+fleet_wait_for_output (struct Fleet *fleet, const char *text)
 {
   struct FleetOutputWanted wanted = { fleet, text };
 
@@ -324,7 +324,7 @@
 }
 
 uint32_t
-process_count (struct Process *process, const char *text)
+process_count_output (struct Process *process, const char *text)
 {
   char *output = process_output (NULL, process);
   uint32_t n = 0;
--- a/tests/sessions/gateways.h
+++ b/tests/sessions/gateways.h
@@ -70,7 +70,7 @@
 archive_start (struct Fleet *fleet, uint32_t i, bool first);
 /* Deletes the archive's data folder, as if its disk had been replaced. */
 void
-archive_wipe (struct Fleet *fleet, uint32_t i);
+archive_delete_data (struct Fleet *fleet, uint32_t i);
 bool
 gateway_wait_ready (struct Fleet *fleet, uint32_t i);
 
@@ -102,11 +102,11 @@
 
 /* Waits until a process's output contains text. */
 bool
-process_wait_output (struct Process *process, const char *text);
+process_wait_for_output (struct Process *process, const char *text);
 /* Waits until the output of any process contains text: which process reads the store for all others
  * depends on their names. */
 bool
-fleet_wait_output (struct Fleet *fleet, const char *text);
+fleet_wait_for_output (struct Fleet *fleet, const char *text);
 /* Returns the number of occurrences of text in the process's output so far. */
 uint32_t
-process_count (struct Process *process, const char *text);
+process_count_output (struct Process *process, const char *text);
--- a/tests/sessions/test_gateway_archives.c
+++ b/tests/sessions/test_gateway_archives.c
@@ -84,9 +84,9 @@
       CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, turn), 200);
       events[i] = event_of_last (fleet, ctx, 1);
       process_kill (a->process);
-      archive_wipe (fleet, i % 3);
+      archive_delete_data (fleet, i % 3);
       archive_start (fleet, i % 3, false);
-      CU_ASSERT_TRUE (process_wait_output (a->process, "archive_complete"));
+      CU_ASSERT_TRUE (process_wait_for_output (a->process, "archive_complete"));
     }
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "last"), 200);
   for (uint32_t i = 0; i < 4; i++)
@@ -138,10 +138,10 @@
   event = event_of_last (fleet, ctx, 1);
   process_kill (fleet->archives[0].process);
   archive_start (fleet, 3, false);
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "generation 6, 3 members"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "generation 6, 3 members"));
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t2"), 200);
   process_kill (fleet->archives[1].process);
-  archive_wipe (fleet, 1);
+  archive_delete_data (fleet, 1);
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t3"), 200);
   CU_ASSERT_TRUE (history_has (fleet, ctx, event));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -162,13 +162,13 @@
   event = event_of_last (fleet, ctx, 1);
   process_kill (fleet->archives[0].process);
   archive_start (fleet, 3, false);
-  CU_ASSERT_TRUE (
-      process_wait_output (fleet->archives[3].process, "generation 4, 3 members, change starting"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->archives[3].process,
+                                           "generation 4, 3 members, change starting"));
   process_kill (fleet->archives[3].process);
   archive_start (fleet, 4, false);
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "generation 7, 3 members"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "generation 7, 3 members"));
   process_kill (fleet->archives[1].process);
-  archive_wipe (fleet, 1);
+  archive_delete_data (fleet, 1);
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t2"), 200);
   CU_ASSERT_TRUE (history_has (fleet, ctx, event));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -211,12 +211,12 @@
                     "{\"duration_s\":10}");
   CU_ASSERT_TRUE (wait_for (key_has, &watch));
   process_kill (fleet->archives[2].process);
-  archive_wipe (fleet, 2);
+  archive_delete_data (fleet, 2);
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t2"), 200);
   process_kill (fleet->archives[0].process);
-  archive_wipe (fleet, 0);
+  archive_delete_data (fleet, 0);
   archive_start (fleet, 0, false);
-  CU_ASSERT_TRUE (process_wait_output (fleet->archives[0].process, "archive_complete"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->archives[0].process, "archive_complete"));
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t3"), 200);
   CU_ASSERT_TRUE (history_has (fleet, ctx, event));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -241,7 +241,7 @@
   CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "r1")->status, 200);
   installation_set_store (fleet->installation, STORE_RESPONDS);
   installation_configure (fleet->installation, 3, "");
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "version 3,"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "version 3,"));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
@@ -260,13 +260,13 @@
 
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t1"), 200);
   process_signal (fleet->archives[0].process, SIGSTOP);
-  CU_ASSERT_TRUE (process_wait_output (gateway, "peer_link_silent"));
+  CU_ASSERT_TRUE (process_wait_for_output (gateway, "peer_link_silent"));
   sleep_ms (2500);
   process_signal (fleet->archives[0].process, SIGCONT);
   sleep_ms (2500);
-  n_silent = process_count (gateway, "peer_link_silent");
+  n_silent = process_count_output (gateway, "peer_link_silent");
   sleep_ms (3000);
-  CU_ASSERT_EQUAL (process_count (gateway, "peer_link_silent"), n_silent);
+  CU_ASSERT_EQUAL (process_count_output (gateway, "peer_link_silent"), n_silent);
   process_kill (fleet->archives[1].process);
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t2"), 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -373,14 +373,14 @@
   struct Fleet *fleet = fleet_start (ctx, 2, 3);
   uint32_t n_failed = CU_get_number_of_failures (), before;
 
-  before = process_count (fleet->gateways[0].process, "peer_link_silent");
+  before = process_count_output (fleet->gateways[0].process, "peer_link_silent");
   process_kill (fleet->gateways[0].process);
   installation_set_store (fleet->installation, STORE_UNAVAILABLE);
   sleep_ms (1000);
   gateway_start (fleet, 0);
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 0));
   sleep_ms (1500);
-  CU_ASSERT_EQUAL (process_count (fleet->gateways[0].process, "peer_link_silent"), before);
+  CU_ASSERT_EQUAL (process_count_output (fleet->gateways[0].process, "peer_link_silent"), before);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
--- a/tests/sessions/test_gateway_customers.c
+++ b/tests/sessions/test_gateway_customers.c
@@ -37,7 +37,7 @@
   installation_configure (fleet->installation, version, public_route);
   snprintf (log_text, sizeof log_text, "version %llu, 4 routes", (unsigned long long)version);
   for (uint32_t i = 0; i < fleet->n_gateways; i++)
-    CU_ASSERT_TRUE (process_wait_output (fleet->gateways[i].process, log_text));
+    CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[i].process, log_text));
 }
 
 static struct Fleet *
@@ -146,9 +146,9 @@
       CU_ASSERT_STRING_EQUAL (installation_header_of (fleet->installation, ctx, id, "X_Tenant"),
                               "");
     }
-  CU_ASSERT_EQUAL (process_count (fleet->gateways[0].process, "-key-"), 0);
+  CU_ASSERT_EQUAL (process_count_output (fleet->gateways[0].process, "-key-"), 0);
   for (uint32_t i = 0; i < 3; i++)
-    CU_ASSERT_EQUAL (process_count (fleet->archives[i].process, "-key-"), 0);
+    CU_ASSERT_EQUAL (process_count_output (fleet->archives[i].process, "-key-"), 0);
   CU_ASSERT_PTR_NULL (
       strstr (http_get (ctx, fleet->gateways[0].metrics, "/metrics")->text, "-key-"));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -215,7 +215,7 @@
   installation_set_store (fleet->installation, STORE_HANGS);
   process_kill (fleet->gateways[1].process);
   gateway_start (fleet, 1);
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[1].process, "version 5, 4 routes"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[1].process, "version 5, 4 routes"));
   request.gateway = 1;
   request.id = "r4";
   CU_ASSERT_EQUAL (send_until_accepted (fleet, ctx, request, id), 401);
@@ -263,7 +263,7 @@
   CU_ASSERT_EQUAL (n_other_failed, 0);
   CU_ASSERT_PTR_NOT_NULL (
       strstr (http_get (ctx, fleet->gateways[0].metrics, "/customers")->text, "\"bela\""));
-  CU_ASSERT (process_count (fleet->gateways[0].process, "customer_over_limit") > 0);
+  CU_ASSERT (process_count_output (fleet->gateways[0].process, "customer_over_limit") > 0);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
--- a/tests/sessions/test_gateway_path.c
+++ b/tests/sessions/test_gateway_path.c
@@ -187,7 +187,7 @@
   installation_configure (fleet->installation, 9, extra);
   for (uint32_t i = 0; i < 3; i++)
     {
-      CU_ASSERT_TRUE (process_wait_output (fleet->gateways[i].process, "version 9, 4 routes"));
+      CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[i].process, "version 9, 4 routes"));
       CU_ASSERT_EQUAL (desk_send (fleet, ctx, i, "/new/1", "r1")->status, 200);
     }
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -38,7 +38,7 @@
   uint32_t n_failed = CU_get_number_of_failures ();
 
   installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "1 changes, 4 listed"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "1 changes, 4 listed"));
   for (int i = 0; i < 20; i++)
     CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "earned")->status, 200);
   server_set_mode (fleet->installation, DESK, SERVER_HANGS_ONCE);
@@ -164,7 +164,7 @@
   uint32_t n_failed = CU_get_number_of_failures (), before;
 
   server_set_state (fleet->installation, ENGINE, "draining");
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "1 changes, 3 listed"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "1 changes, 3 listed"));
   CU_ASSERT_TRUE (wait_for (engine_gets_no_request, &watch));
   before = server_runs (fleet->installation, ENGINE);
   for (int i = 0; i < 20; i++)
@@ -222,18 +222,19 @@
   installation_put (fleet->installation, "servers/torn", "{\"service\":\"desk\",\"addr");
   installation_put (fleet->installation, "servers/odd",
                     "{\"service\":\"desk\",\"address\":\"127.0.0.1:9\",\"slots\":\"many\"}");
-  CU_ASSERT_TRUE (fleet_wait_output (fleet, "servers/torn is not a JSON object"));
-  CU_ASSERT_TRUE (fleet_wait_output (fleet, "servers/odd has no valid availability zone"));
+  CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "servers/torn is not a JSON object"));
+  CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "servers/odd has no valid availability zone"));
   for (int i = 0; i < 20; i++)
     CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "beside")->status, 200);
   server_restart (fleet->installation, ENGINE);
-  CU_ASSERT_TRUE (process_wait_output (gateway, "\"event\":\"server_restarted\""));
+  CU_ASSERT_TRUE (process_wait_for_output (gateway, "\"event\":\"server_restarted\""));
   CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 0, "p", "t1", "", "x")->status, 200);
-  CU_ASSERT (process_count (gateway, "\"event\":\"server_entry_malformed\"") <= 2);
+  CU_ASSERT (process_count_output (gateway, "\"event\":\"server_entry_malformed\"") <= 2);
   for (uint32_t i = 0; i < fleet->n_archives; i++)
-    CU_ASSERT (process_count (fleet->archives[i].process, "\"event\":\"server_entry_malformed\"")
-               <= 2);
-  CU_ASSERT_EQUAL (process_count (gateway, "\"event\":\"server_restarted\""), 1);
+    CU_ASSERT (
+        process_count_output (fleet->archives[i].process, "\"event\":\"server_entry_malformed\"")
+        <= 2);
+  CU_ASSERT_EQUAL (process_count_output (gateway, "\"event\":\"server_restarted\""), 1);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
@@ -255,13 +256,13 @@
   uint32_t n_failed = CU_get_number_of_failures ();
 
   installation_set_store (fleet->installation, STORE_UNAVAILABLE);
-  CU_ASSERT_TRUE (fleet_wait_output (fleet, "\"event\":\"store_lost\""));
+  CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "\"event\":\"store_lost\""));
   installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
   server_set_state (fleet->installation, ENGINE, "draining");
   installation_compact_history (fleet->installation);
   installation_set_store (fleet->installation, STORE_RESPONDS);
-  CU_ASSERT_TRUE (fleet_wait_output (fleet, "\"event\":\"store_history_gone\""));
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "2 changes, 4 listed"));
+  CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "\"event\":\"store_history_gone\""));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "2 changes, 4 listed"));
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
@@ -317,7 +318,7 @@
       turns[i] = (struct ConcurrentTurn){ .fleet = fleet, .number = i };
       pthread_create (&turns[i].thread, NULL, send_turn_until_accepted, &turns[i]);
     }
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "\"event\":\"queued\""));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "\"event\":\"queued\""));
   process_kill (fleet->gateways[1].process);
   process_kill (fleet->gateways[2].process);
   for (uint32_t i = 0; i < N_TURNS; i++)
@@ -328,7 +329,7 @@
       CU_ASSERT_EQUAL (turns[i].status, 200);
       CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, turns[i].id), 1);
     }
-  n_queued = process_count (fleet->gateways[0].process, "\"event\":\"queued\"");
+  n_queued = process_count_output (fleet->gateways[0].process, "\"event\":\"queued\"");
   CU_ASSERT (n_queued >= N_TURNS - 2 * (8 + 1) - 2);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
--- a/tests/sessions/test_gateway_streams.c
+++ b/tests/sessions/test_gateway_streams.c
@@ -25,7 +25,7 @@
 
   installation_configure (fleet->installation, 2, routes);
   for (uint32_t i = 0; i < n_gateways; i++)
-    CU_ASSERT_TRUE (process_wait_output (fleet->gateways[i].process, "version 2, 6 routes"));
+    CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[i].process, "version 2, 6 routes"));
   return fleet;
 }
 
@@ -228,8 +228,8 @@
 warm_all_engines (struct Fleet *fleet, TALLOC_CTX *ctx)
 {
   installation_add (fleet->installation, "engines", true, "a", session_port (fleet->session));
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[0].process, "1 changes, 4 listed"));
-  CU_ASSERT_TRUE (process_wait_output (fleet->gateways[1].process, "1 changes, 4 listed"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "1 changes, 4 listed"));
+  CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[1].process, "1 changes, 4 listed"));
   for (uint32_t i = 0; i < N_ENGINES; i++)
     {
       char id[16];
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -137,7 +137,7 @@
       break;
     case SOAK_ARCHIVE_WIPE:
       process_kill (soak_process (soak, node));
-      archive_wipe (soak->fleet, node - N_GATEWAYS);
+      archive_delete_data (soak->fleet, node - N_GATEWAYS);
       break;
     default:
       process_kill (soak_process (soak, node));
@@ -299,7 +299,7 @@
   installation_set_customers (soak->fleet->installation, soak_customers);
   installation_configure (soak->fleet->installation, ++soak->version, "");
   for (uint32_t i = 0; i < N_GATEWAYS; i++)
-    if (!process_wait_output (soak->fleet->gateways[i].process, "version 2, 3 routes"))
+    if (!process_wait_for_output (soak->fleet->gateways[i].process, "version 2, 3 routes"))
       abort ();
   soak->load.fleet = soak->fleet;
   soak->load.seed = seed;
