--- a/tests/sessions/gateways.c
+++ b/tests/sessions/gateways.c
@@ -16,7 +16,7 @@
 static uint16_t
 forwarded_port (struct Fleet *fleet, uint16_t port)
 {
-  return fleet->forward != NULL ? fleet->forward (fleet->forward_data, port) : port;
+  return fleet->proxy_port != NULL ? fleet->proxy_port (fleet->proxy_data, port) : port;
 }
 
 /* Returns the settings section with the seed; "" if no seed is set. */
@@ -161,12 +161,12 @@
 
 void
 fleet_start_all (
-    struct Fleet *fleet, uint32_t n_gateways, uint32_t n_archives, ForwardFn forward, void *data)
+    struct Fleet *fleet, uint32_t n_gateways, uint32_t n_archives, ProxyPortFn forward, void *data)
 {
   uint16_t store_port = session_port (fleet->session);
 
-  fleet->forward = forward;
-  fleet->forward_data = data;
+  fleet->proxy_port = forward;
+  fleet->proxy_data = data;
   snprintf (fleet->store, sizeof fleet->store, "127.0.0.1:%u", forwarded_port (fleet, store_port));
   fleet->installation = installation_new (fleet, store_port);
   for (uint32_t i = 0; i < N_ENGINES; i++)
--- a/tests/sessions/gateways.h
+++ b/tests/sessions/gateways.h
@@ -33,7 +33,7 @@
 };
 
 /* Returns the port of a proxy that forwards to port target. */
-typedef uint16_t (*ForwardFn) (void *data, uint16_t target);
+typedef uint16_t (*ProxyPortFn) (void *data, uint16_t target);
 
 struct Fleet
 {
@@ -44,9 +44,9 @@
   uint32_t n_gateways, n_archives;
   char store[48];
   uint16_t seed_port; /* first gateway's peer port, the seed of all processes; 0: no seed is set */
-  char last_turn_id[64]; /* id of the last attempt of turn_send_until_accepted */
-  ForwardFn forward;     /* proxy for each peer port and the store; NULL: direct connections */
-  void *forward_data;
+  char last_turn_id[64];  /* id of the last attempt of turn_send_until_accepted */
+  ProxyPortFn proxy_port; /* proxy for each peer port and the store; NULL: direct connections */
+  void *proxy_data;
 };
 
 /* Starts two engines, one desk and the given processes with version 1 of the configuration; waits
@@ -59,7 +59,7 @@
 fleet_new (TALLOC_CTX *ctx);
 void
 fleet_start_all (
-    struct Fleet *fleet, uint32_t n_gateways, uint32_t n_archives, ForwardFn forward, void *data);
+    struct Fleet *fleet, uint32_t n_gateways, uint32_t n_archives, ProxyPortFn forward, void *data);
 void
 fleet_end (struct Fleet *fleet, bool failed);
 
