--- a/tests/sessions/gateways.c
+++ b/tests/sessions/gateways.c
@@ -259,7 +259,7 @@
 }
 
 struct HttpReply *
-desk_send (
+tool_send (
     struct Fleet *fleet, TALLOC_CTX *ctx, uint32_t gateway, const char *path, const char *request)
 {
   char id[96];
--- a/tests/sessions/gateways.h
+++ b/tests/sessions/gateways.h
@@ -9,8 +9,8 @@
 {
   GATEWAYS_MAX = 3,
   ARCHIVES_MAX = 5,
-  ENGINE = 0, /* server numbers, in the order of installation_add */
-  DESK = 2
+  FIRST_ENGINE = 0, /* server numbers, in the order of installation_add */
+  TOOL_SERVER = 2
 };
 
 struct GatewayNode
@@ -97,7 +97,7 @@
                           const char *input);
 /* Sends a request to the desk; path is /safe/... or /once/... */
 struct HttpReply *
-desk_send (
+tool_send (
     struct Fleet *fleet, TALLOC_CTX *ctx, uint32_t gateway, const char *path, const char *request);
 
 /* Waits until a process's output contains text. */
--- a/tests/sessions/test_gateway_archives.c
+++ b/tests/sessions/test_gateway_archives.c
@@ -117,7 +117,7 @@
       CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, turn), 0);
     }
   /* Plain requests need no archive. */
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "r1")->status, 200);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/safe/1", "r1")->status, 200);
   archive_start (fleet, 0, false);
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t2"), 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -238,7 +238,7 @@
   gateway_start (fleet, 0);
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 0));
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t2"), 200);
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "r1")->status, 200);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/safe/1", "r1")->status, 200);
   installation_set_store (fleet->installation, STORE_RESPONDS);
   installation_configure (fleet->installation, 3, "");
   CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "version 3,"));
@@ -299,7 +299,7 @@
   CU_ASSERT_TRUE (gateway_wait_ready (fleet, 0));
   CU_ASSERT_EQUAL (turn_status (fleet, ctx, 0, "t2"), 200);
   CU_ASSERT_TRUE (history_has (fleet, ctx, event));
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "r1")->status, 200);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/safe/1", "r1")->status, 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
@@ -437,16 +437,16 @@
   struct BudgetTurn later = { .fleet = fleet };
   pthread_t thread;
 
-  server_set_mode (fleet->installation, ENGINE, SERVER_HANGS);
-  server_set_mode (fleet->installation, ENGINE + 1, SERVER_HANGS);
+  server_set_mode (fleet->installation, FIRST_ENGINE, SERVER_HANGS);
+  server_set_mode (fleet->installation, FIRST_ENGINE + 1, SERVER_HANGS);
   pthread_create (&thread, NULL, budget_turn, &first);
   CU_ASSERT_TRUE (wait_for (first_turn_runs, fleet->installation));
   for (uint32_t i = 0; i < 3; i++)
     process_kill (fleet->archives[i].process);
   pthread_join (thread, NULL);
   CU_ASSERT_EQUAL (first.status, 504);
-  server_set_mode (fleet->installation, ENGINE, SERVER_RESPONDS);
-  server_set_mode (fleet->installation, ENGINE + 1, SERVER_RESPONDS);
+  server_set_mode (fleet->installation, FIRST_ENGINE, SERVER_RESPONDS);
+  server_set_mode (fleet->installation, FIRST_ENGINE + 1, SERVER_RESPONDS);
   for (uint32_t i = 0; i < 3; i++)
     archive_start (fleet, i, false);
   CU_ASSERT_TRUE (wait_for (budget_allows_a_turn, &later));
--- a/tests/sessions/test_gateway_path.c
+++ b/tests/sessions/test_gateway_path.c
@@ -101,8 +101,8 @@
       if (reply->status != 200 && reply->status != 0)
         CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, turn), 0);
     }
-  n_runs =
-      server_runs (fleet->installation, ENGINE) + server_runs (fleet->installation, ENGINE + 1);
+  n_runs = server_runs (fleet->installation, FIRST_ENGINE)
+           + server_runs (fleet->installation, FIRST_ENGINE + 1);
   CU_ASSERT_EQUAL (n_runs, n_complete + n_broken);
   CU_ASSERT (n_runs * tokens_per_turn <= budget);
   CU_ASSERT_EQUAL (n_rejected, 4);
@@ -123,7 +123,7 @@
 
   CU_ASSERT_EQUAL (reply->status, 404);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "t1"), 0);
-  reply = desk_send (fleet, ctx, 0, "/nowhere/1", "r1");
+  reply = tool_send (fleet, ctx, 0, "/nowhere/1", "r1");
   CU_ASSERT_EQUAL (reply->status, 404);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -154,7 +154,7 @@
   const char *gateway = fleet->gateways[0].metrics;
 
   CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 0, "p", "t1", "", "x")->status, 200);
-  desk_send (fleet, ctx, 0, "/nowhere/1", "r1");
+  tool_send (fleet, ctx, 0, "/nowhere/1", "r1");
   CU_ASSERT_EQUAL (metric (gateway, "buckthornhead_turns_stored_total"), 1);
   CU_ASSERT_EQUAL (metric (gateway, "buckthornhead_answer_stream_milliseconds_count"), 1);
   CU_ASSERT_EQUAL (metric (gateway, "buckthornhead_first_event_milliseconds_count"), 1);
@@ -188,7 +188,7 @@
   for (uint32_t i = 0; i < 3; i++)
     {
       CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[i].process, "version 9, 4 routes"));
-      CU_ASSERT_EQUAL (desk_send (fleet, ctx, i, "/new/1", "r1")->status, 200);
+      CU_ASSERT_EQUAL (tool_send (fleet, ctx, i, "/new/1", "r1")->status, 200);
     }
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -247,8 +247,8 @@
   struct HttpReply *reply;
   pid_t pid = fleet->gateways[0].process->pid;
 
-  server_set_event_interval (fleet->installation, ENGINE, 300);
-  server_set_event_interval (fleet->installation, ENGINE + 1, 300);
+  server_set_event_interval (fleet->installation, FIRST_ENGINE, 300);
+  server_set_event_interval (fleet->installation, FIRST_ENGINE + 1, 300);
   /* Sends the signal while the stream is being forwarded. */
   if (fork () == 0)
     {
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -20,8 +20,8 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, DESK, SERVER_DROPS_RESPONSE);
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r1")->status, 502);
+  server_set_mode (fleet->installation, TOOL_SERVER, SERVER_DROPS_RESPONSE);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/once/1", "r1")->status, 502);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "r1"), 1);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -40,20 +40,20 @@
   installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
   CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "1 changes, 4 listed"));
   for (int i = 0; i < 20; i++)
-    CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "earned")->status, 200);
-  server_set_mode (fleet->installation, DESK, SERVER_HANGS_ONCE);
-  server_set_mode (fleet->installation, DESK + 1, SERVER_RESPONDS);
+    CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/safe/1", "earned")->status, 200);
+  server_set_mode (fleet->installation, TOOL_SERVER, SERVER_HANGS_ONCE);
+  server_set_mode (fleet->installation, TOOL_SERVER + 1, SERVER_RESPONDS);
   for (int i = 0; i < 4; i++)
     {
       char request[16];
 
       snprintf (request, sizeof request, "s%d", i);
-      CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", request)->status, 200);
+      CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/safe/1", request)->status, 200);
       CU_ASSERT (installation_runs_of (fleet->installation, request) <= 2);
     }
-  server_set_mode (fleet->installation, DESK, SERVER_HANGS_ONCE);
-  server_set_mode (fleet->installation, DESK + 1, SERVER_HANGS_ONCE);
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "o1")->status, 504);
+  server_set_mode (fleet->installation, TOOL_SERVER, SERVER_HANGS_ONCE);
+  server_set_mode (fleet->installation, TOOL_SERVER + 1, SERVER_HANGS_ONCE);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/once/1", "o1")->status, 504);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "o1"), 1);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -68,11 +68,11 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, DESK, SERVER_REJECTS);
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r1")->status, 503);
+  server_set_mode (fleet->installation, TOOL_SERVER, SERVER_REJECTS);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/once/1", "r1")->status, 503);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "r1"), 0);
-  server_set_mode (fleet->installation, DESK, SERVER_RESPONDS);
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r2")->status, 200);
+  server_set_mode (fleet->installation, TOOL_SERVER, SERVER_RESPONDS);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/once/1", "r2")->status, 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
@@ -85,8 +85,8 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, DESK, SERVER_OMITS_SEAL);
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r1")->status, 502);
+  server_set_mode (fleet->installation, TOOL_SERVER, SERVER_OMITS_SEAL);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/once/1", "r1")->status, 502);
   CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, "r1"), 1);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
@@ -101,11 +101,11 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, ENGINE, SERVER_TRUNCATES);
-  server_set_mode (fleet->installation, ENGINE + 1, SERVER_TRUNCATES);
+  server_set_mode (fleet->installation, FIRST_ENGINE, SERVER_TRUNCATES);
+  server_set_mode (fleet->installation, FIRST_ENGINE + 1, SERVER_TRUNCATES);
   CU_ASSERT_EQUAL (turn_send (fleet, ctx, 0, "p", "t1", "", 0, "x")->status, 0);
-  server_set_mode (fleet->installation, ENGINE, SERVER_RESPONDS);
-  server_set_mode (fleet->installation, ENGINE + 1, SERVER_RESPONDS);
+  server_set_mode (fleet->installation, FIRST_ENGINE, SERVER_RESPONDS);
+  server_set_mode (fleet->installation, FIRST_ENGINE + 1, SERVER_RESPONDS);
   CU_ASSERT_EQUAL (turn_send (fleet, ctx, 0, "p", "t2", "t1", 0, "y")->status, 404);
   CU_ASSERT_EQUAL (turn_send (fleet, ctx, 0, "p", "t3", "", 0, "x")->status, 200);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
@@ -121,11 +121,11 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  server_set_mode (fleet->installation, DESK, SERVER_HANGS);
-  CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/once/1", "r1")->status, 504);
+  server_set_mode (fleet->installation, TOOL_SERVER, SERVER_HANGS);
+  CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/once/1", "r1")->status, 504);
   CU_ASSERT (atoi (installation_header_of (fleet->installation, ctx, "r1", "X-Deadline-Ms"))
              <= 1500);
-  server_set_mode (fleet->installation, DESK, SERVER_RESPONDS);
+  server_set_mode (fleet->installation, TOOL_SERVER, SERVER_RESPONDS);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
@@ -142,7 +142,7 @@
 engine_gets_no_request (void *data)
 {
   struct DrainWatch *watch = data;
-  uint32_t before = server_runs (watch->fleet->installation, ENGINE);
+  uint32_t before = server_runs (watch->fleet->installation, FIRST_ENGINE);
 
   for (int i = 0; i < 3; i++)
     {
@@ -151,7 +151,7 @@
       snprintf (turn, sizeof turn, "d%u", watch->n++);
       talloc_free (turn_send (watch->fleet, watch->ctx, 0, turn, turn, "", 0, "x"));
     }
-  return server_runs (watch->fleet->installation, ENGINE) == before;
+  return server_runs (watch->fleet->installation, FIRST_ENGINE) == before;
 }
 
 /* A draining engine soon receives no new requests, and none afterwards. */
@@ -163,13 +163,13 @@
   struct DrainWatch watch = { fleet, ctx, 0, 0 };
   uint32_t n_failed = CU_get_number_of_failures (), before;
 
-  server_set_state (fleet->installation, ENGINE, "draining");
+  server_set_state (fleet->installation, FIRST_ENGINE, "draining");
   CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "1 changes, 3 listed"));
   CU_ASSERT_TRUE (wait_for (engine_gets_no_request, &watch));
-  before = server_runs (fleet->installation, ENGINE);
+  before = server_runs (fleet->installation, FIRST_ENGINE);
   for (int i = 0; i < 20; i++)
     engine_gets_no_request (&watch);
-  CU_ASSERT_EQUAL (server_runs (fleet->installation, ENGINE), before);
+  CU_ASSERT_EQUAL (server_runs (fleet->installation, FIRST_ENGINE), before);
   fleet_end (fleet, CU_get_number_of_failures () > n_failed);
   talloc_free (ctx);
 }
@@ -195,8 +195,8 @@
   char some[64];
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
-  server_set_event_interval (fleet->installation, ENGINE, 200);
-  server_set_event_interval (fleet->installation, ENGINE + 1, 200);
+  server_set_event_interval (fleet->installation, FIRST_ENGINE, 200);
+  server_set_event_interval (fleet->installation, FIRST_ENGINE + 1, 200);
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   address.sin_port = htons ((uint16_t)atoi (strchr (fleet->gateways[0].caller, ':') + 1));
   CU_ASSERT_EQUAL (connect (fd, (struct sockaddr *)&address, sizeof address), 0);
@@ -225,8 +225,8 @@
   CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "servers/torn is not a JSON object"));
   CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "servers/odd has no valid availability zone"));
   for (int i = 0; i < 20; i++)
-    CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "beside")->status, 200);
-  server_restart (fleet->installation, ENGINE);
+    CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/safe/1", "beside")->status, 200);
+  server_restart (fleet->installation, FIRST_ENGINE);
   CU_ASSERT_TRUE (process_wait_for_output (gateway, "\"event\":\"server_restarted\""));
   CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 0, "p", "t1", "", "x")->status, 200);
   CU_ASSERT (process_count_output (gateway, "\"event\":\"server_entry_malformed\"") <= 2);
@@ -258,7 +258,7 @@
   installation_set_store (fleet->installation, STORE_UNAVAILABLE);
   CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "\"event\":\"store_lost\""));
   installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
-  server_set_state (fleet->installation, ENGINE, "draining");
+  server_set_state (fleet->installation, FIRST_ENGINE, "draining");
   installation_compact_history (fleet->installation);
   installation_set_store (fleet->installation, STORE_RESPONDS);
   CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "\"event\":\"store_history_gone\""));
@@ -311,8 +311,8 @@
   uint32_t n_failed = CU_get_number_of_failures (), n_queued;
   struct ConcurrentTurn turns[N_TURNS];
 
-  server_set_event_interval (fleet->installation, ENGINE, 250);
-  server_set_event_interval (fleet->installation, ENGINE + 1, 250);
+  server_set_event_interval (fleet->installation, FIRST_ENGINE, 250);
+  server_set_event_interval (fleet->installation, FIRST_ENGINE + 1, 250);
   for (uint32_t i = 0; i < N_TURNS; i++)
     {
       turns[i] = (struct ConcurrentTurn){ .fleet = fleet, .number = i };
--- a/tests/sessions/test_gateway_streams.c
+++ b/tests/sessions/test_gateway_streams.c
@@ -80,14 +80,14 @@
 earn_retries (struct Fleet *fleet, TALLOC_CTX *ctx)
 {
   for (int i = 0; i < 30; i++)
-    CU_ASSERT_EQUAL (desk_send (fleet, ctx, 0, "/safe/1", "earned")->status, 200);
+    CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/safe/1", "earned")->status, 200);
 }
 
 static void
 engines_set_mode (struct Fleet *fleet, enum ServerMode mode)
 {
-  server_set_mode (fleet->installation, ENGINE, mode);
-  server_set_mode (fleet->installation, ENGINE + 1, mode);
+  server_set_mode (fleet->installation, FIRST_ENGINE, mode);
+  server_set_mode (fleet->installation, FIRST_ENGINE + 1, mode);
 }
 
 /* An engine fails in the middle of the third event. The stream resumes at the other engine after
@@ -105,7 +105,7 @@
       send_request (fleet, ctx, &(struct TestRequest){ 0, "/asks/1", "p", "first", 0, NULL, NULL })
           ->status,
       200);
-  used = server_runs (fleet->installation, ENGINE) > 0 ? ENGINE : ENGINE + 1;
+  used = server_runs (fleet->installation, FIRST_ENGINE) > 0 ? FIRST_ENGINE : FIRST_ENGINE + 1;
   server_set_mode (fleet->installation, used, SERVER_TRUNCATES);
   for (uint32_t i = 0; i < 6; i++)
     {
@@ -203,8 +203,8 @@
       if (reply->status == 402)
         CU_ASSERT_EQUAL (installation_runs_of (fleet->installation, id), 0);
     }
-  n_runs =
-      server_runs (fleet->installation, ENGINE) + server_runs (fleet->installation, ENGINE + 1);
+  n_runs = server_runs (fleet->installation, FIRST_ENGINE)
+           + server_runs (fleet->installation, FIRST_ENGINE + 1);
   CU_ASSERT (n_runs >= 2);
   CU_ASSERT (n_runs * tokens_per_turn <= budget);
   CU_ASSERT_EQUAL (n_rejected, 4);
@@ -220,7 +220,7 @@
 };
 
 /* Server numbers of the engines: a third one is added to the two of every fleet. */
-static const uint32_t engines[N_ENGINES] = { ENGINE, ENGINE + 1, DESK + 1 };
+static const uint32_t engines[N_ENGINES] = { FIRST_ENGINE, FIRST_ENGINE + 1, TOOL_SERVER + 1 };
 
 /* Lets every engine read the prompt part that all sessions share, so that a cached copy of it draws
  * no session to one engine. */
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -153,7 +153,7 @@
 
   if (!claim (&soak->servers_busy))
     return false;
-  server_set_mode (soak->fleet->installation, event->target % (DESK + 1),
+  server_set_mode (soak->fleet->installation, event->target % (TOOL_SERVER + 1),
                    modes[event->variant % (sizeof modes / sizeof modes[0])]);
   return true;
 }
@@ -237,7 +237,8 @@
       soak->store_busy = false;
       break;
     case SOAK_SERVER:
-      server_set_mode (soak->fleet->installation, event->target % (DESK + 1), SERVER_RESPONDS);
+      server_set_mode (soak->fleet->installation, event->target % (TOOL_SERVER + 1),
+                       SERVER_RESPONDS);
       soak->servers_busy = false;
       break;
     case SOAK_CONFIG:
