--- a/tests/sessions/cluster.c
+++ b/tests/sessions/cluster.c
@@ -26,7 +26,8 @@
 node_init (struct Session *session, struct ClusterNode *node, const char *kind, uint32_t number)
 {
   snprintf (node->name, sizeof node->name, "%s-%u", kind, number);
-  snprintf (node->address, sizeof node->address, "127.0.0.1:%u", (unsigned)session_port (session));
+  snprintf (node->address, sizeof node->address, "127.0.0.1:%u",
+            (unsigned)session_allocate_port (session));
 }
 
 static bool
@@ -36,7 +37,7 @@
   const char *argv[] = { standin_path (), "platform", "--listen", node->address, NULL };
 
   node->process = session_start (cluster->session, node->name, argv);
-  return node->process != NULL && wait_for_answer (node->address, "/instances");
+  return node->process != NULL && wait_for_response (node->address, "/instances");
 }
 
 bool
@@ -58,7 +59,7 @@
                          NULL };
 
   node->process = session_start (cluster->session, node->name, argv);
-  return node->process != NULL && wait_for_answer (node->address, "/load");
+  return node->process != NULL && wait_for_response (node->address, "/load");
 }
 
 static bool
@@ -69,7 +70,7 @@
                          cluster->options.tool, NULL };
 
   node->process = session_start (cluster->session, node->name, argv);
-  return node->process != NULL && wait_for_answer (node->address, "/counts");
+  return node->process != NULL && wait_for_response (node->address, "/counts");
 }
 
 static char *
@@ -112,8 +113,8 @@
       "[platform]\nkv = http://%s\ninstances = http://%s/instances\n\n"
       "[homes]\npartitions = %d\ngroup_size = 4\nlease = %s\n\n",
       node->name, zones[i % N_ZONES], settings_data_folder (cluster, i), node->address,
-      node->operator_address, (unsigned)session_port (cluster->session), cluster->platform.address,
-      cluster->platform.address, N_PARTITIONS, cluster->options.lease);
+      node->operator_address, (unsigned)session_allocate_port (cluster->session),
+      cluster->platform.address, cluster->platform.address, N_PARTITIONS, cluster->options.lease);
   char *file = talloc_asprintf (cluster, "%s.ini", node->name);
 
   text = settings_backends (cluster, text);
@@ -128,7 +129,7 @@
   const char *argv[] = { daemon_path (), "serve", "--config", node->file, NULL };
 
   node->process = session_start (cluster->session, node->name, argv);
-  return node->process != NULL && wait_for_answer (node->address, "/v1/connect");
+  return node->process != NULL && wait_for_response (node->address, "/v1/connect");
 }
 
 static bool
@@ -166,7 +167,7 @@
 
       node_init (session, node, "entry", i + 1);
       snprintf (node->operator_address, sizeof node->operator_address, "127.0.0.1:%u",
-                (unsigned)session_port (session));
+                (unsigned)session_allocate_port (session));
     }
 }
 
@@ -222,7 +223,7 @@
       struct HttpReply *reply;
       const char *first;
 
-      if (!process_is_alive (cluster->instances[i].process))
+      if (!process_is_running (cluster->instances[i].process))
         continue;
       reply = http_get (NULL, cluster->instances[i].address, path);
       first = json_string_value (json_array_get (json_object_get (reply->json, "addresses"), 0));
--- a/tests/sessions/gateways.c
+++ b/tests/sessions/gateways.c
@@ -39,15 +39,18 @@
   uint16_t peer_port;
 
   snprintf (gateway->name, sizeof gateway->name, "front-%u", i + 1);
-  snprintf (gateway->caller, sizeof gateway->caller, "127.0.0.1:%u", session_port (fleet->session));
-  snprintf (gateway->ready, sizeof gateway->ready, "127.0.0.1:%u", session_port (fleet->session));
+  snprintf (gateway->caller, sizeof gateway->caller, "127.0.0.1:%u",
+            session_allocate_port (fleet->session));
+  snprintf (gateway->ready, sizeof gateway->ready, "127.0.0.1:%u",
+            session_allocate_port (fleet->session));
   snprintf (gateway->directory, sizeof gateway->directory, "127.0.0.1:%u",
-            session_port (fleet->session));
-  peer_port = i == 0 && fleet->seed_port != 0 ? fleet->seed_port : session_port (fleet->session);
+            session_allocate_port (fleet->session));
+  peer_port =
+      i == 0 && fleet->seed_port != 0 ? fleet->seed_port : session_allocate_port (fleet->session);
   snprintf (gateway->peer, sizeof gateway->peer, "127.0.0.1:%u", peer_port);
   gateway->announced_port = forwarded_port (fleet, peer_port);
   snprintf (gateway->metrics, sizeof gateway->metrics, "127.0.0.1:%u",
-            session_port (fleet->session));
+            session_allocate_port (fleet->session));
   snprintf (text, sizeof text,
             "[instance]\nname = %s\nzone = a\n[listen]\ncaller = %s\nready = %s\n"
             "directory = %s\npeer = %s\nannounce = 127.0.0.1:%u\nmetrics = %s\n[platform]\nstore = "
@@ -72,10 +75,10 @@
             i + 1);
   if (archive->peer_port == 0)
     {
-      archive->peer_port = session_port (fleet->session);
+      archive->peer_port = session_allocate_port (fleet->session);
       archive->announced_port = forwarded_port (fleet, archive->peer_port);
       snprintf (archive->metrics, sizeof archive->metrics, "127.0.0.1:%u",
-                session_port (fleet->session));
+                session_allocate_port (fleet->session));
     }
   snprintf (text, sizeof text,
             "[instance]\nname = %s\nzone = a\ndata_folder = %s\n[listen]\n"
@@ -163,15 +166,17 @@
 fleet_start_all (
     struct Fleet *fleet, uint32_t n_gateways, uint32_t n_archives, ProxyPortFn forward, void *data)
 {
-  uint16_t store_port = session_port (fleet->session);
+  uint16_t store_port = session_allocate_port (fleet->session);
 
   fleet->proxy_port = forward;
   fleet->proxy_data = data;
   snprintf (fleet->store, sizeof fleet->store, "127.0.0.1:%u", forwarded_port (fleet, store_port));
   fleet->installation = installation_new (fleet, store_port);
   for (uint32_t i = 0; i < N_ENGINES; i++)
-    installation_add (fleet->installation, "engines", true, "a", session_port (fleet->session));
-  installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
+    installation_add (fleet->installation, "engines", true, "a",
+                      session_allocate_port (fleet->session));
+  installation_add (fleet->installation, "desk", false, "a",
+                    session_allocate_port (fleet->session));
   installation_configure (fleet->installation, 1, "");
   for (fleet->n_archives = 0; fleet->n_archives < n_archives; fleet->n_archives++)
     archive_start (fleet, fleet->n_archives, true);
--- a/tests/sessions/harness.c
+++ b/tests/sessions/harness.c
@@ -137,7 +137,7 @@
 }
 
 uint16_t
-session_port (struct Session *session)
+session_allocate_port (struct Session *session)
 {
   while (session->next_port < session->last_port)
     {
@@ -208,7 +208,7 @@
 }
 
 bool
-process_is_alive (struct Process *process)
+process_is_running (struct Process *process)
 {
   int status;
 
@@ -224,13 +224,13 @@
 bool
 process_signal (struct Process *process, int signal_number)
 {
-  return process_is_alive (process) && kill (process->pid, signal_number) == 0;
+  return process_is_running (process) && kill (process->pid, signal_number) == 0;
 }
 
 static bool
 process_has_exited (void *data)
 {
-  return !process_is_alive (data);
+  return !process_is_running (data);
 }
 
 bool
@@ -361,7 +361,7 @@
 }
 
 bool
-http_control (const char *address, const char *json)
+standin_control (const char *address, const char *json)
 {
   struct HttpReply *reply = http_send (NULL, "POST", address, "/control", NULL, json);
   bool done = reply->status == 200;
@@ -401,7 +401,7 @@
 }
 
 bool
-wait_for_answer (const char *address, const char *path)
+wait_for_response (const char *address, const char *path)
 {
   struct ResponseWanted wanted = { address, path };
 
--- a/tests/sessions/harness.h
+++ b/tests/sessions/harness.h
@@ -44,7 +44,7 @@
 session_folder (const struct Session *session);
 /* Returns a port of 127.0.0.1 that no other session uses. */
 uint16_t
-session_port (struct Session *session);
+session_allocate_port (struct Session *session);
 /* Writes text to a file in the session's folder and returns its path. */
 const char *
 session_write_file (struct Session *session, const char *name, const char *text);
@@ -53,7 +53,7 @@
 struct Process *
 session_start (struct Session *session, const char *name, const char *const argv[]);
 bool
-process_is_alive (struct Process *process);
+process_is_running (struct Process *process);
 /* Returns false if the process has already exited. */
 bool
 process_signal (struct Process *process, int signal_number);
@@ -95,7 +95,7 @@
 http_get (TALLOC_CTX *ctx, const char *address, const char *path);
 /* Sends POST /control to a stand-in. */
 bool
-http_control (const char *address, const char *json);
+standin_control (const char *address, const char *json);
 
 typedef bool (*ConditionFn) (void *data);
 
@@ -103,7 +103,7 @@
 bool
 wait_for (ConditionFn condition, void *data);
 bool
-wait_for_answer (const char *address, const char *path);
+wait_for_response (const char *address, const char *path);
 void
 sleep_ms (uint32_t ms);
 int64_t
--- a/tests/sessions/test_at_most_once.c
+++ b/tests/sessions/test_at_most_once.c
@@ -40,7 +40,7 @@
   struct HttpReply *reply;
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "closes"));
-  CU_ASSERT_TRUE (http_control (cluster->tools[0].address, "{\"close_after_run\":1}"));
+  CU_ASSERT_TRUE (standin_control (cluster->tools[0].address, "{\"close_after_run\":1}"));
   reply = call_send (cluster, &call);
   CU_ASSERT_STRING_EQUAL (reply_ran (reply), "may_have_run");
   for (uint32_t i = 0; i < cluster->options.n_instances; i++)
@@ -71,7 +71,7 @@
   struct CallThread threads[N_SENDS];
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "at-once"));
-  CU_ASSERT_TRUE (http_control (cluster->tools[0].address, "{\"delay_ms\":300}"));
+  CU_ASSERT_TRUE (standin_control (cluster->tools[0].address, "{\"delay_ms\":300}"));
   for (uint32_t i = 0; i < N_SENDS; i++)
     {
       call.address = cluster->instances[i % cluster->options.n_instances].address;
@@ -103,7 +103,7 @@
   int32_t home;
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "killed"));
-  CU_ASSERT_TRUE (http_control (cluster->tools[0].address, "{\"delay_ms\":1000}"));
+  CU_ASSERT_TRUE (standin_control (cluster->tools[0].address, "{\"delay_ms\":1000}"));
   home = cluster_home (cluster, "killed");
   CU_ASSERT_TRUE_FATAL (home >= 0);
   call.address = cluster->instances[home].address;
--- a/tests/sessions/test_budget.c
+++ b/tests/sessions/test_budget.c
@@ -39,7 +39,7 @@
   uint32_t running = 0;
   struct HttpReply *reply;
 
-  while (!process_is_alive (cluster->instances[running].process))
+  while (!process_is_running (cluster->instances[running].process))
     running++;
   reply = http_get (cluster, cluster->instances[running].address, path);
   CU_ASSERT_EQUAL (reply->status, 200);
--- a/tests/sessions/test_configuration.c
+++ b/tests/sessions/test_configuration.c
@@ -141,7 +141,7 @@
   struct Change change = { .cluster = cluster, .change_id = "c1", .who = "ivo", .text = share_1 };
   struct RevisionWanted wanted = { cluster, 1 };
 
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"lose_answers\":1}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"lose_answers\":1}"));
   CU_ASSERT_EQUAL (change_send_status (&change), 200);
   change.instance = 1;
   CU_ASSERT_EQUAL (change_send_status (&change), 200);
@@ -161,7 +161,7 @@
 
   CU_ASSERT_EQUAL (change_send_status (&change), 200);
   CU_ASSERT_TRUE (wait_for (in_force_everywhere, &wanted));
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
   change.change_id = "c2";
   change.text = share_2;
   change.expected_revision = 1;
@@ -169,7 +169,7 @@
   process_kill (cluster->instances[2].process);
   CU_ASSERT_TRUE (cluster_start_instance (cluster, 2));
   CU_ASSERT_TRUE (wait_for (in_force_everywhere, &wanted));
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":null}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"down\":null}"));
   CU_ASSERT_EQUAL (audit_length (cluster, 0), 1);
   change.change_id = "c3";
   CU_ASSERT_EQUAL (change_send_status (&change), 200);
--- a/tests/sessions/test_crashing_request.c
+++ b/tests/sessions/test_crashing_request.c
@@ -16,7 +16,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < cluster->options.n_engines; i++)
-    n += process_is_alive (cluster->engines[i].process);
+    n += process_is_running (cluster->engines[i].process);
   return n;
 }
 
@@ -34,7 +34,7 @@
   struct HttpReply *reply;
 
   for (uint32_t i = 0; i < cluster->options.n_engines; i++)
-    CU_ASSERT_TRUE (http_control (cluster->engines[i].address, "{\"crash_on\":\"poison\"}"));
+    CU_ASSERT_TRUE (standin_control (cluster->engines[i].address, "{\"crash_on\":\"poison\"}"));
   CU_ASSERT_TRUE (create_program (cluster, 0, "poison-0"));
   reply = call_send_until_final (cluster, &call);
   CU_ASSERT_STRING_EQUAL (reply_error_kind (reply), "quarantined");
--- a/tests/sessions/test_gateway_path.c
+++ b/tests/sessions/test_gateway_path.c
@@ -294,7 +294,7 @@
   struct Fleet *fleet = fleet_new (ctx);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  fleet->seed_port = session_port (fleet->session);
+  fleet->seed_port = session_allocate_port (fleet->session);
   fleet_start_all (fleet, 3, 3, NULL, NULL);
   CU_ASSERT (count_registered (fleet, ctx) <= 2); /* the seed and the zone's aggregator */
   CU_ASSERT_EQUAL (turn_send_until_accepted (fleet, ctx, 2, "p", "t1", "", "x")->status, 200);
@@ -315,7 +315,7 @@
   struct Fleet *fleet = fleet_new (ctx);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  fleet->seed_port = session_port (fleet->session);
+  fleet->seed_port = session_allocate_port (fleet->session);
   fleet_start_all (fleet, 3, 3, NULL, NULL);
   process_kill (fleet->gateways[0].process);
   process_kill (fleet->gateways[2].process);
--- a/tests/sessions/test_gateway_servers.c
+++ b/tests/sessions/test_gateway_servers.c
@@ -37,7 +37,8 @@
   struct Fleet *fleet = fleet_start (ctx, 1, 3);
   uint32_t n_failed = CU_get_number_of_failures ();
 
-  installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
+  installation_add (fleet->installation, "desk", false, "a",
+                    session_allocate_port (fleet->session));
   CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "1 changes, 4 listed"));
   for (int i = 0; i < 20; i++)
     CU_ASSERT_EQUAL (tool_send (fleet, ctx, 0, "/safe/1", "earned")->status, 200);
@@ -257,7 +258,8 @@
 
   installation_set_store (fleet->installation, STORE_UNAVAILABLE);
   CU_ASSERT_TRUE (fleet_wait_for_output (fleet, "\"event\":\"store_lost\""));
-  installation_add (fleet->installation, "desk", false, "a", session_port (fleet->session));
+  installation_add (fleet->installation, "desk", false, "a",
+                    session_allocate_port (fleet->session));
   server_set_state (fleet->installation, FIRST_ENGINE, "draining");
   installation_compact_history (fleet->installation);
   installation_set_store (fleet->installation, STORE_RESPONDS);
--- a/tests/sessions/test_gateway_streams.c
+++ b/tests/sessions/test_gateway_streams.c
@@ -227,7 +227,8 @@
 static void
 warm_all_engines (struct Fleet *fleet, TALLOC_CTX *ctx)
 {
-  installation_add (fleet->installation, "engines", true, "a", session_port (fleet->session));
+  installation_add (fleet->installation, "engines", true, "a",
+                    session_allocate_port (fleet->session));
   CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[0].process, "1 changes, 4 listed"));
   CU_ASSERT_TRUE (process_wait_for_output (fleet->gateways[1].process, "1 changes, 4 listed"));
   for (uint32_t i = 0; i < N_ENGINES; i++)
--- a/tests/sessions/test_hanging_tool.c
+++ b/tests/sessions/test_hanging_tool.c
@@ -70,8 +70,8 @@
 static void
 tool_set_hanging (struct Cluster *cluster, bool hanging)
 {
-  CU_ASSERT_TRUE (
-      http_control (cluster->tools[0].address, hanging ? "{\"hang\":true}" : "{\"hang\":false}"));
+  CU_ASSERT_TRUE (standin_control (cluster->tools[0].address,
+                                   hanging ? "{\"hang\":true}" : "{\"hang\":false}"));
 }
 
 static struct TestCall
--- a/tests/sessions/test_leaving_server.c
+++ b/tests/sessions/test_leaving_server.c
@@ -126,7 +126,7 @@
   struct Load *load = load_new (cluster);
 
   load_run_batch (load);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
   CU_ASSERT_TRUE (cluster_set_engine_leaving (cluster, LEAVING));
   assert_no_new_work (load);
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
--- a/tests/sessions/test_long_outage.c
+++ b/tests/sessions/test_long_outage.c
@@ -78,7 +78,7 @@
   char *json = mode != NULL ? talloc_asprintf (cluster, "{\"down\":{\"mode\":\"%s\"}}", mode)
                             : talloc_strdup (cluster, "{\"down\":null}");
 
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, json));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, json));
 }
 
 /* All leases expire while the service is down or hangs. When it is back, no instance may treat
--- a/tests/sessions/test_operators.c
+++ b/tests/sessions/test_operators.c
@@ -227,7 +227,7 @@
         process_signal (restarted->process, SIGTERM);
       else
         CU_ASSERT_TRUE (cluster_start_instance (cluster, 2));
-      while (monotonic_ms () < end_ms || (i % 2 == 0 && process_is_alive (restarted->process)))
+      while (monotonic_ms () < end_ms || (i % 2 == 0 && process_is_running (restarted->process)))
         {
           struct HttpReply *reply =
               http_get (NULL, cluster->instances[0].operator_address, "/operator/programs");
@@ -292,13 +292,13 @@
 
   /* An instance that has not joined yet is missing in every instance's status. */
   CU_ASSERT_TRUE (wait_for (all_have_joined, cluster));
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
   CU_ASSERT_TRUE (wait_for (status_shows_platform_down, cluster));
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "profile apply " SOURCE_FOLDER "/examples/menu.ini"),
                    EXIT_CODE_FAILED);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":null}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"down\":null}"));
   CU_ASSERT_TRUE (wait_for (profile_is_accepted, cluster));
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"lose_answers\":2}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"lose_answers\":2}"));
   CU_ASSERT_EQUAL (ctl_exit (cluster, 0, "service set hiring-agents --profile hiring --settle 30s"),
                    EXIT_CODE_OK);
   ctl = ctl_run (cluster, 0, "audit --json");
--- a/tests/sessions/test_outage.c
+++ b/tests/sessions/test_outage.c
@@ -46,7 +46,7 @@
   struct HttpReply *reply;
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "wage"));
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, platform_down));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, platform_down));
   reply = call_send (cluster, &call);
   CU_ASSERT_NOT_EQUAL (reply->status, 200);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 0);
@@ -54,7 +54,7 @@
   reply = call_send (cluster, &call);
   CU_ASSERT_PTR_NOT_NULL (
       json_object_get (json_object_get (reply->json, "error"), "retry_after_ms"));
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, platform_up));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, platform_up));
   reply = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (reply->status, 200);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 1);
@@ -84,12 +84,12 @@
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "review"));
   CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, platform_down));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, platform_down));
   call = engine_call (cluster, "review", 2, "two");
   CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   call = engine_call (cluster, "review", 3, "three");
   CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, platform_up));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, platform_up));
   call = engine_call (cluster, "review", 4, "four");
   CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
   home = cluster_home (cluster, "review");
@@ -116,14 +116,14 @@
 
   CU_ASSERT_TRUE (create_program (cluster, 0, "orphaned"));
   CU_ASSERT_EQUAL (call_send_until_final (cluster, &call)->status, 200);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, platform_down));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, platform_down));
   call = engine_call (cluster, "orphaned", 2, "two");
   answered = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (answered->status, 200);
   home = cluster_home (cluster, "orphaned");
   CU_ASSERT_TRUE_FATAL (home >= 0);
   process_kill (cluster->instances[home].process);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, platform_up));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, platform_up));
   again = call_send_until_final (cluster, &call);
   CU_ASSERT_EQUAL (again->status, 200);
   CU_ASSERT_STRING_EQUAL (again->text, answered->text);
@@ -147,12 +147,12 @@
       CU_ASSERT_TRUE (create_program (cluster, i % 3, programs[i]));
       calls[i] = engine_call (cluster, programs[i], 1, programs[i]);
     }
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, platform_down));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, platform_down));
   for (uint32_t i = 0; i < N_PROGRAMS; i++)
     call_thread_start (&threads[i], &calls[i]);
   for (uint32_t i = 0; i < N_PROGRAMS; i++)
     call_thread_join (&threads[i]);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, platform_up));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, platform_up));
   for (uint32_t i = 0; i < N_PROGRAMS; i++)
     {
       struct HttpReply *final = call_send_until_final (cluster, &calls[i]);
--- a/tests/sessions/test_pairs.c
+++ b/tests/sessions/test_pairs.c
@@ -78,7 +78,7 @@
   char json[128];
 
   snprintf (json, sizeof json, format, number);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, json));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, json));
 }
 
 /* Sends the change to a random instance; called until one accepts it, as a response may be lost. */
@@ -125,7 +125,7 @@
       process_kill (cluster->engines[0].process);
       break;
     case FAILURE_TOOL_CLOSES:
-      http_control (cluster->tools[0].address, "{\"close_after_run\":3}");
+      standin_control (cluster->tools[0].address, "{\"close_after_run\":3}");
       break;
     case FAILURE_PLANNED_STOP:
       CU_ASSERT_TRUE (process_signal (cluster->instances[victim].process, SIGTERM));
--- a/tests/sessions/test_release.c
+++ b/tests/sessions/test_release.c
@@ -57,7 +57,7 @@
   struct ProgramMemory memory = { cluster, "lost" };
 
   run_turn (cluster, "lost");
-  CU_ASSERT_TRUE (http_control (cluster->engines[0].address, "{\"lose_release\":3}"));
+  CU_ASSERT_TRUE (standin_control (cluster->engines[0].address, "{\"lose_release\":3}"));
   CU_ASSERT_EQUAL (end_program (cluster, 1, "lost"), 200);
   CU_ASSERT_TRUE (wait_for (memory_is_released, &memory));
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
@@ -73,13 +73,13 @@
   int32_t home;
 
   run_turn (cluster, "orphan");
-  CU_ASSERT_TRUE (http_control (cluster->engines[0].address, "{\"ignore_release\":true}"));
+  CU_ASSERT_TRUE (standin_control (cluster->engines[0].address, "{\"ignore_release\":true}"));
   CU_ASSERT_EQUAL (end_program (cluster, 0, "orphan"), 200);
   home = cluster_home (cluster, "orphan");
   CU_ASSERT_TRUE_FATAL (home >= 0);
   process_kill (cluster->instances[home].process);
   CU_ASSERT_TRUE (cluster_held_tokens (cluster, "orphan") > 0);
-  CU_ASSERT_TRUE (http_control (cluster->engines[0].address, "{\"ignore_release\":false}"));
+  CU_ASSERT_TRUE (standin_control (cluster->engines[0].address, "{\"ignore_release\":false}"));
   CU_ASSERT_TRUE (wait_for (memory_is_released, &memory));
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
 }
--- a/tests/sessions/test_standins.c
+++ b/tests/sessions/test_standins.c
@@ -54,7 +54,7 @@
   CU_ASSERT_EQUAL (cached_tokens (send_chat (cluster, 0, "p-1", "First.")), 0);
   CU_ASSERT_TRUE (cached_tokens (send_chat (cluster, 0, "p-1", "Second.")) > 0);
   CU_ASSERT_TRUE (cluster_held_tokens (cluster, "p-1") > 0);
-  CU_ASSERT_TRUE (http_control (cluster->engines[0].address, "{\"lose_release\":1}"));
+  CU_ASSERT_TRUE (standin_control (cluster->engines[0].address, "{\"lose_release\":1}"));
   release = http_send (cluster, "POST", cluster->engines[0].address, "/release", NULL,
                        "{\"program\":\"p-1\"}");
   CU_ASSERT_EQUAL (release->status, 0);
@@ -89,15 +89,15 @@
 {
   struct Cluster *cluster = cluster_start (NULL, &two_engines);
 
-  CU_ASSERT_TRUE (http_control (cluster->engines[0].address, "{\"crash_on\":\"poison\"}"));
+  CU_ASSERT_TRUE (standin_control (cluster->engines[0].address, "{\"crash_on\":\"poison\"}"));
   CU_ASSERT_EQUAL (send_chat (cluster, 0, "p-1", "poison")->status, 0);
   CU_ASSERT_TRUE (process_wait (cluster->engines[0].process));
   CU_ASSERT_TRUE (cluster_start_engine (cluster, 0));
   CU_ASSERT_EQUAL (send_chat (cluster, 0, "p-1", "wage")->status, 200);
   CU_ASSERT_TRUE (process_signal (cluster->engines[1].process, SIGSTOP));
-  CU_ASSERT_TRUE (process_is_alive (cluster->engines[1].process));
+  CU_ASSERT_TRUE (process_is_running (cluster->engines[1].process));
   process_kill (cluster->engines[1].process);
-  CU_ASSERT_FALSE (process_is_alive (cluster->engines[1].process));
+  CU_ASSERT_FALSE (process_is_running (cluster->engines[1].process));
   CU_ASSERT_EQUAL (cluster->engines[1].process->exit_status, -SIGKILL);
   cluster_stop (cluster, false);
 }
@@ -110,7 +110,7 @@
   const char *address = cluster->tools[0].address;
 
   CU_ASSERT_EQUAL (http_send (cluster, "POST", address, "/alert", headers, "{}")->status, 200);
-  CU_ASSERT_TRUE (http_control (address, "{\"close_after_run\":1}"));
+  CU_ASSERT_TRUE (standin_control (address, "{\"close_after_run\":1}"));
   CU_ASSERT_EQUAL (http_send (cluster, "POST", address, "/alert", headers, "{}")->status, 0);
   CU_ASSERT_EQUAL (cluster_tool_runs (cluster), 2);
   cluster_stop (cluster, false);
--- a/tests/sessions/test_whole_answer.c
+++ b/tests/sessions/test_whole_answer.c
@@ -28,7 +28,7 @@
 engines_control (struct Cluster *cluster, const char *json)
 {
   for (uint32_t i = 0; i < cluster->options.n_engines; i++)
-    CU_ASSERT_TRUE (http_control (cluster->engines[i].address, json));
+    CU_ASSERT_TRUE (standin_control (cluster->engines[i].address, json));
 }
 
 static struct Cluster *
@@ -162,10 +162,10 @@
   struct Stream *stream = stream_start (cluster, &call);
 
   CU_ASSERT_TRUE (stream_wait_for (stream, early_word));
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"down\":{\"mode\":\"refuse\"}}"));
   CU_ASSERT_TRUE (stream_wait_for (stream, "\"usage\""));
   process_kill (cluster->instances[home].process);
-  CU_ASSERT_TRUE (http_control (cluster->platform.address, "{\"down\":null}"));
+  CU_ASSERT_TRUE (standin_control (cluster->platform.address, "{\"down\":null}"));
   stream_join (stream);
   assert_complete_or_error_event (stream, final_answer (cluster, &call));
   cluster_stop (cluster, CU_get_number_of_failures () > 0);
@@ -287,7 +287,7 @@
       snprintf (calls->paths[i], NAME_BYTES + 8, "/of/parent-%u", i);
       CU_ASSERT_TRUE (create_program (cluster, i % 3, calls->names[i]));
     }
-  CU_ASSERT_TRUE (http_control (cluster->tools[0].address, "{\"delay_ms\":100}"));
+  CU_ASSERT_TRUE (standin_control (cluster->tools[0].address, "{\"delay_ms\":100}"));
   parallel_calls_start (cluster, calls);
   for (uint32_t i = 0; i < N_PARALLEL; i++)
     {
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -47,7 +47,7 @@
 soak_add_proxy (void *data, uint16_t target)
 {
   struct Soak *soak = data;
-  uint16_t port = session_port (soak->fleet->session);
+  uint16_t port = session_allocate_port (soak->fleet->session);
   struct Proxy *proxy = proxy_new (soak->fleet, port, target);
 
   if (proxy == NULL)
