--- a/core/config_apply.c
+++ b/core/config_apply.c
@@ -76,10 +76,10 @@
     }
   if (apply->uncertain)
     error = fault_set (
-        &fault, ERROR_UNKNOWN_EFFECT, "ask again with the same change id when the platform answers",
+        &fault, ERROR_UNKNOWN_EFFECT, "query the same change id again when the platform responds",
         "the response to change %s was lost; the change may be in force", apply->change.change_id);
   else if (error == ERROR_UNREACHABLE || error == ERROR_RATE_LIMITED)
-    error = fault_set (&fault, ERROR_PLATFORM_DOWN, "send it again when the platform answers",
+    error = fault_set (&fault, ERROR_PLATFORM_DOWN, "send it again when the platform responds",
                        "the platform's key-value service %s; change %s was not applied",
                        error == ERROR_RATE_LIMITED ? "is overloaded" : "does not answer",
                        apply->change.change_id);
--- a/core/counter.c
+++ b/core/counter.c
@@ -77,7 +77,8 @@
   [COUNTER_PEER_MESSAGES] = COUNTS ("peer_messages", "Messages sent to other instances"),
   [COUNTER_PEER_BYTES] = COUNTS ("peer_bytes", "Bytes sent to other instances"),
   [COUNTER_REQUESTS_ANSWERED] =
-      COUNTS ("requests_answered", "Requests whose caller got a backend server's whole answer"),
+      COUNTS ("requests_answered",
+              "Requests whose caller received a complete response of a backend server"),
   [COUNTER_REQUESTS_OVER_LIMIT] =
       COUNTS ("requests_over_limit",
               "Requests rejected with Retry-After because their customer's limit was reached"),
@@ -86,7 +87,7 @@
   [COUNTER_REQUESTS_REJECTED] =
       COUNTS ("requests_rejected", "Requests rejected by configuration or budget, or as malformed"),
   [COUNTER_REQUESTS_BROKEN] =
-      COUNTS ("requests_broken", "Requests that may have run and got no whole answer"),
+      COUNTS ("requests_broken", "Requests that may have run and received no complete response"),
   [COUNTER_REQUESTS_LEFT] =
       COUNTS ("requests_left", "Requests whose caller disconnected before the response"),
   [COUNTER_REQUESTS_SENT_AGAIN] =
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -263,7 +263,8 @@
   peer_net_send (call->entry->core->net, call->link, &cancel);
   response.outcome.ran = RAN_MAYBE;
   response.retry_after_ms = 1;
-  fault_set (&response.fault, ERROR_BACKEND, "send the same call again to get its whole answer",
+  fault_set (&response.fault, ERROR_BACKEND,
+             "send the same call again to get its complete response",
              "the stream was interrupted, and the repeated response differs from its start");
   entry_fail (call, &response);
 }
--- a/daemon/home_call.c
+++ b/daemon/home_call.c
@@ -301,7 +301,7 @@
 
   snprintf (outcome.backend, sizeof outcome.backend, "%s", call->backend);
   log_event (LOG_LEVEL_WARNING, "call_may_have_run", call->call.key.program,
-             error_remedy (ERROR_MAY_HAVE_RUN), "%s gave no answer to a call that may run once",
+             error_remedy (ERROR_MAY_HAVE_RUN), "%s sent no response to a non-idempotent call",
              call->backend);
   home_call_end (call, &outcome);
 }
--- a/gateway/quotas.c
+++ b/gateway/quotas.c
@@ -95,13 +95,14 @@
     }
   counter_add (COUNTER_REQUESTS_OVER_LIMIT, 1);
   if (verdict.is_first_rejection)
-    log_event (LOG_LEVEL_NOTICE, "customer_over_limit", NULL,
-               "raise the customer's limit, or inform the customer",
-               "%s: limit %u per window, %u taken as told %lld ms ago, %.1f requests per program",
-               request->customer.name, verdict.limit, verdict.fleet_taken,
-               (long long)verdict.report_age_ms, quota_ledger_program_size (quotas->ledger));
+    log_event (
+        LOG_LEVEL_NOTICE, "customer_over_limit", NULL,
+        "raise the customer's limit, or inform the customer",
+        "%s: limit %u per window, %u used as reported %lld ms ago, %.1f requests per program",
+        request->customer.name, verdict.limit, verdict.fleet_taken,
+        (long long)verdict.report_age_ms, quota_ledger_program_size (quotas->ledger));
   snprintf (detail, sizeof detail,
-            "customer %s: limit %u per window, %u taken as told %lld ms ago, %u of 1000 pass",
+            "customer %s: limit %u per window, %u used as reported %lld ms ago, %u of 1000 pass",
             request->customer.name, verdict.limit, verdict.fleet_taken,
             (long long)verdict.report_age_ms, verdict.permille);
   request_reject_over_limit (request, verdict.retry_after_ms, detail);
--- a/gateway/turn.c
+++ b/gateway/turn.c
@@ -151,7 +151,7 @@
       return;
     }
 
-  snprintf (detail, sizeof detail, "%u archives answered, %u of them lack nothing, generation %llu",
+  snprintf (detail, sizeof detail, "%u archives responded, %u of them complete, generation %llu",
             turn->answered.n, turn->complete.n,
             (unsigned long long)request->front->node->set.generation);
   request_fail (request, FAILURE_UNCERTAIN, detail);
@@ -380,8 +380,8 @@
 
   if (caller->previous[0] != '\0' && !turn->previous_exists)
     {
-      snprintf (detail, sizeof detail,
-                "none of %u archives that lack nothing has the previous turn", turn->complete.n);
+      snprintf (detail, sizeof detail, "none of %u complete archives has the previous turn",
+                turn->complete.n);
       request_fail (request, FAILURE_NO_TURN, detail);
     }
   else if (caller->budget_tokens > 0
